--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerChannel.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerChannel.java
@@ -82,7 +82,7 @@
 
 	@Override
 	protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
-		Either<String, PeerMessage> message = RelayCodec.decodePeer(ByteBufUtil.getBytes(frame));
+		Either<String, PeerMessage> message = RelayCodec.decodePeerMessage(ByteBufUtil.getBytes(frame));
 		if (message.isLeft()) {
 			end(context, message.getLeft());
 			return;
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerLink.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerLink.java
@@ -78,7 +78,7 @@
 	 */
 	private static final int WAITING_MESSAGES = 64;
 
-	private static final byte[] PULSE = RelayCodec.encode(new PeerMessage.Pulse());
+	private static final byte[] PULSE = RelayCodec.encode(new PeerMessage.Heartbeat());
 
 	private static final long NOTHING = -1;
 
@@ -287,7 +287,7 @@
 		}
 		this.waiting.clear();
 		this.failures++;
-		this.timers.after(BACKOFF.after(this.failures, WHOLE_PAUSE), this::again);
+		this.timers.schedule(BACKOFF.after(this.failures, WHOLE_PAUSE), this::again);
 	}
 
 	private void again() {
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/Peers.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/Peers.java
@@ -11,7 +11,7 @@
 import io.lentilslip.core.relay.Member;
 import io.lentilslip.relay.net.Sockets;
 import io.lentilslip.relay.net.Traffic;
-import io.lentilslip.relay.store.KeyFollower;
+import io.lentilslip.relay.store.CompactedTopicConsumer;
 import io.lentilslip.relay.store.Timers;
 import io.lentilslip.wire.relay.PeerMessage;
 import io.lentilslip.wire.relay.RelayCodec;
@@ -26,7 +26,7 @@
  * to each that this one has something to say to. What is asked may stay unanswered. Used
  * by the event loop's thread.
  */
-public final class Peers implements KeyFollower.Listener {
+public final class Peers implements CompactedTopicConsumer.Listener {
 
 	/**
 	 * How many others are asked for help at once: the store may turn one of them away
@@ -83,9 +83,9 @@
 
 	/**
 	 * Sets the name of this relay, before it follows the others.
-	 * @param name the address and port at which it takes links
+	 * @param setLocalAddress the address and port at which it takes links
 	 */
-	public void name(String name) {
+	public void setLocalAddress(String name) {
 		this.own = name;
 	}
 
@@ -182,7 +182,7 @@
 	/**
 	 * Looks for links that have gone silent.
 	 */
-	public void look() {
+	public void checkLiveness() {
 		this.links.values().forEach(PeerLink::look);
 	}
 
@@ -190,7 +190,7 @@
 	 * Returns how many links are up.
 	 * @return the number
 	 */
-	public int up() {
+	public int connectedCount() {
 		return count(true);
 	}
 
@@ -198,7 +198,7 @@
 	 * Returns how many other relays were needed and could not be reached.
 	 * @return the number
 	 */
-	public int down() {
+	public int unreachableCount() {
 		return count(false);
 	}
 
@@ -214,12 +214,12 @@
 	 * Returns how many other relays are known.
 	 * @return the number
 	 */
-	public int known() {
+	public int knownCount() {
 		return this.members.size() - (this.members.containsKey(this.own) ? 1 : 0);
 	}
 
 	@Override
-	public void all(Map<String, byte[]> values) {
+	public void snapshotRead(Map<String, byte[]> values) {
 		for (String gone : List.copyOf(this.members.keySet())) {
 			if (!values.containsKey(gone)) {
 				remove(gone);
@@ -233,7 +233,7 @@
 	}
 
 	@Override
-	public void changed(String key, Optional<byte[]> value) {
+	public void recordChanged(String key, Optional<byte[]> value) {
 		if (value.isPresent()) {
 			add(key, value.get());
 			listed();
@@ -349,7 +349,7 @@
 				case PeerMessage.PermitsGranted reply -> Peers.this.listener.permitsGranted(this.peer, reply.reply());
 				case PeerMessage.Sync ignored -> Peers.this.listener.unloggedAsked(this.peer);
 				case PeerMessage.Told ignored -> Peers.this.listener.allTold(this.peer);
-				case PeerMessage.Pulse ignored -> {
+				case PeerMessage.Heartbeat ignored -> {
 					if (link != null) {
 						link.pulsed();
 					}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/SleepWatch.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/PauseDetector.java
@@ -9,7 +9,7 @@
  * Looked at regularly, and before each decision. A change of the clock of the day looks
  * the same, and costs a read of the log. Used by one thread.
  */
-final class SleepWatch {
+final class PauseDetector {
 
 	/**
 	 * By how much a look may be late. Pauses of the collector and a quota that is used up
@@ -29,7 +29,7 @@
 	 * Creates a watch.
 	 * @param interval how often it is looked at
 	 */
-	SleepWatch(Duration interval) {
+	PauseDetector(Duration interval) {
 		this.interval = interval.toMillis();
 	}
 
@@ -39,7 +39,7 @@
 	 * @param time milliseconds of the clock of the day
 	 * @return how long the process slept, if it did since the look before
 	 */
-	Optional<Duration> look(long now, long time) {
+	Optional<Duration> check(long now, long time) {
 		long gap = now - this.steady;
 		long missing = Math.abs(time - this.ofDay - gap);
 		boolean slept = this.looked && (gap > this.interval + LATE_MS || missing > LATE_MS);
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Reachability.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Reachability.java
@@ -48,7 +48,7 @@
 		this.storeAnsweredAt = timers.now();
 	}
 
-	void storeAnswered(boolean well) {
+	void storeCallCompleted(boolean well) {
 		long now = this.timers.now();
 		if (well) {
 			this.storeAnsweredAt = now;
@@ -76,7 +76,7 @@
 		if (!storeLost()) {
 			return Reach.LOG;
 		}
-		return alone() ? Reach.NOTHING : Reach.RELAYS;
+		return isolated() ? Reach.NOTHING : Reach.RELAYS;
 	}
 
 	private boolean storeLost() {
@@ -91,8 +91,8 @@
 	 * something to say to.
 	 * @return whether it does
 	 */
-	boolean alone() {
-		return this.peers.known() == 0 || this.peers.up() < this.peers.down();
+	boolean isolated() {
+		return this.peers.knownCount() == 0 || this.peers.connectedCount() < this.peers.unreachableCount();
 	}
 
 }
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
@@ -39,11 +39,11 @@
 import io.lentilslip.relay.net.Traffic;
 import io.lentilslip.relay.peer.PeerListener;
 import io.lentilslip.relay.peer.Peers;
-import io.lentilslip.relay.store.CountedStore;
+import io.lentilslip.relay.store.MeteredStore;
 import io.lentilslip.relay.store.EntryReader;
 import io.lentilslip.relay.store.EntryWriter;
-import io.lentilslip.relay.store.GivenUpEntries;
-import io.lentilslip.relay.store.KeyFollower;
+import io.lentilslip.relay.store.DroppedEntryReporter;
+import io.lentilslip.relay.store.CompactedTopicConsumer;
 import io.lentilslip.relay.store.Store;
 import io.lentilslip.relay.store.TextReader;
 import io.lentilslip.relay.store.TextWriter;
@@ -123,9 +123,9 @@
 
 	private final Reachability reachability;
 
-	private final SleepWatch sleep = new SleepWatch(REACH_INTERVAL);
+	private final PauseDetector sleep = new PauseDetector(REACH_INTERVAL);
 
-	private final LateWatch late;
+	private final TimerDelayMonitor late;
 
 	private final Traffic traffic = new Traffic();
 
@@ -148,22 +148,22 @@
 	public RelayProcess(Setup setup) {
 		this.setup = setup;
 		this.notices = setup.notices();
-		this.late = new LateWatch(setup.measurements(), this.notices);
+		this.late = new TimerDelayMonitor(setup.measurements(), this.notices);
 		this.random = new SplittableRandom(setup.settings().seed());
 		this.relay = new Relay(setup.settings());
-		this.store = new CountedStore(setup.store().apply(this.loop), this.traffic);
+		this.store = new MeteredStore(setup.store().apply(this.loop), this.traffic);
 		this.upstreams = new UpstreamClient(this.loop, setup.dialect(), this.timers);
 		this.exchanges = new Exchanges(setup.dialect(), this.upstreams, this.timers, this::on);
 		this.callers = new CallerServer(this.exchanges);
 		this.peers = new Peers(this.loop, new PeerEvents(), this.timers, this.traffic);
 		this.reachability = new Reachability(this.timers, this.peers, this::on);
-		GivenUpEntries givenUp = new GivenUpEntries(this.timers, this.notices, setup.measurements());
+		DroppedEntryReporter givenUp = new DroppedEntryReporter(this.timers, this.notices, setup.measurements());
 		this.writer = new EntryWriter(this.store, this.timers, this.random, this::stored, this::contendersStored,
-				this.reachability::storeAnswered, givenUp::add);
+				this.reachability::storeCallCompleted, givenUp::recordDropped);
 		this.reader = new EntryReader(this.store, this.timers, this.random, this::read, this::caughtUp,
-				this.reachability::storeAnswered, this.reachability::alone);
+				this.reachability::storeCallCompleted, this.reachability::isolated);
 		this.textWriter = new TextWriter(this.store, this.timers, this.random, setup.settings().textPart(),
-				this::textsStored, givenUp::add);
+				this::textsStored, givenUp::recordDropped);
 		this.textReader = new TextReader(this.store);
 	}
 
@@ -179,7 +179,7 @@
 				bound(this.peers.open(this.group, wanted.links())));
 		this.loop.execute(() -> {
 			this.name = open.name();
-			this.peers.name(this.name);
+			this.peers.setLocalAddress(this.name);
 			on(new RelayEvent.Opened(this.timers.now(), this.name));
 			follow();
 		});
@@ -220,8 +220,9 @@
 		checkReach();
 	}
 
-	private void follow(Topic topic, KeyFollower.Listener listener) {
-		new KeyFollower(this.store, this.timers, this.random, topic, listener, this.reachability::storeAnswered)
+	private void follow(Topic topic, CompactedTopicConsumer.Listener listener) {
+		new CompactedTopicConsumer(this.store, this.timers, this.random, topic, listener,
+				this.reachability::storeCallCompleted)
 			.start();
 	}
 
@@ -232,11 +233,11 @@
 	private void announce(Runnable then) {
 		Member self = new Member(this.name, this.setup.settings().zone(), this.setup.settings().weight());
 		this.store.put(Topic.RELAYS, this.name, Optional.of(RelayCodec.encode(self)), (outcome) -> {
-			if (outcome instanceof Store.Appended.Done) {
+			if (outcome instanceof Store.AppendResult.Success) {
 				then.run();
 				return;
 			}
-			this.timers.after(REACH_INTERVAL, () -> announceUnlessDraining(then));
+			this.timers.schedule(REACH_INTERVAL, () -> announceUnlessDraining(then));
 		});
 	}
 
@@ -251,21 +252,21 @@
 	 * meanwhile is read before any timer runs.
 	 */
 	private void lookForSleep() {
-		this.sleep.look(this.timers.now(), System.currentTimeMillis())
+		this.sleep.check(this.timers.now(), System.currentTimeMillis())
 			.ifPresent((slept) -> this.pending.add(new RelayEvent.Woken(this.timers.now(), slept)));
 	}
 
 	private void checkReach() {
-		this.late.ran(this.timers.now());
+		this.late.recordRun(this.timers.now());
 		lookForSleep();
-		this.peers.look();
+		this.peers.checkLiveness();
 		this.reachability.check();
 		this.setup.measurements()
-			.accept(new Measurement.LinkState(Measurement.LinkState.Kind.RELAY, this.peers.up(),
-					this.peers.up() + this.peers.down()));
+			.accept(new Measurement.LinkState(Measurement.LinkState.Kind.RELAY, this.peers.connectedCount(),
+					this.peers.connectedCount() + this.peers.unreachableCount()));
 		this.traffic.publish(this.setup.measurements());
-		this.late.plan(this.timers.now() + REACH_INTERVAL.toMillis());
-		this.timers.after(REACH_INTERVAL, this::checkReach);
+		this.late.expectRun(this.timers.now() + REACH_INTERVAL.toMillis());
+		this.timers.schedule(REACH_INTERVAL, this::checkReach);
 	}
 
 	private void on(RelayEvent event) {
@@ -340,7 +341,7 @@
 			case RelayEffect.TellUnlogged tell -> tellUnlogged(tell);
 			case RelayEffect.ReadLog ignored -> this.reader.read();
 			case RelayEffect.CatchUp ignored -> this.reader.catchUp();
-			case RelayEffect.Remind remind -> this.timers.after(remind.delay(),
+			case RelayEffect.Remind remind -> this.timers.schedule(remind.delay(),
 					() -> on(new RelayEvent.Reminded(this.timers.now(), remind.exchange(), remind.reminder())));
 			case RelayEffect.Ready now -> this.ready = now.ready();
 			case RelayEffect.Limit limit -> this.callers.limit(limit.limits());
@@ -354,7 +355,7 @@
 	// away,
 	// in the log: the other relay would give a program more than its budget.
 	private void tellUnlogged(RelayEffect.TellUnlogged tell) {
-		this.peers.tell(tell.peer(), this.writer.unconfirmed());
+		this.peers.tell(tell.peer(), this.writer.unacknowledged());
 		this.peers.tell(tell.peer(), tell.entries());
 		if (tell.complete()) {
 			this.peers.send(tell.peer(), new PeerMessage.Told());
@@ -391,8 +392,8 @@
 			// Where this fails, the others find a closed port, and try ever more seldom.
 		});
 		long began = this.timers.now();
-		this.timers.after(STILL_TAKING, this.callers::stopTaking);
-		this.timers.after(SHORTEST_DRAIN, () -> endDrain(began));
+		this.timers.schedule(STILL_TAKING, this.callers::stopTaking);
+		this.timers.schedule(SHORTEST_DRAIN, () -> endDrain(began));
 	}
 
 	private void endDrain(long began) {
@@ -407,7 +408,7 @@
 			return;
 		}
 		this.callers.stopTaking();
-		this.timers.after(DRAIN_INTERVAL, () -> endDrain(began));
+		this.timers.schedule(DRAIN_INTERVAL, () -> endDrain(began));
 	}
 
 	/**
@@ -424,8 +425,8 @@
 	 * @param metrics writes the metrics
 	 */
 	public record Setup(RelaySettings settings, RelayAddresses addresses, Duration drainLimit, Dialect dialect,
-			Catalogue catalogue, Function<EventLoop, Store> store, Notices notices, Consumer<Measurement> measurements,
-			Supplier<String> metrics) {
+			StoreDecoder storeDecoder, Function<EventLoop, Store> store, Notices notices,
+			Consumer<Measurement> measurements, Supplier<String> metrics) {
 
 	}
 
@@ -435,7 +436,7 @@
 	private final class LoopTimers implements Timers {
 
 		@Override
-		public void after(Duration delay, Runnable step) {
+		public void schedule(Duration delay, Runnable step) {
 			RelayProcess.this.loop.schedule(step, delay.toMillis(), TimeUnit.MILLISECONDS);
 		}
 
@@ -449,20 +450,20 @@
 	/**
 	 * Follows what operators set. Used by the event loop's thread.
 	 */
-	private final class Routes implements KeyFollower.Listener {
+	private final class Routes implements CompactedTopicConsumer.Listener {
 
 		@Override
-		public void all(Map<String, byte[]> values) {
-			values.forEach((key, value) -> changed(key, Optional.of(value)));
+		public void snapshotRead(Map<String, byte[]> values) {
+			values.forEach((key, value) -> recordChanged(key, Optional.of(value)));
 		}
 
 		@Override
-		public void changed(String key, Optional<byte[]> value) {
-			if (!key.equals(RelayProcess.this.setup.catalogue().routesKey())) {
+		public void recordChanged(String key, Optional<byte[]> value) {
+			if (!key.equals(RelayProcess.this.setup.storeDecoder().routeTableKey())) {
 				return;
 			}
-			value.ifPresent((bytes) -> RelayProcess.this.setup.catalogue()
-				.table(bytes)
+			value.ifPresent((bytes) -> RelayProcess.this.setup.storeDecoder()
+				.decodeRouteTable(bytes)
 				.peek((table) -> on(new RelayEvent.TableRead(RelayProcess.this.timers.now(), table)))
 				.peekLeft((problem) -> RelayProcess.this.notices
 					.write(NoticeCode.ROUTES_REFUSED.with(FieldName.REASON, problem))));
@@ -473,10 +474,10 @@
 	/**
 	 * Follows the list of upstreams. Used by the event loop's thread.
 	 */
-	private final class UpstreamList implements KeyFollower.Listener {
+	private final class UpstreamList implements CompactedTopicConsumer.Listener {
 
 		@Override
-		public void all(Map<String, byte[]> values) {
+		public void snapshotRead(Map<String, byte[]> values) {
 			List<Upstream> listed = new ArrayList<>();
 			Map<String, EntryProblem> unusable = new HashMap<>();
 			values.forEach(
@@ -487,7 +488,7 @@
 		}
 
 		@Override
-		public void changed(String key, Optional<byte[]> value) {
+		public void recordChanged(String key, Optional<byte[]> value) {
 			if (value.isEmpty()) {
 				RelayProcess.this.upstreams.forget(key);
 				on(new RelayEvent.UpstreamGone(RelayProcess.this.timers.now(), key));
@@ -504,7 +505,7 @@
 		}
 
 		private Either<EntryProblem, Upstream> decode(String key, byte[] value) {
-			return RelayProcess.this.setup.catalogue().upstream(key, value);
+			return RelayProcess.this.setup.storeDecoder().decodeUpstream(key, value);
 		}
 
 	}
@@ -554,7 +555,7 @@
 		public void takenTold(String peer, PeerMessage.Taken taken) {
 			on(new RelayEvent.LoadsTold(RelayProcess.this.timers.now(), taken.loads()));
 			on(new RelayEvent.TakenTold(RelayProcess.this.timers.now(), peer, taken.request(), taken.tokens(),
-					taken.unlogged(), taken.log(), RelayProcess.this.peers.known()));
+					taken.unlogged(), taken.log(), RelayProcess.this.peers.knownCount()));
 		}
 
 		@Override
@@ -589,7 +590,7 @@
 
 		@Override
 		public void allTold(String peer) {
-			on(new RelayEvent.PeerTold(RelayProcess.this.timers.now(), peer, RelayProcess.this.peers.known()));
+			on(new RelayEvent.PeerTold(RelayProcess.this.timers.now(), peer, RelayProcess.this.peers.knownCount()));
 		}
 
 		@Override
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Catalogue.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/StoreDecoder.java
@@ -10,20 +10,20 @@
  * The formats in which operators and upstreams write to the store. Implementations decide
  * nothing, and are safe for use by several threads.
  */
-public interface Catalogue {
+public interface StoreDecoder {
 
 	/**
 	 * Returns the key under which operators write their routes.
 	 * @return the key
 	 */
-	String routesKey();
+	String routeTableKey();
 
 	/**
 	 * Decodes what operators wrote.
 	 * @param value the value
 	 * @return the table, or why the value is none that can be in force
 	 */
-	Either<TableProblem, RouteTable> table(byte[] value);
+	Either<TableProblem, RouteTable> decodeRouteTable(byte[] value);
 
 	/**
 	 * Decodes what an upstream wrote. Others may write there too, so any bytes may come.
@@ -31,6 +31,6 @@
 	 * @param value the value
 	 * @return the upstream, or why the value names none that can be used
 	 */
-	Either<EntryProblem, Upstream> upstream(String key, byte[] value);
+	Either<EntryProblem, Upstream> decodeUpstream(String key, byte[] value);
 
 }
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/LateWatch.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/TimerDelayMonitor.java
@@ -14,7 +14,7 @@
  * what a caller would feel. Without it, a process that gets too little of its processor
  * looks like peers and upstreams that are slow. Used by one thread.
  */
-final class LateWatch {
+final class TimerDelayMonitor {
 
 	/**
 	 * The least that is told: collector pauses of a process that is well stay below it.
@@ -33,7 +33,7 @@
 
 	private long untilNotice = Long.MIN_VALUE;
 
-	LateWatch(Consumer<Measurement> measurements, Notices notices) {
+	TimerDelayMonitor(Consumer<Measurement> measurements, Notices notices) {
 		this.measurements = measurements;
 		this.notices = notices;
 	}
@@ -42,7 +42,7 @@
 	 * Notes when the timer is to run next.
 	 * @param at milliseconds of the steady clock
 	 */
-	void plan(long at) {
+	void expectRun(long at) {
 		this.planned = OptionalLong.of(at);
 	}
 
@@ -50,7 +50,7 @@
 	 * Notes that the timer runs.
 	 * @param now milliseconds of the steady clock
 	 */
-	void ran(long now) {
+	void recordRun(long now) {
 		if (this.planned.isEmpty()) {
 			return;
 		}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/AppendQueue.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/AppendQueue.java
@@ -31,25 +31,25 @@
 	 */
 	private static final int CALL_RECORDS = 512;
 
-	private final Appending appending;
+	private final Appender appending;
 
-	private final Stamp stamp;
+	private final RecordStamper stamp;
 
 	private final Timers timers;
 
-	private final Pauses pauses;
+	private final RetryBackoff pauses;
 
 	private final long bound;
 
-	private final Stored<T> stored;
+	private final AppendListener<T> stored;
 
 	private final Consumer<Boolean> health;
 
 	private final IntConsumer givenUp;
 
-	private final Deque<Waiting<T>> waiting = new ArrayDeque<>();
+	private final Deque<QueuedRecord<T>> waiting = new ArrayDeque<>();
 
-	private List<Waiting<T>> underWay = List.of();
+	private List<QueuedRecord<T>> inFlight = List.of();
 
 	private long bytes;
 
@@ -64,12 +64,12 @@
 	 * @param health takes whether the store answered a call as it should
 	 * @param givenUp takes how many records wait no longer, each time that any do
 	 */
-	AppendQueue(Appending appending, Stamp stamp, Timers timers, RandomGenerator random, long bound, Stored<T> stored,
-			Consumer<Boolean> health, IntConsumer givenUp) {
+	AppendQueue(Appender appending, RecordStamper stamp, Timers timers, RandomGenerator random, long bound,
+			AppendListener<T> stored, Consumer<Boolean> health, IntConsumer givenUp) {
 		this.appending = appending;
 		this.stamp = stamp;
 		this.timers = timers;
-		this.pauses = new Pauses(random);
+		this.pauses = new RetryBackoff(random);
 		this.bound = bound;
 		this.stored = stored;
 		this.health = health;
@@ -77,12 +77,13 @@
 	}
 
 	/**
-	 * Takes a record, which waits until {@link #call()} or the end of the call under way.
+	 * Takes a record, which waits until {@link #flush()} or the end of the call under
+	 * way.
 	 * @param item what the record stands for
 	 * @param encoded its bytes
 	 */
 	void add(T item, byte[] encoded) {
-		this.waiting.add(new Waiting<>(item, encoded, this.timers.now()));
+		this.waiting.add(new QueuedRecord<>(item, encoded, this.timers.now()));
 		this.bytes += encoded.length;
 		dropOldest();
 	}
@@ -106,22 +107,22 @@
 	 * Returns what the store has not confirmed yet.
 	 * @return the items, the oldest first
 	 */
-	List<T> unconfirmed() {
-		return Stream.concat(this.underWay.stream(), this.waiting.stream()).map(Waiting::item).toList();
+	List<T> unacknowledged() {
+		return Stream.concat(this.inFlight.stream(), this.waiting.stream()).map(QueuedRecord::item).toList();
 	}
 
-	boolean calling() {
-		return !this.underWay.isEmpty();
+	boolean hasCallInFlight() {
+		return !this.inFlight.isEmpty();
 	}
 
 	/**
 	 * Appends what waits, unless a call is under way.
 	 */
-	void call() {
-		if (calling() || this.waiting.isEmpty()) {
+	void flush() {
+		if (hasCallInFlight() || this.waiting.isEmpty()) {
 			return;
 		}
-		List<Waiting<T>> batch = new ArrayList<>();
+		List<QueuedRecord<T>> batch = new ArrayList<>();
 		int size = 0;
 		while (!this.waiting.isEmpty() && batch.size() < CALL_RECORDS) {
 			int next = this.waiting.peekFirst().encoded().length;
@@ -132,46 +133,46 @@
 			batch.add(this.waiting.pollFirst());
 		}
 		this.bytes -= size;
-		this.underWay = batch;
+		this.inFlight = batch;
 		append();
 	}
 
 	private void append() {
 		long began = this.timers.now();
 		List<byte[]> records = new ArrayList<>();
-		for (Waiting<T> next : this.underWay) {
+		for (QueuedRecord<T> next : this.inFlight) {
 			records.add(this.stamp.stamp(next.encoded(), Duration.ofMillis(began - next.since())));
 		}
 		this.appending.append(records, (outcome) -> {
-			this.health.accept(outcome instanceof Store.Appended.Done);
-			if (outcome instanceof Store.Appended.Done done) {
+			this.health.accept(outcome instanceof Store.AppendResult.Success);
+			if (outcome instanceof Store.AppendResult.Success done) {
 				done(done, Duration.ofMillis(this.timers.now() - began));
 				return;
 			}
-			this.timers.after(this.pauses.next(), this::append);
+			this.timers.schedule(this.pauses.nextDelay(), this::append);
 		});
 	}
 
-	private void done(Store.Appended.Done done, Duration took) {
+	private void done(Store.AppendResult.Success done, Duration took) {
 		this.pauses.reset();
-		List<T> items = this.underWay.stream().map(Waiting::item).toList();
-		this.underWay = List.of();
+		List<T> items = this.inFlight.stream().map(QueuedRecord::item).toList();
+		this.inFlight = List.of();
 		this.stored.stored(items, done.offset(), took);
-		call();
+		flush();
 	}
 
 	/**
 	 * Appends records to a partition. Used by the event loop's thread.
 	 */
 	@FunctionalInterface
-	interface Appending {
+	interface Appender {
 
 		/**
 		 * Appends records, all or none.
 		 * @param records the records
 		 * @param then takes the outcome
 		 */
-		void append(List<byte[]> records, Consumer<Store.Appended> then);
+		void append(List<byte[]> records, Consumer<Store.AppendResult> then);
 
 	}
 
@@ -179,7 +180,7 @@
 	 * Puts into a record how long it waited. Used by the event loop's thread.
 	 */
 	@FunctionalInterface
-	interface Stamp {
+	interface RecordStamper {
 
 		/**
 		 * Makes the record that is appended.
@@ -197,7 +198,7 @@
 	 * @param <T> what a record stands for
 	 */
 	@FunctionalInterface
-	interface Stored<T> {
+	interface AppendListener<T> {
 
 		/**
 		 * Records are in the store.
@@ -217,7 +218,7 @@
 	 * @param encoded its bytes
 	 * @param since since when it waits
 	 */
-	private record Waiting<T>(T item, byte[] encoded, long since) {
+	private record QueuedRecord<T>(T item, byte[] encoded, long since) {
 
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/KeyFollower.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/CompactedTopicConsumer.java
@@ -14,7 +14,7 @@
  * end of the topic never goes back, and of a key only a later record counts. Used by the
  * event loop's thread.
  */
-public final class KeyFollower {
+public final class CompactedTopicConsumer {
 
 	/**
 	 * How long a read waits for a change. A connection that has gone silent is found out
@@ -32,7 +32,7 @@
 
 	private final Consumer<Boolean> health;
 
-	private final Pauses pauses;
+	private final RetryBackoff pauses;
 
 	private final Map<String, Long> offsets = new HashMap<>();
 
@@ -47,41 +47,41 @@
 	 * @param listener takes what was read
 	 * @param health takes whether the store answered a call as it should
 	 */
-	public KeyFollower(Store store, Timers timers, RandomGenerator random, Topic topic, Listener listener,
+	public CompactedTopicConsumer(Store store, Timers timers, RandomGenerator random, Topic topic, Listener listener,
 			Consumer<Boolean> health) {
 		this.store = store;
 		this.timers = timers;
 		this.topic = topic;
 		this.listener = listener;
 		this.health = health;
-		this.pauses = new Pauses(random);
+		this.pauses = new RetryBackoff(random);
 	}
 
 	/**
 	 * Begins to follow.
 	 */
 	public void start() {
-		this.store.newest(this.topic, this::newest);
+		this.store.readLatest(this.topic, this::newest);
 	}
 
-	private void newest(Store.Newest outcome) {
-		this.health.accept(outcome instanceof Store.Newest.Records);
+	private void newest(Store.LatestResult outcome) {
+		this.health.accept(outcome instanceof Store.LatestResult.Records);
 		switch (outcome) {
-			case Store.Newest.Failed ignored -> startLater();
-			case Store.Newest.Records records -> {
-				if (records.end() < this.next) {
+			case Store.LatestResult.Failed ignored -> startLater();
+			case Store.LatestResult.Records records -> {
+				if (records.endOffset() < this.next) {
 					startLater();
 					return;
 				}
 				this.pauses.reset();
 				takeAll(records);
-				this.next = records.end();
+				this.next = records.endOffset();
 				read();
 			}
 		}
 	}
 
-	private void takeAll(Store.Newest.Records records) {
+	private void takeAll(Store.LatestResult.Records records) {
 		Map<String, byte[]> values = new HashMap<>();
 		for (Store.StoredRecord item : records.records()) {
 			item.key().ifPresent((key) -> {
@@ -90,21 +90,21 @@
 			});
 		}
 		this.offsets.keySet().retainAll(values.keySet());
-		this.listener.all(values);
+		this.listener.snapshotRead(values);
 	}
 
 	private void read() {
 		this.store.read(this.topic, this.next, WAIT, this::take);
 	}
 
-	private void take(Store.Read outcome) {
-		this.health.accept(!(outcome instanceof Store.Read.Failed));
+	private void take(Store.ReadResult outcome) {
+		this.health.accept(!(outcome instanceof Store.ReadResult.Failed));
 		switch (outcome) {
-			case Store.Read.Failed ignored -> startLater();
-			case Store.Read.Deleted ignored -> start();
-			case Store.Read.Records records -> {
+			case Store.ReadResult.Failed ignored -> startLater();
+			case Store.ReadResult.Deleted ignored -> start();
+			case Store.ReadResult.Records records -> {
 				records.records().forEach(this::take);
-				this.next = records.next();
+				this.next = records.nextOffset();
 				read();
 			}
 		}
@@ -119,11 +119,11 @@
 			return;
 		}
 		this.offsets.put(key, item.offset());
-		this.listener.changed(key, item.value());
+		this.listener.recordChanged(key, item.value());
 	}
 
 	private void startLater() {
-		this.timers.after(this.pauses.next(), this::start);
+		this.timers.schedule(this.pauses.nextDelay(), this::start);
 	}
 
 	/**
@@ -135,14 +135,14 @@
 		 * The newest records of all keys; keys that are missing are dropped.
 		 * @param values the values by key
 		 */
-		void all(Map<String, byte[]> values);
+		void snapshotRead(Map<String, byte[]> values);
 
 		/**
 		 * The newest record of one key.
 		 * @param key the key
 		 * @param value the value; empty if the key is dropped
 		 */
-		void changed(String key, Optional<byte[]> value);
+		void recordChanged(String key, Optional<byte[]> value);
 
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/GivenUpEntries.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/DroppedEntryReporter.java
@@ -12,7 +12,7 @@
  * Tells of entries that a writer gave up: the first at once, and those of the second
  * after a notice by one more. Used by the event loop's thread.
  */
-public final class GivenUpEntries {
+public final class DroppedEntryReporter {
 
 	private static final Duration INTERVAL = Duration.ofSeconds(1);
 
@@ -32,7 +32,7 @@
 	 * @param notices takes notices
 	 * @param measurements takes measurements
 	 */
-	public GivenUpEntries(Timers timers, Notices notices, Consumer<Measurement> measurements) {
+	public DroppedEntryReporter(Timers timers, Notices notices, Consumer<Measurement> measurements) {
 		this.timers = timers;
 		this.notices = notices;
 		this.measurements = measurements;
@@ -42,7 +42,7 @@
 	 * Takes that entries were given up.
 	 * @param entries how many
 	 */
-	public void add(int entries) {
+	public void recordDropped(int entries) {
 		this.measurements.accept(new Measurement.EntriesGivenUp(entries));
 		this.untold += entries;
 		if (!this.pausing) {
@@ -55,7 +55,7 @@
 		if (this.pausing) {
 			this.notices.write(NoticeCode.ENTRIES_GIVEN_UP.with(FieldName.COUNT, this.untold));
 			this.untold = 0;
-			this.timers.after(INTERVAL, this::tell);
+			this.timers.schedule(INTERVAL, this::tell);
 		}
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryReader.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryReader.java
@@ -10,9 +10,9 @@
 import java.util.random.RandomGenerator;
 
 import io.lentilslip.core.relay.LedgerEntry;
-import io.lentilslip.wire.relay.LoggedEntry;
+import io.lentilslip.wire.relay.DecodedEntry;
 import io.lentilslip.wire.relay.RelayCodec;
-import io.lentilslip.wire.relay.WrittenTime;
+import io.lentilslip.wire.relay.EntryTimestamp;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -51,13 +51,13 @@
 
 	private final Consumer<List<LedgerEntry>> entries;
 
-	private final CaughtUp caughtUp;
+	private final CaughtUpListener caughtUp;
 
 	private final Consumer<Boolean> health;
 
 	private final BooleanSupplier alone;
 
-	private final Pauses pauses;
+	private final RetryBackoff pauses;
 
 	private long next;
 
@@ -93,7 +93,7 @@
 	 * @param alone tells whether most links to other relays are down
 	 */
 	public EntryReader(Store store, Timers timers, RandomGenerator random, Consumer<List<LedgerEntry>> entries,
-			CaughtUp caughtUp, Consumer<Boolean> health, BooleanSupplier alone) {
+			CaughtUpListener caughtUp, Consumer<Boolean> health, BooleanSupplier alone) {
 		this.store = store;
 		this.timers = timers;
 		this.entries = entries;
@@ -101,7 +101,7 @@
 		this.health = health;
 		this.alone = alone;
 		this.since = timers.now();
-		this.pauses = new Pauses(random);
+		this.pauses = new RetryBackoff(random);
 	}
 
 	/**
@@ -128,27 +128,27 @@
 		read();
 	}
 
-	private void take(Store.Read outcome) {
+	private void take(Store.ReadResult outcome) {
 		this.calling = false;
-		this.health.accept(!(outcome instanceof Store.Read.Failed));
+		this.health.accept(!(outcome instanceof Store.ReadResult.Failed));
 		switch (outcome) {
-			case Store.Read.Records records -> took(records);
-			case Store.Read.Deleted deleted -> {
-				this.next = Math.max(this.next, deleted.first());
+			case Store.ReadResult.Records records -> took(records);
+			case Store.ReadResult.Deleted deleted -> {
+				this.next = Math.max(this.next, deleted.firstOffset());
 				read();
 			}
-			case Store.Read.Failed ignored -> readAfter(this.pauses.next());
+			case Store.ReadResult.Failed ignored -> readAfter(this.pauses.nextDelay());
 		}
 	}
 
-	private void took(Store.Read.Records records) {
+	private void took(Store.ReadResult.Records records) {
 		this.pauses.reset();
-		this.next = records.next();
+		this.next = records.nextOffset();
 		this.entries.accept(decode(records.records()));
-		boolean atEnd = this.next >= records.end();
+		boolean atEnd = this.next >= records.endOffset();
 		if (atEnd && !this.complete && !this.again) {
 			this.complete = true;
-			this.caughtUp.at(this.next, Duration.ofMillis(this.timers.now() - this.since), age());
+			this.caughtUp.caughtUp(this.next, Duration.ofMillis(this.timers.now() - this.since), age());
 		}
 		if (!atEnd || this.again) {
 			this.again = false;
@@ -160,21 +160,21 @@
 
 	// Of relays that are all lost in an outage some start sooner, and what they write is
 	// new when the others read it. The pause before it tells of the outage all the same.
-	private void note(WrittenTime time) {
-		long before = this.newest.orElse(time.written());
-		this.longestPause = Math.max(this.longestPause, time.written() - before);
-		this.newest = OptionalLong.of(Math.max(before, time.written()));
-		this.lastAppended = Math.max(this.lastAppended, time.appended());
-		if (!time.late().isZero()) {
-			boolean other = time.appended() - this.lateUntil > ALL_WRITTEN.toMillis();
-			this.longestLate = Math.max(other ? 0 : this.longestLate, time.late().toMillis());
-			this.lateUntil = Math.max(this.lateUntil, time.appended());
+	private void note(EntryTimestamp time) {
+		long before = this.newest.orElse(time.writtenAt());
+		this.longestPause = Math.max(this.longestPause, time.writtenAt() - before);
+		this.newest = OptionalLong.of(Math.max(before, time.writtenAt()));
+		this.lastAppended = Math.max(this.lastAppended, time.appendedAt());
+		if (!time.appendDelay().isZero()) {
+			boolean other = time.appendedAt() - this.lateUntil > ALL_WRITTEN.toMillis();
+			this.longestLate = Math.max(other ? 0 : this.longestLate, time.appendDelay().toMillis());
+			this.lateUntil = Math.max(this.lateUntil, time.appendedAt());
 		}
 	}
 
 	private Optional<Duration> age() {
 		return this.newest.stream().mapToObj((time) -> {
-			long pause = Math.max(this.longestPause, Math.abs(this.timers.timeOfDay() - time));
+			long pause = Math.max(this.longestPause, Math.abs(this.timers.wallClockMillis() - time));
 			return Duration.ofMillis(Math.max(pause, lateAtTheEnd()));
 		}).findFirst();
 	}
@@ -187,7 +187,7 @@
 
 	private void readAfter(Duration pause) {
 		long turn = this.scheduled;
-		this.timers.after(pause, () -> {
+		this.timers.schedule(pause, () -> {
 			if (turn == this.scheduled) {
 				read();
 			}
@@ -197,9 +197,9 @@
 	private List<LedgerEntry> decode(List<Store.StoredRecord> records) {
 		List<LedgerEntry> read = new ArrayList<>();
 		for (Store.StoredRecord stored : records) {
-			LoggedEntry logged = RelayCodec.decode(stored.value().orElse(new byte[0]));
+			DecodedEntry logged = RelayCodec.decodeEntry(stored.value().orElse(new byte[0]));
 			if (!this.complete) {
-				logged.time().ifPresent(this::note);
+				logged.timestamp().ifPresent(this::note);
 			}
 			if (logged.entry().isLeft()) {
 				// Another version's entry: skipped, since stopping here would stop all.
@@ -215,7 +215,7 @@
 	 * Takes that the end of the log was reached. Used by the event loop's thread.
 	 */
 	@FunctionalInterface
-	public interface CaughtUp {
+	public interface CaughtUpListener {
 
 		/**
 		 * The end was reached.
@@ -225,7 +225,7 @@
 		 * that may not all be there, up to now, by the clocks of writers and this
 		 * process; empty if there is no entry
 		 */
-		void at(long offset, Duration took, Optional<Duration> age);
+		void caughtUp(long offset, Duration took, Optional<Duration> age);
 
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
@@ -68,7 +68,7 @@
 	}
 
 	private static byte[] stamp(byte[] encoded, Duration waited) {
-		return (waited.compareTo(SOON) < 0) ? encoded : RelayCodec.late(encoded, waited);
+		return (waited.compareTo(SOON) < 0) ? encoded : RelayCodec.withAppendDelay(encoded, waited);
 	}
 
 	/**
@@ -76,12 +76,12 @@
 	 * @param entry the entry
 	 */
 	public void write(LedgerEntry entry) {
-		this.queue.add(entry, RelayCodec.encode(entry, this.timers.timeOfDay()));
-		if (this.queue.calling()) {
+		this.queue.add(entry, RelayCodec.encode(entry, this.timers.wallClockMillis()));
+		if (this.queue.hasCallInFlight()) {
 			return;
 		}
 		if (awaited(entry)) {
-			this.queue.call();
+			this.queue.flush();
 			return;
 		}
 		gather();
@@ -99,8 +99,8 @@
 	 * Returns the entries that the store has not confirmed yet.
 	 * @return the entries, the oldest first
 	 */
-	public List<LedgerEntry> unconfirmed() {
-		return this.queue.unconfirmed();
+	public List<LedgerEntry> unacknowledged() {
+		return this.queue.unacknowledged();
 	}
 
 	private static boolean awaited(LedgerEntry entry) {
@@ -114,9 +114,9 @@
 	private void gather() {
 		if (!this.gathering) {
 			this.gathering = true;
-			this.timers.after(GATHER, () -> {
+			this.timers.schedule(GATHER, () -> {
 				this.gathering = false;
-				this.queue.call();
+				this.queue.flush();
 			});
 		}
 	}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/CountedStore.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/MeteredStore.java
@@ -12,7 +12,7 @@
  * Counts the values of records that go to a store, whatever becomes of them, and those
  * that come from it. Used by the event loop's thread.
  */
-public final class CountedStore implements Store {
+public final class MeteredStore implements Store {
 
 	private final Store store;
 
@@ -23,42 +23,42 @@
 	 * @param store the store itself
 	 * @param traffic adds up what is counted
 	 */
-	public CountedStore(Store store, Traffic traffic) {
+	public MeteredStore(Store store, Traffic traffic) {
 		this.store = store;
 		this.traffic = traffic;
 	}
 
 	@Override
-	public void append(Topic topic, List<byte[]> records, Consumer<Appended> then) {
+	public void append(Topic topic, List<byte[]> records, Consumer<AppendResult> then) {
 		records.forEach((value) -> this.traffic.add(Kind.STORE_APPENDED, value.length));
 		this.store.append(topic, records, then);
 	}
 
 	@Override
-	public void appendTexts(int part, List<byte[]> records, Consumer<Appended> then) {
+	public void appendTexts(int part, List<byte[]> records, Consumer<AppendResult> then) {
 		records.forEach((value) -> this.traffic.add(Kind.STORE_APPENDED, value.length));
 		this.store.appendTexts(part, records, then);
 	}
 
 	@Override
-	public void readTexts(int part, long from, int bytes, Consumer<Read> then) {
+	public void readTexts(int part, long from, int bytes, Consumer<ReadResult> then) {
 		this.store.readTexts(part, from, bytes, counting(then));
 	}
 
 	@Override
-	public void put(Topic topic, String key, Optional<byte[]> value, Consumer<Appended> then) {
+	public void put(Topic topic, String key, Optional<byte[]> value, Consumer<AppendResult> then) {
 		this.traffic.add(Kind.STORE_APPENDED, size(value));
 		this.store.put(topic, key, value, then);
 	}
 
 	@Override
-	public void read(Topic topic, long from, Duration wait, Consumer<Read> then) {
+	public void read(Topic topic, long from, Duration wait, Consumer<ReadResult> then) {
 		this.store.read(topic, from, wait, counting(then));
 	}
 
-	private Consumer<Read> counting(Consumer<Read> then) {
+	private Consumer<ReadResult> counting(Consumer<ReadResult> then) {
 		return (outcome) -> {
-			if (outcome instanceof Read.Records read) {
+			if (outcome instanceof ReadResult.Records read) {
 				count(read.records());
 			}
 			then.accept(outcome);
@@ -66,9 +66,9 @@
 	}
 
 	@Override
-	public void newest(Topic topic, Consumer<Newest> then) {
-		this.store.newest(topic, (outcome) -> {
-			if (outcome instanceof Newest.Records read) {
+	public void readLatest(Topic topic, Consumer<LatestResult> then) {
+		this.store.readLatest(topic, (outcome) -> {
+			if (outcome instanceof LatestResult.Records read) {
 				count(read.records());
 			}
 			then.accept(outcome);
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Pauses.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/RetryBackoff.java
@@ -9,7 +9,7 @@
  * The pauses between tries at a store that fails, counted from the last success. Used by
  * one thread.
  */
-final class Pauses {
+final class RetryBackoff {
 
 	/**
 	 * The longest pause is short: recovery after an outage is late by it, which callers'
@@ -21,11 +21,11 @@
 
 	private int failures;
 
-	Pauses(RandomGenerator random) {
+	RetryBackoff(RandomGenerator random) {
 		this.random = random;
 	}
 
-	Duration next() {
+	Duration nextDelay() {
 		this.failures++;
 		return BACKOFF.after(this.failures, this.random.nextLong());
 	}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Store.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Store.java
@@ -17,7 +17,7 @@
 	 * @param records the records
 	 * @param then takes the outcome
 	 */
-	void append(Topic topic, List<byte[]> records, Consumer<Appended> then);
+	void append(Topic topic, List<byte[]> records, Consumer<AppendResult> then);
 
 	/**
 	 * Appends records to a partition of the texts, all or none.
@@ -25,7 +25,7 @@
 	 * @param records the records
 	 * @param then takes the outcome
 	 */
-	void appendTexts(int part, List<byte[]> records, Consumer<Appended> then);
+	void appendTexts(int part, List<byte[]> records, Consumer<AppendResult> then);
 
 	/**
 	 * Reads some records of a partition of the texts in order.
@@ -34,7 +34,7 @@
 	 * @param bytes about how many bytes to read at most
 	 * @param then takes the outcome
 	 */
-	void readTexts(int part, long from, int bytes, Consumer<Read> then);
+	void readTexts(int part, long from, int bytes, Consumer<ReadResult> then);
 
 	/**
 	 * Sets or drops the newest record of a key.
@@ -43,7 +43,7 @@
 	 * @param value the value; empty drops the key
 	 * @param then takes the outcome
 	 */
-	void put(Topic topic, String key, Optional<byte[]> value, Consumer<Appended> then);
+	void put(Topic topic, String key, Optional<byte[]> value, Consumer<AppendResult> then);
 
 	/**
 	 * Reads records in order.
@@ -52,26 +52,26 @@
 	 * @param wait how long to wait for a record if there is none
 	 * @param then takes the outcome
 	 */
-	void read(Topic topic, long from, Duration wait, Consumer<Read> then);
+	void read(Topic topic, long from, Duration wait, Consumer<ReadResult> then);
 
 	/**
 	 * Reads the newest record of each key.
 	 * @param topic a topic with keys
 	 * @param then takes the outcome
 	 */
-	void newest(Topic topic, Consumer<Newest> then);
+	void readLatest(Topic topic, Consumer<LatestResult> then);
 
 	/**
 	 * The outcome of an append. Immutable.
 	 */
-	sealed interface Appended {
+	sealed interface AppendResult {
 
 		/**
 		 * The records are in the store.
 		 *
 		 * @param offset the offset of the first one
 		 */
-		record Done(long offset) implements Appended {
+		record Success(long offset) implements AppendResult {
 
 		}
 
@@ -80,7 +80,7 @@
 		 *
 		 * @param reason why
 		 */
-		record Unknown(String reason) implements Appended {
+		record Unknown(String reason) implements AppendResult {
 
 		}
 
@@ -89,7 +89,7 @@
 		 *
 		 * @param reason why
 		 */
-		record Refused(String reason) implements Appended {
+		record Rejected(String reason) implements AppendResult {
 
 		}
 
@@ -98,7 +98,7 @@
 	/**
 	 * The outcome of a read. Immutable.
 	 */
-	sealed interface Read {
+	sealed interface ReadResult {
 
 		/**
 		 * Records, perhaps none.
@@ -107,7 +107,7 @@
 		 * @param next the offset after them
 		 * @param end the offset at which the topic ended
 		 */
-		record Records(List<StoredRecord> records, long next, long end) implements Read {
+		record Records(List<StoredRecord> records, long nextOffset, long endOffset) implements ReadResult {
 
 			/**
 			 * Creates an outcome.
@@ -126,7 +126,7 @@
 		 *
 		 * @param first the first offset that is left
 		 */
-		record Deleted(long first) implements Read {
+		record Deleted(long firstOffset) implements ReadResult {
 
 		}
 
@@ -135,7 +135,7 @@
 		 *
 		 * @param reason why
 		 */
-		record Failed(String reason) implements Read {
+		record Failed(String reason) implements ReadResult {
 
 		}
 
@@ -155,7 +155,7 @@
 	/**
 	 * The outcome of reading the newest records. Immutable.
 	 */
-	sealed interface Newest {
+	sealed interface LatestResult {
 
 		/**
 		 * The newest record of each key.
@@ -163,7 +163,7 @@
 		 * @param records the records
 		 * @param end the offset at which the topic ended before they were read
 		 */
-		record Records(List<StoredRecord> records, long end) implements Newest {
+		record Records(List<StoredRecord> records, long endOffset) implements LatestResult {
 
 			/**
 			 * Creates an outcome.
@@ -181,7 +181,7 @@
 		 *
 		 * @param reason why
 		 */
-		record Failed(String reason) implements Newest {
+		record Failed(String reason) implements LatestResult {
 
 		}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextReader.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextReader.java
@@ -90,18 +90,18 @@
 					(outcome) -> take(place, outcome));
 		}
 
-		private void take(TextPlace place, Store.Read outcome) {
+		private void take(TextPlace place, Store.ReadResult outcome) {
 			switch (outcome) {
-				case Store.Read.Failed ignored -> next();
-				case Store.Read.Deleted deleted -> look(place, deleted.first());
-				case Store.Read.Records records -> {
+				case Store.ReadResult.Failed ignored -> next();
+				case Store.ReadResult.Deleted deleted -> look(place, deleted.firstOffset());
+				case Store.ReadResult.Records records -> {
 					Optional<KeptTurn> found = find(records.records());
 					if (found.isPresent()) {
 						this.then.accept(found);
 						return;
 					}
-					if (records.next() < records.end()) {
-						look(place, records.next());
+					if (records.nextOffset() < records.endOffset()) {
+						look(place, records.nextOffset());
 						return;
 					}
 					next();
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextWriter.java
@@ -29,7 +29,7 @@
 
 	private final Listener listener;
 
-	private final Pauses pauses;
+	private final RetryBackoff pauses;
 
 	private final AppendQueue<String> queue;
 
@@ -48,7 +48,7 @@
 		this.timers = timers;
 		this.part = part;
 		this.listener = listener;
-		this.pauses = new Pauses(random);
+		this.pauses = new RetryBackoff(random);
 		this.queue = new AppendQueue<>((records, then) -> store.appendTexts(part, records, then),
 				(encoded, waited) -> encoded, timers, random, WAITING_BYTES,
 				(turns, offset, took) -> listener.stored(Set.copyOf(turns), offset + turns.size(), took), (well) -> {
@@ -69,9 +69,11 @@
 	private void askEnd(long from) {
 		this.store.readTexts(this.part, from, 0, (outcome) -> {
 			switch (outcome) {
-				case Store.Read.Records records -> this.listener.stored(Set.of(), records.end(), Duration.ZERO);
-				case Store.Read.Deleted deleted -> askEnd(deleted.first());
-				case Store.Read.Failed ignored -> this.timers.after(this.pauses.next(), () -> askEnd(from));
+				case Store.ReadResult.Records records ->
+					this.listener.stored(Set.of(), records.endOffset(), Duration.ZERO);
+				case Store.ReadResult.Deleted deleted -> askEnd(deleted.firstOffset());
+				case Store.ReadResult.Failed ignored ->
+					this.timers.schedule(this.pauses.nextDelay(), () -> askEnd(from));
 			}
 		});
 	}
@@ -82,7 +84,7 @@
 	 */
 	public void write(TurnText turn) {
 		this.queue.add(turn.request(), RelayCodec.encode(turn));
-		this.queue.call();
+		this.queue.flush();
 	}
 
 	/**
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Timers.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Timers.java
@@ -12,7 +12,7 @@
 	 * @param delay when
 	 * @param step the step
 	 */
-	void after(Duration delay, Runnable step);
+	void schedule(Duration delay, Runnable step);
 
 	/**
 	 * Returns the time of a steady clock.
@@ -24,7 +24,7 @@
 	 * Returns the time of a clock of the day, which may be off and may be set.
 	 * @return milliseconds since the epoch
 	 */
-	default long timeOfDay() {
+	default long wallClockMillis() {
 		return System.currentTimeMillis();
 	}
 
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
@@ -73,23 +73,23 @@
 		try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			away = "127.0.0.1:" + socket.getLocalPort();
 		}
-		onLoop(() -> this.peers.changed(away, Optional.of(PRESENT)));
+		onLoop(() -> this.peers.recordChanged(away, Optional.of(PRESENT)));
 		onLoop(() -> this.peers.send(away, new PeerMessage.Sync()));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("out of reach " + away);
-		onLoop(() -> this.peers.changed(away, Optional.empty()));
-		assertThat(onLoop(this.peers::known)).isZero();
+		onLoop(() -> this.peers.recordChanged(away, Optional.empty()));
+		assertThat(onLoop(this.peers::knownCount)).isZero();
 	}
 
 	// Another relay can't reach this one and drops its address, but most others can. The
 	// address has to come back, or relays that start would not find this one.
 	@Test
 	void relayThatIsDroppedHearsOfIt() throws Exception {
-		onLoop(() -> this.peers.name(OWN));
-		onLoop(() -> this.peers.changed(OWN, Optional.empty()));
+		onLoop(() -> this.peers.setLocalAddress(OWN));
+		onLoop(() -> this.peers.recordChanged(OWN, Optional.empty()));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("forgotten");
-		onLoop(() -> this.peers.all(Map.of()));
+		onLoop(() -> this.peers.snapshotRead(Map.of()));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("forgotten");
-		onLoop(() -> this.peers.all(Map.of(OWN, PRESENT)));
+		onLoop(() -> this.peers.snapshotRead(Map.of(OWN, PRESENT)));
 		assertThat(onLoop(this.heard::isEmpty)).isTrue();
 	}
 
@@ -118,7 +118,7 @@
 		onLoop(() -> this.peers.tell(List.of(keeper), reserved("r")));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + keeper);
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("r");
-		assertThat(onLoop(this.peers::up)).isOne();
+		assertThat(onLoop(this.peers::connectedCount)).isOne();
 		onLoop(() -> this.peers.tell(List.of(other), reserved("s")));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + other);
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("s");
@@ -142,8 +142,8 @@
 	void answerComesOnTheConnectionOfTheQuestion() throws Exception {
 		open();
 		answered();
-		assertThat(onLoop(this.peers::up)).isOne();
-		assertThat(onLoop(this.others.getFirst()::up)).isOne();
+		assertThat(onLoop(this.peers::connectedCount)).isOne();
+		assertThat(onLoop(this.others.getFirst()::connectedCount)).isOne();
 	}
 
 	// A relay drains: it leaves the list, and goes on asking keepers for the turns that
@@ -154,8 +154,8 @@
 		open();
 		answered();
 		String leaving = this.peer;
-		onLoop(() -> this.peers.changed(leaving, Optional.empty()));
-		assertThat(onLoop(this.peers::known)).isZero();
+		onLoop(() -> this.peers.recordChanged(leaving, Optional.empty()));
+		assertThat(onLoop(this.peers::knownCount)).isZero();
 		onLoop(() -> this.others.getFirst().send(this.own, new PeerMessage.Question("last", "p", 1, 2, false)));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("asked last of p");
 		onLoop(() -> this.peers.send(leaving, new PeerMessage.Question("back", "p", 1, 2, false)));
@@ -168,25 +168,25 @@
 	void linkOnWhichNothingComesBackIsGivenUp() throws Exception {
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			String address = "127.0.0.1:" + silent.getLocalPort();
-			onLoop(() -> this.peers.changed(address, Optional.of(PRESENT)));
+			onLoop(() -> this.peers.recordChanged(address, Optional.of(PRESENT)));
 			onLoop(() -> this.peers.send(address, new PeerMessage.Sync()));
 			assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + address);
-			onLoop(this.peers::look);
-			assertThat(onLoop(this.peers::up)).isOne();
-			onLoop(() -> this.clock.after(Duration.ofMillis(2001), () -> {
+			onLoop(this.peers::checkLiveness);
+			assertThat(onLoop(this.peers::connectedCount)).isOne();
+			onLoop(() -> this.clock.schedule(Duration.ofMillis(2001), () -> {
 			}));
-			onLoop(this.peers::look);
+			onLoop(this.peers::checkLiveness);
 			assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("lost " + address);
 		}
 	}
 
 	@Test
 	void relaysAreListedWithWhatTheySayOfThemselves() throws Exception {
-		onLoop(() -> this.peers.name(OWN));
+		onLoop(() -> this.peers.setLocalAddress(OWN));
 		Member other = new Member("10.0.0.2:1", "zone-b", 27);
-		onLoop(() -> this.peers.all(Map.of(OWN, PRESENT, other.address(), RelayCodec.encode(other))));
+		onLoop(() -> this.peers.snapshotRead(Map.of(OWN, PRESENT, other.address(), RelayCodec.encode(other))));
 		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN), other);
-		onLoop(() -> this.peers.changed(other.address(), Optional.empty()));
+		onLoop(() -> this.peers.recordChanged(other.address(), Optional.empty()));
 		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN));
 	}
 
@@ -194,10 +194,11 @@
 	// of all.
 	@Test
 	void recordWithoutAnAddressIsNoRelay() throws Exception {
-		onLoop(() -> this.peers.name(OWN));
-		onLoop(() -> this.peers.all(Map.of(OWN, PRESENT, "nowhere", PRESENT, "10.0.0.1:", PRESENT, ":70000", PRESENT)));
+		onLoop(() -> this.peers.setLocalAddress(OWN));
+		onLoop(() -> this.peers
+			.snapshotRead(Map.of(OWN, PRESENT, "nowhere", PRESENT, "10.0.0.1:", PRESENT, ":70000", PRESENT)));
 		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN));
-		assertThat(onLoop(this.peers::known)).isZero();
+		assertThat(onLoop(this.peers::knownCount)).isZero();
 	}
 
 	@Test
@@ -218,7 +219,7 @@
 
 	private void answered() throws Exception {
 		opened();
-		while (onLoop(this.others.getFirst()::up) == 0) {
+		while (onLoop(this.others.getFirst()::connectedCount) == 0) {
 			Thread.onSpinWait();
 		}
 		onLoop(() -> this.others.getFirst()
@@ -228,7 +229,7 @@
 
 	private String opened() throws Exception {
 		String address = listed();
-		onLoop(() -> this.peers.send(address, new PeerMessage.Pulse()));
+		onLoop(() -> this.peers.send(address, new PeerMessage.Heartbeat()));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + address);
 		return address;
 	}
@@ -239,8 +240,8 @@
 		InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
 		InetSocketAddress bound = (InetSocketAddress) other.open(this.group, any).sync().channel().localAddress();
 		String address = "127.0.0.1:" + bound.getPort();
-		other.name(address);
-		onLoop(() -> this.peers.changed(address, Optional.of(PRESENT)));
+		other.setLocalAddress(address);
+		onLoop(() -> this.peers.recordChanged(address, Optional.of(PRESENT)));
 		this.peer = address;
 		return address;
 	}
@@ -249,7 +250,7 @@
 		InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
 		InetSocketAddress bound = (InetSocketAddress) this.peers.open(this.group, any).sync().channel().localAddress();
 		this.own = "127.0.0.1:" + bound.getPort();
-		onLoop(() -> this.peers.name(this.own));
+		onLoop(() -> this.peers.setLocalAddress(this.own));
 	}
 
 	private void onLoop(Runnable step) throws Exception {
@@ -268,7 +269,7 @@
 		private long now;
 
 		@Override
-		public void after(Duration delay, Runnable step) {
+		public void schedule(Duration delay, Runnable step) {
 			this.now += delay.toMillis();
 			PeersTests.this.loop.execute(step);
 		}
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/process/LateWatchTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/process/TimerDelayMonitorTests.java
@@ -12,17 +12,17 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LateWatchTests {
+class TimerDelayMonitorTests {
 
 	private final List<Measurement> measured = new ArrayList<>();
 
 	private final List<Notice> told = new ArrayList<>();
 
-	private final LateWatch watch = new LateWatch(this.measured::add, this.told::add);
+	private final TimerDelayMonitor watch = new TimerDelayMonitor(this.measured::add, this.told::add);
 
 	@Test
 	void firstRunWasNotPlanned() {
-		this.watch.ran(900_000);
+		this.watch.recordRun(900_000);
 		assertThat(this.measured).isEmpty();
 		assertThat(this.told).isEmpty();
 	}
@@ -57,8 +57,8 @@
 	}
 
 	private void run(long planned, long late) {
-		this.watch.plan(planned);
-		this.watch.ran(planned + late);
+		this.watch.expectRun(planned);
+		this.watch.recordRun(planned + late);
 	}
 
 	private static Measurement ran(long late) {
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/KeyFollowerTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/CompactedTopicConsumerTests.java
@@ -11,14 +11,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class KeyFollowerTests {
+class CompactedTopicConsumerTests {
 
 	private final FakeStore store = new FakeStore();
 
 	private final Map<String, String> seen = new TreeMap<>();
 
-	private final KeyFollower follower = new KeyFollower(this.store, this.store, new SplittableRandom(1),
-			Topic.UPSTREAMS, new Seen(), (well) -> {
+	private final CompactedTopicConsumer follower = new CompactedTopicConsumer(this.store, this.store,
+			new SplittableRandom(1), Topic.UPSTREAMS, new Seen(), (well) -> {
 			});
 
 	@Test
@@ -44,7 +44,7 @@
 	@Test
 	void deletedRecordsAreMadeUpForByTheNewest() {
 		begin(1, kept(0, "a", "1"), kept(0, "b", "1"));
-		this.store.readAnswers.poll().accept(new Store.Read.Deleted(9));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Deleted(9));
 		begin(9, kept(8, "a", "2"));
 		assertThat(this.seen).containsExactly(Map.entry("a", "2"));
 	}
@@ -54,7 +54,7 @@
 	@Test
 	void staleAnswerChangesNothing() {
 		begin(5, kept(4, "a", "new"));
-		this.store.readAnswers.poll().accept(new Store.Read.Failed("no answer"));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Failed("no answer"));
 		this.store.pass(1000);
 		begin(3, kept(2, "a", "old"));
 		assertThat(this.seen).containsExactly(Map.entry("a", "new"));
@@ -67,11 +67,11 @@
 		if (this.store.newestAnswers.isEmpty()) {
 			this.follower.start();
 		}
-		this.store.newestAnswers.poll().accept(new Store.Newest.Records(List.of(records), end));
+		this.store.newestAnswers.poll().accept(new Store.LatestResult.Records(List.of(records), end));
 	}
 
 	private void read(long next, Store.StoredRecord... records) {
-		this.store.readAnswers.poll().accept(new Store.Read.Records(List.of(records), next, next));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Records(List.of(records), next, next));
 	}
 
 	private static Store.StoredRecord kept(long offset, String key, String value) {
@@ -85,18 +85,19 @@
 	/**
 	 * Keeps what was read. Used by one thread.
 	 */
-	private final class Seen implements KeyFollower.Listener {
+	private final class Seen implements CompactedTopicConsumer.Listener {
 
 		@Override
-		public void all(Map<String, byte[]> values) {
-			KeyFollowerTests.this.seen.clear();
-			values.forEach((key, value) -> changed(key, Optional.of(value)));
+		public void snapshotRead(Map<String, byte[]> values) {
+			CompactedTopicConsumerTests.this.seen.clear();
+			values.forEach((key, value) -> recordChanged(key, Optional.of(value)));
 		}
 
 		@Override
-		public void changed(String key, Optional<byte[]> value) {
-			KeyFollowerTests.this.seen.remove(key);
-			value.ifPresent((bytes) -> KeyFollowerTests.this.seen.put(key, new String(bytes, StandardCharsets.UTF_8)));
+		public void recordChanged(String key, Optional<byte[]> value) {
+			CompactedTopicConsumerTests.this.seen.remove(key);
+			value.ifPresent((bytes) -> CompactedTopicConsumerTests.this.seen.put(key,
+					new String(bytes, StandardCharsets.UTF_8)));
 		}
 
 	}
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/GivenUpEntriesTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/DroppedEntryReporterTests.java
@@ -11,7 +11,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class GivenUpEntriesTests {
+class DroppedEntryReporterTests {
 
 	private final FakeStore time = new FakeStore();
 
@@ -19,12 +19,13 @@
 
 	private final List<Measurement> measured = new ArrayList<>();
 
-	private final GivenUpEntries givenUp = new GivenUpEntries(this.time, this.told::add, this.measured::add);
+	private final DroppedEntryReporter givenUp = new DroppedEntryReporter(this.time, this.told::add,
+			this.measured::add);
 
 	@Test
 	void firstIsToldAtOnceAndAllAreCounted() {
-		this.givenUp.add(2);
-		this.givenUp.add(1);
+		this.givenUp.recordDropped(2);
+		this.givenUp.recordDropped(1);
 		assertThat(this.told).containsExactly(notice(2));
 		assertThat(this.measured).containsExactly(new Measurement.EntriesGivenUp(2), new Measurement.EntriesGivenUp(1));
 	}
@@ -34,9 +35,9 @@
 	// comes after them.
 	@Test
 	void laterOnesAreToldOnceASecond() {
-		this.givenUp.add(2);
-		this.givenUp.add(3);
-		this.givenUp.add(4);
+		this.givenUp.recordDropped(2);
+		this.givenUp.recordDropped(3);
+		this.givenUp.recordDropped(4);
 		this.time.pass(999);
 		assertThat(this.told).containsExactly(notice(2));
 		this.time.pass(1);
@@ -44,7 +45,7 @@
 		this.time.pass(1000);
 		this.time.pass(1000);
 		assertThat(this.told).hasSize(2);
-		this.givenUp.add(1);
+		this.givenUp.recordDropped(1);
 		assertThat(this.told).containsExactly(notice(2), notice(7), notice(1));
 	}
 
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryReaderTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryReaderTests.java
@@ -80,7 +80,7 @@
 	@Test
 	void outageBeforeTheLossOfAllShowsThoughOthersHaveWrittenSince() {
 		this.reader.read();
-		long now = this.store.timeOfDay();
+		long now = this.store.wallClockMillis();
 		answer(1, 3, List.of(written("r1", now - 9_000)));
 		answer(3, 3, List.of(written("r2", now - 500), written("r3", now - 100)));
 		assertThat(this.age).contains(Duration.ofMillis(8_500));
@@ -94,7 +94,7 @@
 	@Test
 	void outageThatEndedJustBeforeTheLossOfAllShows() {
 		this.reader.read();
-		long now = this.store.timeOfDay();
+		long now = this.store.wallClockMillis();
 		answer(3, 3,
 				List.of(written("r1", now - 6_500), late("r2", now - 6_200, 4_700), late("r3", now - 3_000, 1_500)));
 		assertThat(this.age).contains(Duration.ofMillis(4_700));
@@ -103,7 +103,7 @@
 	@Test
 	void outageAfterWhichAllHaveWrittenDoesNotCount() {
 		this.reader.read();
-		long now = this.store.timeOfDay();
+		long now = this.store.wallClockMillis();
 		answer(5, 5, List.of(written("r1", now - 9_000), late("r2", now - 8_000, 4_000), written("r3", now - 5_900),
 				written("r4", now - 3_600), written("r5", now - 1_900)));
 		assertThat(this.age).contains(Duration.ofMillis(2_300));
@@ -112,7 +112,7 @@
 	@Test
 	void ageOfALogThatWasWrittenToAllTheTimeIsThatOfItsNewestEntry() {
 		this.reader.read();
-		long now = this.store.timeOfDay();
+		long now = this.store.wallClockMillis();
 		answer(2, 2, List.of(written("r1", now - 900), written("r2", now - 700)));
 		assertThat(this.age).contains(Duration.ofMillis(700));
 	}
@@ -120,14 +120,14 @@
 	@Test
 	void deletedEntriesAreSkipped() {
 		this.reader.read();
-		this.store.readAnswers.poll().accept(new Store.Read.Deleted(7));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Deleted(7));
 		assertThat(this.store.reads).containsExactly(0L, 7L);
 	}
 
 	@Test
 	void failedReadIsMadeAgainAfterAPause() {
 		this.reader.read();
-		this.store.readAnswers.poll().accept(new Store.Read.Failed("no answer"));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Failed("no answer"));
 		assertThat(this.store.reads).hasSize(1);
 		this.store.pass(1000);
 		assertThat(this.store.reads).containsExactly(0L, 0L);
@@ -142,7 +142,7 @@
 		for (byte[] entry : entries) {
 			records.add(new Store.StoredRecord(next - 1, Optional.empty(), Optional.of(entry)));
 		}
-		this.store.readAnswers.poll().accept(new Store.Read.Records(records, next, end));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Records(records, next, end));
 	}
 
 	private static byte[] written(String request, long at) {
@@ -150,7 +150,7 @@
 	}
 
 	private static byte[] late(String request, long at, long milliseconds) {
-		return RelayCodec.late(written(request, at), Duration.ofMillis(milliseconds));
+		return RelayCodec.withAppendDelay(written(request, at), Duration.ofMillis(milliseconds));
 	}
 
 	private static LedgerEntry settled(String request) {
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryWriterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryWriterTests.java
@@ -58,16 +58,16 @@
 		this.writer.write(new LedgerEntry.Reserved("a", "p", 9, "u", List.of(), false));
 		this.store.pass(100);
 		this.writer.write(settled("a", Optional.of(PLACE)));
-		this.store.appendAnswers.poll().accept(new Store.Appended.Done(0));
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Success(0));
 		assertThat(this.stored).isEmpty();
-		this.store.appendAnswers.poll().accept(new Store.Appended.Done(1));
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Success(1));
 		assertThat(this.stored).containsExactly("a");
 	}
 
 	@Test
 	void contenderInTheLogIsToldAtOnce() {
 		this.writer.write(new LedgerEntry.Reserved("a", "p", 9, "", List.of(), true));
-		this.store.appendAnswers.poll().accept(new Store.Appended.Done(0));
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Success(0));
 		assertThat(this.contenders).isEqualTo(1);
 		assertThat(this.stored).isEmpty();
 	}
@@ -79,17 +79,20 @@
 		this.writer.write(settled("a", Optional.empty()));
 		this.store.pass(100);
 		this.writer.write(settled("b", Optional.empty()));
-		this.store.appendAnswers.poll().accept(new Store.Appended.Unknown("no answer"));
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Unknown("no answer"));
 		assertThat(this.stored).isEmpty();
 		this.store.pass(1000);
 		assertThat(this.store.appends).hasSize(2);
 		assertThat(decoded(1)).isEqualTo(decoded(0)).hasSize(1);
-		this.store.appendAnswers.poll().accept(new Store.Appended.Done(0));
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Success(0));
 		assertThat(this.store.appends).hasSize(3);
 	}
 
 	private List<LedgerEntry> decoded(int append) {
-		return this.store.appends.get(append).stream().map((entry) -> RelayCodec.decode(entry).entry().get()).toList();
+		return this.store.appends.get(append)
+			.stream()
+			.map((entry) -> RelayCodec.decodeEntry(entry).entry().get())
+			.toList();
 	}
 
 	// The store was away for seconds. Whoever reads the entry later can tell, and one
@@ -100,17 +103,20 @@
 		this.writer.write(settled("a", Optional.empty()));
 		this.store.pass(100);
 		assertThat(late(0)).isEqualTo(Duration.ZERO);
-		this.store.appendAnswers.poll().accept(new Store.Appended.Refused("status 503"));
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Rejected("status 503"));
 		this.store.pass(5_000);
 		assertThat(late(1)).isEqualTo(Duration.ofMillis(5_100));
 		this.writer.write(settled("b", Optional.empty()));
 		this.store.pass(3_000);
-		this.store.appendAnswers.poll().accept(new Store.Appended.Done(0));
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Success(0));
 		assertThat(late(2)).isEqualTo(Duration.ofSeconds(3));
 	}
 
 	private Duration late(int append) {
-		return RelayCodec.decode(this.store.appends.get(append).getFirst()).time().orElseThrow().late();
+		return RelayCodec.decodeEntry(this.store.appends.get(append).getFirst())
+			.timestamp()
+			.orElseThrow()
+			.appendDelay();
 	}
 
 	// A relay that was frozen or cut off is linked again. What the store has not
@@ -123,12 +129,12 @@
 		this.writer.write(first);
 		this.store.pass(100);
 		this.writer.write(second);
-		assertThat(this.writer.unconfirmed()).containsExactly(first, second);
-		this.store.appendAnswers.poll().accept(new Store.Appended.Done(0));
+		assertThat(this.writer.unacknowledged()).containsExactly(first, second);
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Success(0));
 		this.store.pass(100);
-		assertThat(this.writer.unconfirmed()).containsExactly(second);
-		this.store.appendAnswers.poll().accept(new Store.Appended.Done(1));
-		assertThat(this.writer.unconfirmed()).isEmpty();
+		assertThat(this.writer.unacknowledged()).containsExactly(second);
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Success(1));
+		assertThat(this.writer.unacknowledged()).isEmpty();
 	}
 
 	// A store does not answer, and entries wait for it. Beyond 24 MiB the
@@ -145,7 +151,7 @@
 		assertThat(this.givenUp).isEmpty();
 		this.writer.write(large("f", mebibyte));
 		assertThat(this.givenUp).containsExactly(3);
-		assertThat(this.writer.unconfirmed()).extracting(LedgerEntry::request).containsExactly("a", "e", "f");
+		assertThat(this.writer.unacknowledged()).extracting(LedgerEntry::request).containsExactly("a", "e", "f");
 	}
 
 	private static LedgerEntry large(String request, int bytes) {
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/FakeStore.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/FakeStore.java
@@ -18,60 +18,60 @@
 
 	final List<List<byte[]>> appends = new ArrayList<>();
 
-	final Deque<Consumer<Appended>> appendAnswers = new ArrayDeque<>();
+	final Deque<Consumer<AppendResult>> appendAnswers = new ArrayDeque<>();
 
 	final List<Long> reads = new ArrayList<>();
 
 	final List<Integer> textBytes = new ArrayList<>();
 
-	final Deque<Consumer<Read>> readAnswers = new ArrayDeque<>();
+	final Deque<Consumer<ReadResult>> readAnswers = new ArrayDeque<>();
 
-	final Deque<Consumer<Newest>> newestAnswers = new ArrayDeque<>();
+	final Deque<Consumer<LatestResult>> newestAnswers = new ArrayDeque<>();
 
 	private final List<Step> steps = new ArrayList<>();
 
 	private long now;
 
 	@Override
-	public void append(Topic topic, List<byte[]> records, Consumer<Appended> then) {
+	public void append(Topic topic, List<byte[]> records, Consumer<AppendResult> then) {
 		this.appends.add(records);
 		this.appendAnswers.add(then);
 	}
 
 	@Override
-	public void appendTexts(int part, List<byte[]> records, Consumer<Appended> then) {
+	public void appendTexts(int part, List<byte[]> records, Consumer<AppendResult> then) {
 		append(Topic.TEXTS, records, then);
 	}
 
 	@Override
-	public void readTexts(int part, long from, int bytes, Consumer<Read> then) {
+	public void readTexts(int part, long from, int bytes, Consumer<ReadResult> then) {
 		this.textBytes.add(bytes);
 		read(Topic.TEXTS, from, Duration.ZERO, then);
 	}
 
 	@Override
-	public void put(Topic topic, String key, Optional<byte[]> value, Consumer<Appended> then) {
+	public void put(Topic topic, String key, Optional<byte[]> value, Consumer<AppendResult> then) {
 		this.appendAnswers.add(then);
 	}
 
 	@Override
-	public void read(Topic topic, long from, Duration wait, Consumer<Read> then) {
+	public void read(Topic topic, long from, Duration wait, Consumer<ReadResult> then) {
 		this.reads.add(from);
 		this.readAnswers.add(then);
 	}
 
 	@Override
-	public void newest(Topic topic, Consumer<Newest> then) {
+	public void readLatest(Topic topic, Consumer<LatestResult> then) {
 		this.newestAnswers.add(then);
 	}
 
 	@Override
-	public void after(Duration delay, Runnable step) {
+	public void schedule(Duration delay, Runnable step) {
 		this.steps.add(new Step(this.now + delay.toMillis(), step));
 	}
 
 	@Override
-	public long timeOfDay() {
+	public long wallClockMillis() {
 		return FIRST_TIME_OF_DAY + now();
 	}
 
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/CountedStoreTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/MeteredStoreTests.java
@@ -13,13 +13,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class CountedStoreTests {
+class MeteredStoreTests {
 
 	private final FakeStore store = new FakeStore();
 
 	private final Traffic traffic = new Traffic();
 
-	private final CountedStore counted = new CountedStore(this.store, this.traffic);
+	private final MeteredStore counted = new MeteredStore(this.store, this.traffic);
 
 	private final List<Object> answers = new ArrayList<>();
 
@@ -28,7 +28,7 @@
 	@Test
 	void appendIsCountedWhateverBecomesOfIt() {
 		List<byte[]> records = List.of(new byte[10], new byte[5]);
-		Store.Appended lost = new Store.Appended.Unknown("no answer");
+		Store.AppendResult lost = new Store.AppendResult.Unknown("no answer");
 		this.counted.append(Topic.ENTRIES, records, this.answers::add);
 		this.store.appendAnswers.poll().accept(lost);
 		this.counted.append(Topic.ENTRIES, records, this.answers::add);
@@ -42,12 +42,12 @@
 
 	@Test
 	void recordsOfAnswersAreCountedAndPassedOn() {
-		Store.Read read = new Store.Read.Records(List.of(stored(3), stored(4)), 2, 2);
-		Store.Read failed = new Store.Read.Failed("away");
-		Store.Newest newest = new Store.Newest.Records(List.of(stored(5)), 3);
+		Store.ReadResult read = new Store.ReadResult.Records(List.of(stored(3), stored(4)), 2, 2);
+		Store.ReadResult failed = new Store.ReadResult.Failed("away");
+		Store.LatestResult newest = new Store.LatestResult.Records(List.of(stored(5)), 3);
 		this.counted.read(Topic.ENTRIES, 0, Duration.ZERO, this.answers::add);
 		this.counted.read(Topic.ENTRIES, 2, Duration.ZERO, this.answers::add);
-		this.counted.newest(Topic.RELAYS, this.answers::add);
+		this.counted.readLatest(Topic.RELAYS, this.answers::add);
 		this.store.readAnswers.poll().accept(read);
 		this.store.readAnswers.poll().accept(failed);
 		this.store.newestAnswers.poll().accept(newest);
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextReaderTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextReaderTests.java
@@ -98,7 +98,7 @@
 		read(place(5));
 		StoredRecord unreadable = new StoredRecord(5, Optional.empty(), Optional.of(new byte[] { 1 }));
 		StoredRecord empty = new StoredRecord(6, Optional.empty(), Optional.empty());
-		this.store.readAnswers.poll().accept(new Store.Read.Records(List.of(unreadable, empty), 7, 8));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Records(List.of(unreadable, empty), 7, 8));
 		this.store.readAnswers.poll().accept(records(7, 8, "t"));
 		assertThat(this.found).containsExactly(Optional.of("text of t"));
 	}
@@ -106,7 +106,7 @@
 	@Test
 	void failureOfTheStoreIsToldAsNotFound() {
 		read(place(5));
-		this.store.readAnswers.poll().accept(new Store.Read.Failed("status 503"));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Failed("status 503"));
 		assertThat(this.found).containsExactly(Optional.empty());
 	}
 
@@ -118,14 +118,14 @@
 		return new TextPlace(Optional.empty(), 9, 3, from);
 	}
 
-	private static Store.Read records(long from, long end, String... turns) {
+	private static Store.ReadResult records(long from, long end, String... turns) {
 		List<StoredRecord> records = new ArrayList<>();
 		for (String turn : turns) {
 			KeptTurn text = new KeptTurn(Optional.empty(), new byte[0], ("text of " + turn).getBytes());
 			records.add(new StoredRecord(from + records.size(), Optional.empty(),
 					Optional.of(RelayCodec.encode(new TurnText(turn, text)))));
 		}
-		return new Store.Read.Records(records, from + turns.length, end);
+		return new Store.ReadResult.Records(records, from + turns.length, end);
 	}
 
 }
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextWriterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextWriterTests.java
@@ -33,7 +33,7 @@
 		this.writer.write(text("a", 10));
 		assertThat(this.store.appends).hasSize(1);
 		this.store.pass(8);
-		this.store.appendAnswers.poll().accept(new Store.Appended.Done(40));
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Success(40));
 		assertThat(this.stored).containsExactly("a");
 		assertThat(this.end).isEqualTo(41);
 		assertThat(this.took).isEqualTo(Duration.ofMillis(8));
@@ -45,7 +45,7 @@
 		this.writer.write(text("b", 10));
 		this.writer.write(text("c", 10));
 		assertThat(this.writer.size()).isEqualTo(2);
-		this.store.appendAnswers.poll().accept(new Store.Appended.Done(0));
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Success(0));
 		assertThat(this.store.appends.getLast()).hasSize(2);
 	}
 
@@ -55,7 +55,7 @@
 	@Test
 	void appendOfUnknownOutcomeIsMadeAgain() {
 		this.writer.write(text("a", 10));
-		this.store.appendAnswers.poll().accept(new Store.Appended.Unknown("no answer"));
+		this.store.appendAnswers.poll().accept(new Store.AppendResult.Unknown("no answer"));
 		assertThat(this.stored).isEmpty();
 		this.store.pass(1000);
 		assertThat(this.store.appends).hasSize(2);
@@ -79,9 +79,9 @@
 	@Test
 	void writerThatStartsAsksWhereItsPartitionEnds() {
 		this.writer.start();
-		this.store.readAnswers.poll().accept(new Store.Read.Failed("status 503"));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Failed("status 503"));
 		this.store.pass(1000);
-		this.store.readAnswers.poll().accept(new Store.Read.Records(List.of(), 0, 77));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Records(List.of(), 0, 77));
 		assertThat(this.end).isEqualTo(77);
 	}
 
@@ -91,9 +91,9 @@
 	@Test
 	void writerThatStartsAfterTheBeginningIsGoneAsksWhereItsPartitionEnds() {
 		this.writer.start();
-		this.store.readAnswers.poll().accept(new Store.Read.Deleted(500));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Deleted(500));
 		assertThat(this.store.reads).containsExactly(0L, 500L);
-		this.store.readAnswers.poll().accept(new Store.Read.Records(List.of(), 500, 900));
+		this.store.readAnswers.poll().accept(new Store.ReadResult.Records(List.of(), 500, 900));
 		assertThat(this.end).isEqualTo(900);
 	}
 
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/LoggedEntry.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/DecodedEntry.java
@@ -11,8 +11,8 @@
  * threads.
  *
  * @param entry the reason why it is no entry on the left, or the entry on the right
- * @param time when it was written; empty if it does not say
+ * @param timestamp when it was written; empty if it does not say
  */
-public record LoggedEntry(Either<String, LedgerEntry> entry, Optional<WrittenTime> time) {
+public record DecodedEntry(Either<String, LedgerEntry> entry, Optional<EntryTimestamp> timestamp) {
 
 }
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PeerMessage.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PeerMessage.java
@@ -235,7 +235,7 @@
 	/**
 	 * The relay is alive.
 	 */
-	record Pulse() implements PeerMessage {
+	record Heartbeat() implements PeerMessage {
 
 	}
 
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
@@ -43,14 +43,15 @@
 	 * @param bytes its bytes
 	 * @return the entry, or why it is none, and when it was written
 	 */
-	public static LoggedEntry decode(byte[] bytes) {
+	public static DecodedEntry decodeEntry(byte[] bytes) {
 		try {
 			RelayProtocol.RelayEntry message = RelayProtocol.RelayEntry.parseFrom(bytes);
-			WrittenTime time = new WrittenTime(message.getWritten(), Duration.ofMillis(Math.max(0, message.getLate())));
-			return new LoggedEntry(entry(message), Optional.of(time).filter((known) -> known.written() > 0));
+			EntryTimestamp time = new EntryTimestamp(message.getWritten(),
+					Duration.ofMillis(Math.max(0, message.getLate())));
+			return new DecodedEntry(entry(message), Optional.of(time).filter((known) -> known.writtenAt() > 0));
 		}
 		catch (InvalidProtocolBufferException ex) {
-			return new LoggedEntry(Either.left(ex.getMessage()), Optional.empty());
+			return new DecodedEntry(Either.left(ex.getMessage()), Optional.empty());
 		}
 	}
 
@@ -70,7 +71,7 @@
 	 * @param waited how long
 	 * @return the bytes of both
 	 */
-	public static byte[] late(byte[] encoded, Duration waited) {
+	public static byte[] withAppendDelay(byte[] encoded, Duration waited) {
 		// Bytes of two messages of one kind in a row are those of both.
 		byte[] more = RelayProtocol.RelayEntry.newBuilder().setLate((int) waited.toMillis()).build().toByteArray();
 		byte[] both = Arrays.copyOf(encoded, encoded.length + more.length);
@@ -145,7 +146,7 @@
 			case PeerMessage.Unknown ignored -> {
 				// Only read, never written.
 			}
-			case PeerMessage.Pulse ignored -> builder.getPulseBuilder();
+			case PeerMessage.Heartbeat ignored -> builder.getPulseBuilder();
 		}
 		return builder.build().toByteArray();
 	}
@@ -155,7 +156,7 @@
 	 * @param bytes its bytes
 	 * @return the reason why they are none on the left, or the message on the right
 	 */
-	public static Either<String, PeerMessage> decodePeer(byte[] bytes) {
+	public static Either<String, PeerMessage> decodePeerMessage(byte[] bytes) {
 		try {
 			RelayProtocol.PeerMessage message = RelayProtocol.PeerMessage.parseFrom(bytes);
 			return switch (message.getMessageCase()) {
@@ -181,7 +182,7 @@
 				case PLACE ->
 					Either.right(new PeerMessage.Place(message.getPlace().getRequest(), message.getPlace().getHeld()));
 				case TOLD -> Either.right(new PeerMessage.Told());
-				case PULSE -> Either.right(new PeerMessage.Pulse());
+				case PULSE -> Either.right(new PeerMessage.Heartbeat());
 				case PERMIT_REQUEST -> PermitCodec.ask(message.getPermitRequest()).map(PeerMessage.Permits::new);
 				case PERMIT_REPLY ->
 					Either.right(new PeerMessage.PermitsGranted(PermitCodec.reply(message.getPermitReply())));
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
@@ -29,7 +29,7 @@
 	void reservationsAreReadAsWritten(@ForAll int tokens, @ForAll long part, @ForAll boolean contending) {
 		LedgerEntry entry = new LedgerEntry.Reserved("r", "p", tokens, contending ? "" : "u",
 				List.of(new PromptPart(part, 7)), contending);
-		assertThat(RelayCodec.decode(RelayCodec.encode(entry)).entry().get()).isEqualTo(entry);
+		assertThat(RelayCodec.decodeEntry(RelayCodec.encode(entry)).entry().get()).isEqualTo(entry);
 	}
 
 	@Property(tries = 200)
@@ -37,7 +37,7 @@
 		Optional<String> previous = first ? Optional.empty() : Optional.of("before");
 		LedgerEntry entry = new LedgerEntry.Settled("r", "p", 9,
 				Optional.of(new TextPlace(previous, bytes, part, from)));
-		assertThat(RelayCodec.decode(RelayCodec.encode(entry)).entry().get()).isEqualTo(entry);
+		assertThat(RelayCodec.decodeEntry(RelayCodec.encode(entry)).entry().get()).isEqualTo(entry);
 	}
 
 	@Property(tries = 200)
@@ -47,15 +47,15 @@
 		assertThat(RelayCodec.decodeText(RelayCodec.encode(turn)).get()).usingRecursiveComparison().isEqualTo(turn);
 		PeerMessage help = new PeerMessage.Help(new LedgerEntry.Settled("r", "p", 9, Optional.empty()), turn.text());
 		for (PeerMessage message : List.of(new PeerMessage.Texts(List.of(turn)), help)) {
-			assertThat(RelayCodec.decodePeer(RelayCodec.encode(message)).get()).usingRecursiveComparison()
+			assertThat(RelayCodec.decodePeerMessage(RelayCodec.encode(message)).get()).usingRecursiveComparison()
 				.isEqualTo(message);
 		}
 	}
 
 	@Property(tries = 500)
 	void bytesThatAreNoMessageAreAValue(@ForAll byte[] bytes) {
-		assertThat(RelayCodec.decode(bytes).entry()).isNotNull();
-		assertThat(RelayCodec.decodePeer(bytes)).isNotNull();
+		assertThat(RelayCodec.decodeEntry(bytes).entry()).isNotNull();
+		assertThat(RelayCodec.decodePeerMessage(bytes)).isNotNull();
 		assertThat(RelayCodec.decodeText(bytes)).isNotNull();
 	}
 
@@ -67,7 +67,7 @@
 		PeerMessage reply = new PeerMessage.PermitsGranted(
 				new PermitReply("red", number, permits, List.of(admitted, true), Duration.ofMillis(250)));
 		for (PeerMessage message : List.of(ask, reply)) {
-			assertThat(RelayCodec.decodePeer(RelayCodec.encode(message)).get()).isEqualTo(message);
+			assertThat(RelayCodec.decodePeerMessage(RelayCodec.encode(message)).get()).isEqualTo(message);
 		}
 	}
 
@@ -75,13 +75,15 @@
 	void timeOfAnEntryIsReadAsWritten() {
 		LedgerEntry entry = new LedgerEntry.Blamed("r", 3, "u");
 		byte[] bytes = RelayCodec.encode(entry, 1_790_000_000_000L);
-		assertThat(RelayCodec.decode(bytes).time()).contains(new WrittenTime(1_790_000_000_000L, Duration.ZERO));
-		assertThat(RelayCodec.decode(bytes).entry().get()).isEqualTo(entry);
-		byte[] late = RelayCodec.late(bytes, Duration.ofMillis(5_003));
-		assertThat(RelayCodec.decode(late).time().map(WrittenTime::appended)).contains(1_790_000_005_003L);
-		assertThat(RelayCodec.decode(late).entry().get()).isEqualTo(entry);
-		assertThat(RelayCodec.decode(RelayCodec.encode(entry)).time()).isEmpty();
-		assertThat(RelayCodec.decode(new byte[] { 1 }).time()).isEmpty();
+		assertThat(RelayCodec.decodeEntry(bytes).timestamp())
+			.contains(new EntryTimestamp(1_790_000_000_000L, Duration.ZERO));
+		assertThat(RelayCodec.decodeEntry(bytes).entry().get()).isEqualTo(entry);
+		byte[] late = RelayCodec.withAppendDelay(bytes, Duration.ofMillis(5_003));
+		assertThat(RelayCodec.decodeEntry(late).timestamp().map(EntryTimestamp::appendedAt))
+			.contains(1_790_000_005_003L);
+		assertThat(RelayCodec.decodeEntry(late).entry().get()).isEqualTo(entry);
+		assertThat(RelayCodec.decodeEntry(RelayCodec.encode(entry)).timestamp()).isEmpty();
+		assertThat(RelayCodec.decodeEntry(new byte[] { 1 }).timestamp()).isEmpty();
 	}
 
 	@Test
@@ -101,15 +103,15 @@
 
 	@Test
 	void entryWithoutContentIsRefused() {
-		assertThat(RelayCodec.decode(new byte[0]).entry().isLeft()).isTrue();
-		assertThat(RelayCodec.decodePeer(new byte[0]).isLeft()).isTrue();
+		assertThat(RelayCodec.decodeEntry(new byte[0]).entry().isLeft()).isTrue();
+		assertThat(RelayCodec.decodePeerMessage(new byte[0]).isLeft()).isTrue();
 	}
 
 	// A relay of a newer version sends a message that is not known here. The link holds.
 	@Test
 	void messageOfANewerVersionIsPassedOver() {
 		byte[] newer = { (byte) 0xfa, 0x07, 0x01, 0x00 };
-		assertThat(RelayCodec.decodePeer(newer).get()).isEqualTo(new PeerMessage.Unknown());
+		assertThat(RelayCodec.decodePeerMessage(newer).get()).isEqualTo(new PeerMessage.Unknown());
 	}
 
 	@Test
@@ -117,14 +119,14 @@
 		List<PeerMessage> messages = List.of(new PeerMessage.Greeting("10.0.0.1:7"),
 				new PeerMessage.Batch(List.of(new LedgerEntry.Blamed("r", -3, "u"))),
 				new PeerMessage.TextsWanted(Set.of("a", "b")), new PeerMessage.Stored(Set.of("a")),
-				new PeerMessage.Pulse(), new PeerMessage.Question("r", "p", 588, 1L << 41, true),
+				new PeerMessage.Heartbeat(), new PeerMessage.Question("r", "p", 588, 1L << 41, true),
 				new PeerMessage.Taken("r", 1L << 40, 40, true, List.of(new UpstreamLoad(-7, 3, 250))),
 				new PeerMessage.Unsure("r"), new PeerMessage.Sync(), new PeerMessage.PlacesWanted("t"),
 				new PeerMessage.Places(List.of(new PlacedTurn("t",
 						new TextPlace(Optional.of("s"), 9, 5, 1L << 40, Optional.of("10.0.0.1:7"))))),
 				new PeerMessage.Place("r", true), new PeerMessage.Told());
 		for (PeerMessage message : messages) {
-			assertThat(RelayCodec.decodePeer(RelayCodec.encode(message)).get()).isEqualTo(message);
+			assertThat(RelayCodec.decodePeerMessage(RelayCodec.encode(message)).get()).isEqualTo(message);
 		}
 	}
 
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
@@ -51,10 +51,12 @@
 		Random random = new Random(SEED);
 		for (int input = 0; input < INPUTS; input++) {
 			byte[] spoilt = spoil(valid.get(random.nextInt(valid.size())), random);
-			RelayCodec.decodePeer(spoilt).peek((message) -> assertThat(RelayCodec.encode(message)).isNotNull());
-			RelayCodec.decode(spoilt).entry().peek((entry) -> assertThat(RelayCodec.encode(entry)).isNotNull());
+			RelayCodec.decodePeerMessage(spoilt).peek((message) -> assertThat(RelayCodec.encode(message)).isNotNull());
+			RelayCodec.decodeEntry(spoilt).entry().peek((entry) -> assertThat(RelayCodec.encode(entry)).isNotNull());
 			RelayCodec.decodeText(spoilt).peek((text) -> assertThat(RelayCodec.encode(text)).isNotNull());
-			RelayCodec.decode(spoilt).time().ifPresent((time) -> assertThat(time.late().isNegative()).isFalse());
+			RelayCodec.decodeEntry(spoilt)
+				.timestamp()
+				.ifPresent((time) -> assertThat(time.appendDelay().isNegative()).isFalse());
 			assertThat(RelayCodec.decodeMember("10.0.0.1:7380", spoilt).weight()).isPositive();
 		}
 	}
@@ -68,11 +70,11 @@
 				new PeerMessage.Taken("t1", 1200, 40, true, List.of(new UpstreamLoad(-7, 3, 250))),
 				new PeerMessage.Unsure("t1"), new PeerMessage.Sync(), new PeerMessage.PlacesWanted("t1"),
 				new PeerMessage.Places(List.of(new PlacedTurn("t1", PLACE))), new PeerMessage.Place("t1", true),
-				new PeerMessage.Told(), new PeerMessage.Pulse())
+				new PeerMessage.Told(), new PeerMessage.Heartbeat())
 			.forEach((message) -> valid.add(RelayCodec.encode(message)));
 		List.of(RESERVED, SETTLED, new LedgerEntry.Blamed("t1", -3, "e1@17"))
 			.forEach((entry) -> valid.add(RelayCodec.encode(entry, 1_790_000_000_000L)));
-		valid.add(RelayCodec.late(RelayCodec.encode(SETTLED, 1_790_000_000_000L), Duration.ofSeconds(4)));
+		valid.add(RelayCodec.withAppendDelay(RelayCodec.encode(SETTLED, 1_790_000_000_000L), Duration.ofSeconds(4)));
 		valid.add(RelayCodec.encode(new TurnText("t1", TEXT)));
 		valid.add(RelayCodec.encode(new Member("10.0.0.1:7380", "zone-a", 27)));
 		return valid;
