--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/AnswerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/AnswerRules.java
@@ -29,22 +29,22 @@
 		this.ends = ends;
 	}
 
-	void ofAttempt(RelayEvent.OfAttempt event) {
+	void ofAttempt(RelayEvent.AttemptEvent event) {
 		Optional<Exchange> found = this.state.find(event);
 		if (found.isEmpty() || found.get().attempt() != event.attempt() || found.get().phase() != Phase.RUNNING) {
 			return;
 		}
 		Exchange exchange = found.get();
 		switch (event) {
-			case RelayEvent.Answered answered -> answered(exchange, answered);
+			case RelayEvent.ResponseReceived answered -> answered(exchange, answered);
 			case RelayEvent.StreamOpened opened -> streamOpened(exchange, opened);
-			case RelayEvent.EventArrived arrived -> eventArrived(exchange, arrived);
+			case RelayEvent.StreamEventReceived arrived -> eventArrived(exchange, arrived);
 			case RelayEvent.StreamEnded ended -> streamEnded(exchange);
 			case RelayEvent.AttemptFailed failed -> failed(exchange, failed.cause());
 		}
 	}
 
-	private void answered(Exchange exchange, RelayEvent.Answered answered) {
+	private void answered(Exchange exchange, RelayEvent.ResponseReceived answered) {
 		AnswerHead head = answered.head();
 		Optional<Known> known = this.state.known(exchange);
 		this.state.upstreams.ended(exchange.id());
@@ -70,7 +70,7 @@
 		}
 		this.state.tell(RelayNotices.answered(exchange, head.status(), this.state.now));
 		this.ends.measure(exchange, Outcome.ANSWERED);
-		this.ends.close(exchange, new RelayEffect.Answer(exchange.number(), head, answered.body()));
+		this.ends.close(exchange, new RelayEffect.SendResponse(exchange.number(), head, answered.body()));
 	}
 
 	/**
@@ -105,7 +105,7 @@
 		}
 	}
 
-	private void eventArrived(Exchange exchange, RelayEvent.EventArrived event) {
+	private void eventArrived(Exchange exchange, RelayEvent.StreamEventReceived event) {
 		if (exchange.has(event.number())) {
 			return;
 		}
@@ -117,7 +117,7 @@
 			this.state.silence.ended(exchange);
 		}
 		exchange.passed(event);
-		this.state.emit(new RelayEffect.PassEvent(exchange.number(), event.raw()));
+		this.state.emit(new RelayEffect.ForwardStreamEvent(exchange.number(), event.raw()));
 	}
 
 	private void streamEnded(Exchange exchange) {
@@ -155,7 +155,7 @@
 		else {
 			exchange.mayRun();
 			blame(exchange, cause);
-			this.state.emit(new RelayEffect.Cancel(exchange.number(), exchange.attempt()));
+			this.state.emit(new RelayEffect.CancelAttempt(exchange.number(), exchange.attempt()));
 		}
 		this.requests.again(exchange);
 	}
@@ -166,7 +166,7 @@
 		}
 		String upstream = exchange.upstream().get().life();
 		this.state.blames.add(exchange.digest(), upstream);
-		this.state.emit(new RelayEffect.Write(new LedgerEntry.Blamed(exchange.id(), exchange.digest(), upstream),
+		this.state.emit(new RelayEffect.AppendEntry(new LedgerEntry.Blamed(exchange.id(), exchange.digest(), upstream),
 				List.copyOf(this.state.linked)));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
@@ -7,8 +7,8 @@
 
 import io.lentilslip.core.relay.Exchange.Phase;
 import io.lentilslip.core.relay.LedgerEntry.Reserved;
-import io.lentilslip.core.relay.RelayEvent.Reach;
-import io.lentilslip.core.relay.RelayEvent.Reminder;
+import io.lentilslip.core.relay.RelayEvent.Connectivity;
+import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import io.lentilslip.core.relay.RequestHead.Turn;
 
 /**
@@ -65,7 +65,7 @@
 	}
 
 	private long boundAlone(Turn turn, long budget) {
-		if (this.state.reach != Reach.LOG) {
+		if (this.state.reach != Connectivity.LOG) {
 			return withoutLog(turn.most(), budget);
 		}
 		return this.state.complete ? budget + turn.most() : budget;
@@ -88,7 +88,7 @@
 	 */
 	Optional<Boolean> contend(Exchange exchange) {
 		exchange.become(Phase.WAITING_FOR_ORDER);
-		if (this.state.reach == Reach.NOTHING) {
+		if (this.state.reach == Connectivity.NOTHING) {
 			// Refused at once, the caller has time for a relay that can know.
 			this.ends.giveUp(exchange, Refusal.LOG_LOST);
 			return Optional.empty();
@@ -96,7 +96,7 @@
 		if (this.state.keepers.known()) {
 			return askKeepers(exchange);
 		}
-		if (this.state.reach == Reach.LOG) {
+		if (this.state.reach == Connectivity.LOG) {
 			contendInLog(exchange);
 		}
 		else {
@@ -121,7 +121,7 @@
 		}
 		List<String> others = this.state.otherKeepers(turn.program());
 		if (!others.isEmpty()) {
-			this.state.emit(new RelayEffect.AskTaken(others, exchange.id(), turn.program(), turn.most(),
+			this.state.emit(new RelayEffect.RequestReservation(others, exchange.id(), turn.program(), turn.most(),
 					turn.budget().orElseThrow()));
 			remind(exchange, poll, RelaySettings.KEEPERS_WAIT);
 		}
@@ -144,7 +144,7 @@
 		}
 		Turn turn = exchange.head().turn().orElseThrow();
 		long budget = turn.budget().orElseThrow();
-		boolean log = this.state.reach == Reach.LOG;
+		boolean log = this.state.reach == Connectivity.LOG;
 		if (log && poll.taken() > budget) {
 			decided(exchange, Decider.KEEPERS, false);
 			return Optional.of(false);
@@ -184,7 +184,7 @@
 		Turn turn = exchange.head().turn().orElseThrow();
 		this.state.contending.put(exchange.id(), exchange.number());
 		this.state.write(new Reserved(exchange.id(), turn.program(), turn.most(), "", List.of(), true));
-		this.state.remind(exchange, RelaySettings.ORDER_PATIENCE, Reminder.ORDER);
+		this.state.remind(exchange, RelaySettings.ORDER_PATIENCE, TimerKind.BUDGET_DECISION);
 	}
 
 	/**
@@ -204,14 +204,14 @@
 		exchange.askAll();
 		hold(exchange, turn, poll);
 		this.state.write(new Reserved(exchange.id(), turn.program(), turn.most(), "", List.of(), false));
-		this.state.emit(new RelayEffect.AskTaken(List.of(), exchange.id(), turn.program(), turn.most(),
+		this.state.emit(new RelayEffect.RequestReservation(List.of(), exchange.id(), turn.program(), turn.most(),
 				turn.budget().orElseThrow()));
 		remind(exchange, poll, RelaySettings.RELAYS_WAIT);
 	}
 
 	private void remind(Exchange exchange, Poll poll, Duration delay) {
 		poll.remind();
-		this.state.remind(exchange, delay, Reminder.ORDER);
+		this.state.remind(exchange, delay, TimerKind.BUDGET_DECISION);
 	}
 
 	/**
@@ -234,11 +234,11 @@
 			widen(exchange, poll);
 			return;
 		}
-		if ((poll == null || poll.stage() == Poll.Stage.LOG) && this.state.reach != Reach.NOTHING) {
+		if ((poll == null || poll.stage() == Poll.Stage.LOG) && this.state.reach != Connectivity.NOTHING) {
 			askRelays(exchange);
 			return;
 		}
-		if (poll != null && (poll.log() || this.state.reach == Reach.LOG) && poll.extend()) {
+		if (poll != null && (poll.log() || this.state.reach == Connectivity.LOG) && poll.extend()) {
 			askPlace(exchange, poll);
 			remind(exchange, poll, RelaySettings.ORDER_WAIT);
 			return;
@@ -288,13 +288,13 @@
 	 * @param told the answer
 	 * @return whether the budget holds the turn, or empty if that is not decided yet
 	 */
-	Optional<Boolean> told(RelayEvent.TakenTold told) {
+	Optional<Boolean> told(RelayEvent.UsageReceived told) {
 		Poll poll = this.state.polls.get(told.request());
 		if (poll == null || poll.stage() == Poll.Stage.LOG) {
 			return Optional.empty();
 		}
 		Exchange exchange = this.state.exchanges.get(poll.exchange());
-		poll.answered(told.peer(), told.tokens(), told.unlogged());
+		poll.answered(told.peer(), told.tokens(), told.uncommitted());
 		return (poll.stage() == Poll.Stage.KEEPERS) ? byKeepers(exchange, poll) : byRelays(exchange, poll, told);
 	}
 
@@ -302,7 +302,7 @@
 	 * Takes that another relay can't answer a question of this one.
 	 * @param unsure what it said
 	 */
-	void unsure(RelayEvent.TakenUnsure unsure) {
+	void unsure(RelayEvent.UsageUnavailable unsure) {
 		Poll poll = this.state.polls.get(unsure.request());
 		if (poll != null && poll.stage() == Poll.Stage.KEEPERS) {
 			poll.unsure();
@@ -310,18 +310,18 @@
 		}
 	}
 
-	private Optional<Boolean> byRelays(Exchange exchange, Poll poll, RelayEvent.TakenTold told) {
+	private Optional<Boolean> byRelays(Exchange exchange, Poll poll, RelayEvent.UsageReceived told) {
 		// Where one reaches the log, others may give turns there that no majority knows
 		// of, so the log decides for all. One relay is asked for a place, since each call
 		// of the log is priced; if it does not answer, the next one is.
-		if (told.log()) {
+		if (told.logReachable()) {
 			boolean first = !poll.log();
 			poll.reachesLog(told.peer());
 			if (first) {
 				askPlace(exchange, poll);
 			}
 		}
-		if (poll.log() || !poll.allDecide(told.others())) {
+		if (poll.log() || !poll.allDecide(told.otherRelays())) {
 			return Optional.empty();
 		}
 		Turn turn = exchange.head().turn().orElseThrow();
@@ -337,13 +337,13 @@
 	 * @param told what it read
 	 * @return the exchange of the turn, or empty if it is decided already
 	 */
-	Optional<Exchange> placeTold(RelayEvent.PlaceTold told) {
+	Optional<Exchange> placeTold(RelayEvent.LogDecisionReceived told) {
 		Poll poll = this.state.polls.get(told.request());
 		if (poll == null) {
 			return Optional.empty();
 		}
 		Exchange exchange = this.state.exchanges.get(poll.exchange());
-		decided(exchange, Decider.PLACE, told.held());
+		decided(exchange, Decider.PLACE, told.admitted());
 		return Optional.of(exchange);
 	}
 
@@ -354,7 +354,7 @@
 	 * @param told what the other relay read
 	 * @return whether they do, as far as they answered
 	 */
-	boolean leavesRoom(RelayEvent.PlaceTold told) {
+	boolean leavesRoom(RelayEvent.LogDecisionReceived told) {
 		Poll poll = this.state.polls.get(told.request());
 		if (poll == null || !poll.keepersKnown()) {
 			return true;
@@ -366,8 +366,8 @@
 	private void askPlace(Exchange exchange, Poll poll) {
 		Turn turn = exchange.head().turn().orElseThrow();
 		poll.nextPlacer()
-			.ifPresent((relay) -> this.state.emit(new RelayEffect.AskPlace(relay, exchange.id(), turn.program(),
-					turn.most(), turn.budget().orElseThrow())));
+			.ifPresent((relay) -> this.state.emit(new RelayEffect.RequestLogReservation(relay, exchange.id(),
+					turn.program(), turn.most(), turn.budget().orElseThrow())));
 	}
 
 	private void decided(Exchange exchange, Decider by, boolean held) {
@@ -386,23 +386,25 @@
 	 * reaches the log gets the turn a place there if it is asked to.
 	 * @param asked the question
 	 */
-	void asked(RelayEvent.TakenAsked asked) {
-		if (asked.place()) {
+	void asked(RelayEvent.ReservationRequested asked) {
+		if (asked.throughLog()) {
 			if (this.state.sure()) {
 				this.state.placing.put(asked.request(), asked);
-				this.state.write(new Reserved(asked.request(), asked.program(), asked.most(), "", List.of(), true));
+				this.state
+					.write(new Reserved(asked.request(), asked.program(), asked.maxTokens(), "", List.of(), true));
 			}
 			return;
 		}
-		this.state.tokens.reserve(asked.program(), asked.request(), asked.most());
-		this.state.unlogged.told(new Reserved(asked.request(), asked.program(), asked.most(), "", List.of(), false),
-				asked.peer(), asked.now());
+		this.state.tokens.reserve(asked.program(), asked.request(), asked.maxTokens());
+		this.state.unlogged.told(
+				new Reserved(asked.request(), asked.program(), asked.maxTokens(), "", List.of(), false), asked.peer(),
+				asked.now());
 		if (!this.state.sure()) {
-			this.state.emit(new RelayEffect.TellUnsure(asked.peer(), asked.request()));
+			this.state.emit(new RelayEffect.SendUsageUnavailable(asked.peer(), asked.request()));
 			return;
 		}
-		boolean log = this.state.reach == Reach.LOG;
-		this.state.emit(new RelayEffect.TellTaken(asked.peer(), asked.request(),
+		boolean log = this.state.reach == Connectivity.LOG;
+		this.state.emit(new RelayEffect.SendUsage(asked.peer(), asked.request(),
 				this.state.tokens.taken(asked.program()), this.state.unlogged.tokens(asked.program()), log,
 				log ? List.of() : this.state.unlogged.of(asked.program()),
 				this.state.upstreams.newestLoads(asked.now())));
@@ -413,10 +415,10 @@
 	 * @param reserved what stands there
 	 */
 	void placed(Reserved reserved) {
-		RelayEvent.TakenAsked asked = this.state.placing.remove(reserved.request());
+		RelayEvent.ReservationRequested asked = this.state.placing.remove(reserved.request());
 		if (asked != null) {
-			boolean held = holds(asked.request(), asked.program(), asked.most(), asked.budget());
-			this.state.emit(new RelayEffect.TellPlace(asked.peer(), asked.request(), held));
+			boolean held = holds(asked.request(), asked.program(), asked.maxTokens(), asked.budget());
+			this.state.emit(new RelayEffect.SendLogDecision(asked.peer(), asked.request(), held));
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
@@ -13,7 +13,7 @@
  */
 final class Exchange {
 
-	private final RelayEvent.Asked asked;
+	private final RelayEvent.RequestReceived asked;
 
 	private final Route route;
 
@@ -67,7 +67,7 @@
 
 	private boolean permitted;
 
-	Exchange(RelayEvent.Asked asked, Route route, CallerIdentity caller) {
+	Exchange(RelayEvent.RequestReceived asked, Route route, CallerIdentity caller) {
 		this.asked = asked;
 		this.route = route;
 		this.caller = caller;
@@ -83,7 +83,7 @@
 		return this.asked.exchange();
 	}
 
-	RelayEvent.Asked asked() {
+	RelayEvent.RequestReceived asked() {
 		return this.asked;
 	}
 
@@ -297,7 +297,7 @@
 		return this.lastEvent.isPresent() && number <= this.lastEvent.getAsLong();
 	}
 
-	void passed(RelayEvent.EventArrived event) {
+	void passed(RelayEvent.StreamEventReceived event) {
 		if (this.events == 0) {
 			this.firstEventAt = event.now();
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeEnds.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeEnds.java
@@ -25,7 +25,7 @@
 		this.state = state;
 	}
 
-	void refuseUnknown(RelayEvent.Asked asked, Refusal refusal, Optional<Duration> comeBack) {
+	void refuseUnknown(RelayEvent.RequestReceived asked, Refusal refusal, Optional<Duration> comeBack) {
 		this.state.tell(RelayNotices.refused(asked.head(), refusal));
 		this.state.emit(new RelayEffect.Refuse(asked.exchange(), refusal, comeBack));
 	}
@@ -39,7 +39,7 @@
 	void breakOff(Exchange exchange, Refusal reason) {
 		this.state.tell(RelayNotices.brokenOff(exchange, reason, this.state.now));
 		measure(exchange, Outcome.BROKEN_OFF);
-		close(exchange, new RelayEffect.BreakOff(exchange.number()));
+		close(exchange, new RelayEffect.AbortConnection(exchange.number()));
 	}
 
 	void endStream(Exchange exchange) {
@@ -50,7 +50,7 @@
 
 	void measure(Exchange exchange, Outcome outcome) {
 		Duration latency = Duration.ofMillis(this.state.now - exchange.asked().now());
-		this.state.emit(new RelayEffect.Measure(
+		this.state.emit(new RelayEffect.RecordMeasurement(
 				new Measurement.RouteRequestEnded(exchange.route().name(), outcome, latency, exchange.firstEvent())));
 	}
 
@@ -138,7 +138,7 @@
 	}
 
 	void stopAttempt(Exchange exchange) {
-		this.state.emit(new RelayEffect.Cancel(exchange.number(), exchange.attempt()));
+		this.state.emit(new RelayEffect.CancelAttempt(exchange.number(), exchange.attempt()));
 		this.state.upstreams.ended(exchange.id());
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
@@ -26,19 +26,19 @@
 		this.ends = ends;
 	}
 
-	void entriesRead(RelayEvent.EntriesRead read) {
+	void entriesRead(RelayEvent.EntriesReceived read) {
 		for (LedgerEntry entry : read.entries()) {
-			read.teller()
+			read.sender()
 				.ifPresentOrElse((teller) -> this.state.unlogged.told(entry, teller, read.now()), () -> logged(entry));
 			switch (entry) {
 				case LedgerEntry.Reserved reserved -> reserved(reserved, read.fromLog());
-				case LedgerEntry.Settled settled -> settledElsewhere(settled, read.teller());
+				case LedgerEntry.Settled settled -> settledElsewhere(settled, read.sender());
 				case LedgerEntry.Blamed blamed -> this.state.blames.add(blamed.digest(), blamed.upstream());
 			}
 		}
 		if (read.fromLog()) {
 			adopt();
-			this.copies.take().forEach((measured) -> this.state.emit(new RelayEffect.Measure(measured)));
+			this.copies.take().forEach((measured) -> this.state.emit(new RelayEffect.RecordMeasurement(measured)));
 		}
 		this.requests.dispatchWaiting();
 	}
@@ -57,32 +57,33 @@
 		this.ends.giveUp(exchange, otherwise);
 	}
 
-	void takenTold(RelayEvent.TakenTold told) {
+	void takenTold(RelayEvent.UsageReceived told) {
 		Poll poll = this.state.polls.get(told.request());
 		this.budgets.told(told)
 			.ifPresent((held) -> dispatchIf(this.state.exchanges.get(poll.exchange()), held, poll.otherwise()));
 	}
 
-	void takenUnsure(RelayEvent.TakenUnsure unsure) {
+	void takenUnsure(RelayEvent.UsageUnavailable unsure) {
 		this.budgets.unsure(unsure);
 	}
 
-	void placeTold(RelayEvent.PlaceTold told) {
-		boolean held = told.held() && this.budgets.leavesRoom(told);
+	void placeTold(RelayEvent.LogDecisionReceived told) {
+		boolean held = told.admitted() && this.budgets.leavesRoom(told);
 		this.budgets.placeTold(told)
-			.ifPresent((exchange) -> dispatchIf(exchange, held, told.held() ? Refusal.LOG_LOST : Refusal.BUDGET_SPENT));
+			.ifPresent((exchange) -> dispatchIf(exchange, held,
+					told.admitted() ? Refusal.LOG_LOST : Refusal.BUDGET_SPENT));
 	}
 
 	void caughtUp(RelayEvent.CaughtUp event) {
 		this.state.tell(RelayNotices.caughtUp(event));
-		if (!this.state.caughtUp && event.age().isPresent()) {
-			this.state.logWasRecent = event.age().get().compareTo(RelaySettings.RECENT) < 0;
+		if (!this.state.caughtUp && event.idle().isPresent()) {
+			this.state.logWasRecent = event.idle().get().compareTo(RelaySettings.RECENT) < 0;
 		}
 		this.state.caughtUpAt = event.now();
 		this.state.caughtUp = true;
 		this.state.stale = false;
 		if (!this.state.complete && !this.state.logWasRecent) {
-			this.state.emit(new RelayEffect.AskUnlogged());
+			this.state.emit(new RelayEffect.RequestSync());
 		}
 		this.requests.dispatchWaiting();
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -16,7 +16,7 @@
 import io.lentilslip.core.quota.TeamBuckets;
 import io.lentilslip.core.quota.TeamBuckets.Standing;
 import io.lentilslip.core.relay.Exchange.Phase;
-import io.lentilslip.core.relay.RelayEvent.Reminder;
+import io.lentilslip.core.relay.RelayEvent.TimerKind;
 
 /**
  * Whether a team's quota holds a request. One relay counts for each team, the first of
@@ -108,7 +108,7 @@
 		}
 		exchange.become(Phase.WAITING_FOR_PERMIT);
 		queue.waiting.put(exchange.number(), exchange);
-		this.state.remind(exchange, ANSWER_WAIT, Reminder.PERMIT);
+		this.state.remind(exchange, ANSWER_WAIT, TimerKind.PERMIT);
 		askIfFree(queue);
 		return false;
 	}
@@ -211,7 +211,7 @@
 	 * @param asked the request
 	 */
 	void asked(RelayEvent.PermitsRequested asked) {
-		PermitRequest ask = asked.ask();
+		PermitRequest ask = asked.request();
 		if (ask.isProbe()) {
 			this.state.emit(new RelayEffect.GrantPermits(asked.peer(),
 					new PermitReply(ask.team(), ask.number(), 0, List.of(), Duration.ZERO)));
@@ -336,7 +336,7 @@
 			return;
 		}
 		TeamQueue queue = this.queues.get(exchange.team().orElseThrow().name());
-		this.state.remind(exchange, ANSWER_WAIT, Reminder.PERMIT);
+		this.state.remind(exchange, ANSWER_WAIT, TimerKind.PERMIT);
 		if (queue.pending.isEmpty()) {
 			askIfFree(queue);
 			return;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
@@ -5,10 +5,10 @@
 /**
  * The reducer of a relay: takes every event, and returns what is to be done about it. All
  * that a relay decides is decided here; it reads no clock and does no I/O. An exchange is
- * known from {@link RelayEvent.Asked} until one of {@link RelayEffect.Answer},
- * {@link RelayEffect.EndStream}, {@link RelayEffect.BreakOff} or
- * {@link RelayEffect.Refuse} was returned for it, exactly one of which ever is, or until
- * its caller has left. Used by one thread.
+ * known from {@link RelayEvent.RequestReceived} until one of
+ * {@link RelayEffect.SendResponse}, {@link RelayEffect.EndStream},
+ * {@link RelayEffect.AbortConnection} or {@link RelayEffect.Refuse} was returned for it,
+ * exactly one of which ever is, or until its caller has left. Used by one thread.
  */
 public final class Relay {
 
@@ -54,27 +54,27 @@
 	public List<RelayEffect> on(RelayEvent event) {
 		this.state.now = event.now();
 		switch (event) {
-			case RelayEvent.Asked asked -> this.requests.asked(asked);
-			case RelayEvent.OfAttempt attempt -> this.answers.ofAttempt(attempt);
-			case RelayEvent.CallerLeft left -> this.state.find(left).ifPresent(this.ends::callerLeft);
-			case RelayEvent.Reminded reminded ->
-				this.state.find(reminded).ifPresent((exchange) -> reminded(exchange, reminded.reminder()));
-			case RelayEvent.EntriesRead read -> this.ledger.entriesRead(read);
-			case RelayEvent.Woken woken -> {
+			case RelayEvent.RequestReceived asked -> this.requests.asked(asked);
+			case RelayEvent.AttemptEvent attempt -> this.answers.ofAttempt(attempt);
+			case RelayEvent.CallerDisconnected left -> this.state.find(left).ifPresent(this.ends::callerLeft);
+			case RelayEvent.TimerFired reminded ->
+				this.state.find(reminded).ifPresent((exchange) -> reminded(exchange, reminded.timer()));
+			case RelayEvent.EntriesReceived read -> this.ledger.entriesRead(read);
+			case RelayEvent.ProcessResumed woken -> {
 				this.quotas.woken();
-				this.site.woken(woken.slept());
+				this.site.woken(woken.pause());
 			}
 			case RelayEvent.CaughtUp caughtUp -> this.ledger.caughtUp(caughtUp);
-			case RelayEvent.Stored stored -> stored.requests().forEach(this.texts::entryStored);
+			case RelayEvent.SettlementsStored stored -> stored.requests().forEach(this.texts::entryStored);
 			case RelayEvent.TextsStored stored -> this.texts.textsStored(stored);
-			case RelayEvent.Helped helped -> helped.requests().forEach(this.texts::end);
-			case RelayEvent.PlacesAsked asked -> this.texts.placesAsked(asked);
-			case RelayEvent.PlacesTold told -> {
+			case RelayEvent.TurnWritesAcknowledged helped -> helped.requests().forEach(this.texts::end);
+			case RelayEvent.TextLocationsRequested asked -> this.texts.placesAsked(asked);
+			case RelayEvent.TextLocationsReceived told -> {
 				this.texts.placesTold(told);
 				this.requests.dispatchWaiting();
 			}
-			case RelayEvent.TextsAsked asked -> this.texts.asked(asked);
-			case RelayEvent.TextsTold told -> {
+			case RelayEvent.TextsRequested asked -> this.texts.asked(asked);
+			case RelayEvent.TextsReceived told -> {
 				this.texts.told(told);
 				this.requests.dispatchWaiting();
 			}
@@ -82,30 +82,30 @@
 				this.texts.read(read);
 				this.requests.dispatchWaiting();
 			}
-			case RelayEvent.TakenAsked asked -> this.budgets.asked(asked);
-			case RelayEvent.TakenTold told -> this.ledger.takenTold(told);
-			case RelayEvent.TakenUnsure unsure -> this.ledger.takenUnsure(unsure);
-			case RelayEvent.LoadsTold told -> this.state.upstreams.told(told.loads(), event.now());
-			case RelayEvent.RelaysListed read -> {
+			case RelayEvent.ReservationRequested asked -> this.budgets.asked(asked);
+			case RelayEvent.UsageReceived told -> this.ledger.takenTold(told);
+			case RelayEvent.UsageUnavailable unsure -> this.ledger.takenUnsure(unsure);
+			case RelayEvent.LoadsReceived told -> this.state.upstreams.told(told.loads(), event.now());
+			case RelayEvent.MembershipUpdated read -> {
 				if (this.state.keepers.list(read.members())) {
 					this.quotas.relaysChanged();
 				}
 			}
 			case RelayEvent.PermitsRequested asked -> this.quotas.asked(asked);
 			case RelayEvent.PermitsGranted granted -> this.quotas.granted(granted);
-			case RelayEvent.UnloggedAsked asked -> this.site.tellUnlogged(asked.peer());
-			case RelayEvent.PlaceTold told -> this.ledger.placeTold(told);
-			case RelayEvent.PeerLinked linked -> this.site.linked(linked.peer());
-			case RelayEvent.PeerTold told -> this.site.told(told.peer(), told.others());
-			case RelayEvent.Opened opened -> this.state.name = opened.name();
-			case RelayEvent.PeerLost lost -> this.site.lost(lost.peer());
-			case RelayEvent.HelpAsked asked -> this.texts.helpAsked(asked);
-			case RelayEvent.ReachChanged changed -> this.site.reachChanged(changed.reach());
-			case RelayEvent.TableRead read -> this.site.tableRead(read.table());
-			case RelayEvent.UpstreamsRead read -> this.state.upstreams.replace(read.upstreams());
-			case RelayEvent.UpstreamListed read -> this.site.listed(read.upstream());
-			case RelayEvent.UpstreamUnusable unusable -> this.site.unusable(unusable.id(), unusable.problem());
-			case RelayEvent.UpstreamGone gone -> this.site.gone(gone.id());
+			case RelayEvent.SyncRequested asked -> this.site.tellUnlogged(asked.peer());
+			case RelayEvent.LogDecisionReceived told -> this.ledger.placeTold(told);
+			case RelayEvent.PeerConnected linked -> this.site.linked(linked.peer());
+			case RelayEvent.SyncCompleted told -> this.site.told(told.peer(), told.otherRelays());
+			case RelayEvent.ListenerStarted opened -> this.state.name = opened.name();
+			case RelayEvent.PeerDisconnected lost -> this.site.lost(lost.peer());
+			case RelayEvent.TurnWriteRequested asked -> this.texts.helpAsked(asked);
+			case RelayEvent.ConnectivityChanged changed -> this.site.reachChanged(changed.connectivity());
+			case RelayEvent.RouteTableUpdated read -> this.site.tableRead(read.table());
+			case RelayEvent.UpstreamsReplaced read -> this.state.upstreams.replace(read.upstreams());
+			case RelayEvent.UpstreamUpdated read -> this.site.listed(read.upstream());
+			case RelayEvent.UpstreamInvalid unusable -> this.site.unusable(unusable.id(), unusable.problem());
+			case RelayEvent.UpstreamRemoved gone -> this.site.gone(gone.id());
 		}
 		this.site.updateReadiness();
 		return this.state.take();
@@ -119,14 +119,14 @@
 		return this.state.exchanges.size();
 	}
 
-	private void reminded(Exchange exchange, RelayEvent.Reminder reminder) {
+	private void reminded(Exchange exchange, RelayEvent.TimerKind reminder) {
 		switch (reminder) {
-			case DUE -> this.ends.due(exchange);
-			case CHAIN -> this.texts.chainDue(exchange);
-			case TEXTS -> this.texts.textsDue(exchange);
-			case ORDER -> this.budgets.orderDue(exchange);
-			case STORED -> this.texts.storeDue(exchange);
-			case SILENCE -> this.answers.silenceDue(exchange);
+			case DEADLINE -> this.ends.due(exchange);
+			case CHAIN_LOOKUP -> this.texts.chainDue(exchange);
+			case TEXT_FETCH -> this.texts.textsDue(exchange);
+			case BUDGET_DECISION -> this.budgets.orderDue(exchange);
+			case LOG_WRITE -> this.texts.storeDue(exchange);
+			case UPSTREAM_IDLE -> this.answers.silenceDue(exchange);
 			case PERMIT -> this.quotas.due(exchange);
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEffect.java
@@ -27,8 +27,8 @@
 	 * @param stream whether the answer is passed on as it comes
 	 * @param caller whose request it is
 	 */
-	record Send(long exchange, int attempt, Upstream upstream, byte[] chain, Duration left, OptionalLong lastEvent,
-			boolean stream, CallerIdentity caller) implements RelayEffect {
+	record SendRequest(long exchange, int attempt, Upstream upstream, byte[] prefix, Duration timeout,
+			OptionalLong lastEvent, boolean stream, CallerIdentity caller) implements RelayEffect {
 
 	}
 
@@ -38,7 +38,7 @@
 	 * @param peer the other relay
 	 * @param ask what is asked for
 	 */
-	record RequestPermits(String peer, PermitRequest ask) implements RelayEffect {
+	record RequestPermits(String peer, PermitRequest request) implements RelayEffect {
 
 	}
 
@@ -58,7 +58,7 @@
 	 * @param exchange the exchange
 	 * @param attempt the attempt
 	 */
-	record Cancel(long exchange, int attempt) implements RelayEffect {
+	record CancelAttempt(long exchange, int attempt) implements RelayEffect {
 
 	}
 
@@ -69,7 +69,7 @@
 	 * @param head the head
 	 * @param body the body
 	 */
-	record Answer(long exchange, AnswerHead head, byte[] body) implements RelayEffect {
+	record SendResponse(long exchange, AnswerHead head, byte[] body) implements RelayEffect {
 
 	}
 
@@ -89,7 +89,7 @@
 	 * @param exchange the exchange
 	 * @param raw the bytes of the event
 	 */
-	record PassEvent(long exchange, byte[] raw) implements RelayEffect {
+	record ForwardStreamEvent(long exchange, byte[] raw) implements RelayEffect {
 
 	}
 
@@ -107,7 +107,7 @@
 	 *
 	 * @param exchange the exchange
 	 */
-	record BreakOff(long exchange) implements RelayEffect {
+	record AbortConnection(long exchange) implements RelayEffect {
 
 	}
 
@@ -118,7 +118,7 @@
 	 * @param refusal why
 	 * @param comeBack when the caller may try again
 	 */
-	record Refuse(long exchange, Refusal refusal, Optional<Duration> comeBack) implements RelayEffect {
+	record Refuse(long exchange, Refusal refusal, Optional<Duration> retryAfter) implements RelayEffect {
 
 	}
 
@@ -129,15 +129,15 @@
 	 * @param entry the entry
 	 * @param tell the relays that are told
 	 */
-	record Write(LedgerEntry entry, List<String> tell) implements RelayEffect {
+	record AppendEntry(LedgerEntry entry, List<String> replicas) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
 		 * @param entry the entry
 		 * @param tell the relays that are told
 		 */
-		public Write {
-			tell = List.copyOf(tell);
+		public AppendEntry {
+			replicas = List.copyOf(replicas);
 		}
 
 	}
@@ -158,7 +158,7 @@
 	 * @param request the turn
 	 * @param places where it may stand
 	 */
-	record ReadText(String request, List<TextPlace> places) implements RelayEffect {
+	record ReadText(String request, List<TextPlace> locations) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
@@ -166,7 +166,7 @@
 		 * @param places where it may stand
 		 */
 		public ReadText {
-			places = List.copyOf(places);
+			locations = List.copyOf(locations);
 		}
 
 	}
@@ -177,14 +177,14 @@
 	 * @param peers the other relays
 	 * @param request the last turn of the chain
 	 */
-	record AskPlaces(List<String> peers, String request) implements RelayEffect {
+	record RequestTextLocations(List<String> peers, String request) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
 		 * @param peers the other relays
 		 * @param request the last turn of the chain
 		 */
-		public AskPlaces {
+		public RequestTextLocations {
 			peers = List.copyOf(peers);
 		}
 
@@ -196,14 +196,14 @@
 	 * @param peer the other relay
 	 * @param turns the turns of the chain that are known here
 	 */
-	record TellPlaces(String peer, List<PlacedTurn> turns) implements RelayEffect {
+	record SendTextLocations(String peer, List<PlacedTurn> turns) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
 		 * @param peer the other relay
 		 * @param turns the turns of the chain that are known here
 		 */
-		public TellPlaces {
+		public SendTextLocations {
 			turns = List.copyOf(turns);
 		}
 
@@ -215,14 +215,14 @@
 	 * @param peer the other relay
 	 * @param requests the turns
 	 */
-	record AskTexts(String peer, List<String> requests) implements RelayEffect {
+	record RequestTexts(String peer, List<String> requests) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
 		 * @param peer the other relay
 		 * @param requests the turns
 		 */
-		public AskTexts {
+		public RequestTexts {
 			requests = List.copyOf(requests);
 		}
 
@@ -234,14 +234,14 @@
 	 * @param peer the other relay
 	 * @param texts those that are in memory
 	 */
-	record TellTexts(String peer, List<TurnText> texts) implements RelayEffect {
+	record SendTexts(String peer, List<TurnText> texts) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
 		 * @param peer the other relay
 		 * @param texts those that are in memory
 		 */
-		public TellTexts {
+		public SendTexts {
 			texts = List.copyOf(texts);
 		}
 
@@ -253,7 +253,7 @@
 	 * @param end what the turn has taken of its program's budget
 	 * @param text its text
 	 */
-	record AskForHelp(LedgerEntry.Settled end, KeptTurn text) implements RelayEffect {
+	record RequestTurnWrite(LedgerEntry.Settled settlement, KeptTurn text) implements RelayEffect {
 
 	}
 
@@ -263,7 +263,7 @@
 	 * @param peer the other relay
 	 * @param request the turn
 	 */
-	record TellStored(String peer, String request) implements RelayEffect {
+	record AcknowledgeTurnWrite(String peer, String request) implements RelayEffect {
 
 	}
 
@@ -277,7 +277,8 @@
 	 * @param most the most tokens of the turn
 	 * @param budget the program's budget
 	 */
-	record AskTaken(List<String> peers, String request, String program, int most, long budget) implements RelayEffect {
+	record RequestReservation(List<String> peers, String request, String program, int maxTokens,
+			long budget) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
@@ -287,7 +288,7 @@
 		 * @param most the most tokens of the turn
 		 * @param budget the program's budget
 		 */
-		public AskTaken {
+		public RequestReservation {
 			peers = List.copyOf(peers);
 		}
 
@@ -302,7 +303,8 @@
 	 * @param most the most tokens of the turn
 	 * @param budget the program's budget
 	 */
-	record AskPlace(String peer, String request, String program, int most, long budget) implements RelayEffect {
+	record RequestLogReservation(String peer, String request, String program, int maxTokens,
+			long budget) implements RelayEffect {
 
 	}
 
@@ -318,8 +320,8 @@
 	 * @param entries entries of the program that the log has not shown
 	 * @param loads what upstreams said of their load last
 	 */
-	record TellTaken(String peer, String request, long tokens, long unlogged, boolean log, List<LedgerEntry> entries,
-			List<UpstreamLoad> loads) implements RelayEffect {
+	record SendUsage(String peer, String request, long tokens, long uncommitted, boolean logReachable,
+			List<LedgerEntry> entries, List<UpstreamLoad> loads) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
@@ -332,7 +334,7 @@
 		 * @param entries entries of the program that the log has not shown
 		 * @param loads what upstreams said of their load last
 		 */
-		public TellTaken {
+		public SendUsage {
 			entries = List.copyOf(entries);
 			loads = List.copyOf(loads);
 		}
@@ -346,14 +348,14 @@
 	 * @param peer the other relay
 	 * @param request the turn for which it asked
 	 */
-	record TellUnsure(String peer, String request) implements RelayEffect {
+	record SendUsageUnavailable(String peer, String request) implements RelayEffect {
 
 	}
 
 	/**
 	 * Ask all other relays for what they know beyond the log.
 	 */
-	record AskUnlogged() implements RelayEffect {
+	record RequestSync() implements RelayEffect {
 
 	}
 
@@ -364,7 +366,7 @@
 	 * @param request the turn
 	 * @param held whether the program's budget holds it
 	 */
-	record TellPlace(String peer, String request, boolean held) implements RelayEffect {
+	record SendLogDecision(String peer, String request, boolean admitted) implements RelayEffect {
 
 	}
 
@@ -376,7 +378,7 @@
 	 * @param entries entries of others that the log has not shown
 	 * @param complete whether this relay misses nothing
 	 */
-	record TellUnlogged(String peer, List<LedgerEntry> entries, boolean complete) implements RelayEffect {
+	record SendSync(String peer, List<LedgerEntry> entries, boolean complete) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
@@ -384,7 +386,7 @@
 		 * @param entries entries of others that the log has not shown
 		 * @param complete whether this relay misses nothing
 		 */
-		public TellUnlogged {
+		public SendSync {
 			entries = List.copyOf(entries);
 		}
 
@@ -411,7 +413,7 @@
 	 * @param delay when
 	 * @param reminder what for
 	 */
-	record Remind(long exchange, Duration delay, RelayEvent.Reminder reminder) implements RelayEffect {
+	record StartTimer(long exchange, Duration delay, RelayEvent.TimerKind timer) implements RelayEffect {
 
 	}
 
@@ -420,7 +422,7 @@
 	 *
 	 * @param ready whether it does
 	 */
-	record Ready(boolean ready) implements RelayEffect {
+	record ReportReadiness(boolean ready) implements RelayEffect {
 
 	}
 
@@ -429,7 +431,7 @@
 	 *
 	 * @param limits the limits
 	 */
-	record Limit(RouteTable.Limits limits) implements RelayEffect {
+	record ApplyLimits(RouteTable.Limits limits) implements RelayEffect {
 
 	}
 
@@ -438,7 +440,7 @@
 	 *
 	 * @param measurement the measurement
 	 */
-	record Measure(Measurement measurement) implements RelayEffect {
+	record RecordMeasurement(Measurement measurement) implements RelayEffect {
 
 	}
 
@@ -447,7 +449,7 @@
 	 *
 	 * @param notice the notice
 	 */
-	record Tell(Notice notice) implements RelayEffect {
+	record WriteNotice(Notice notice) implements RelayEffect {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEvent.java
@@ -23,7 +23,7 @@
 	/**
 	 * An event of one exchange with a caller. An exchange that has ended ignores it.
 	 */
-	sealed interface OfExchange extends RelayEvent {
+	sealed interface ExchangeEvent extends RelayEvent {
 
 		/**
 		 * Returns the exchange.
@@ -37,7 +37,7 @@
 	 * An event of one attempt at an upstream. An attempt that was given up ignores it, so
 	 * a late answer meets nothing.
 	 */
-	sealed interface OfAttempt extends OfExchange {
+	sealed interface AttemptEvent extends ExchangeEvent {
 
 		/**
 		 * Returns the attempt.
@@ -56,7 +56,8 @@
 	 * @param body its body; shared, never written to
 	 * @param digest a digest of path, caller and body, the same for each resend
 	 */
-	record Asked(long now, long exchange, RequestHead head, byte[] body, long digest) implements OfExchange {
+	record RequestReceived(long now, long exchange, RequestHead head, byte[] body,
+			long digest) implements ExchangeEvent {
 
 	}
 
@@ -67,7 +68,7 @@
 	 * @param peer the other relay
 	 * @param ask what it asks for
 	 */
-	record PermitsRequested(long now, String peer, PermitRequest ask) implements RelayEvent {
+	record PermitsRequested(long now, String peer, PermitRequest request) implements RelayEvent {
 
 	}
 
@@ -88,7 +89,7 @@
 	 * @param now when
 	 * @param exchange the exchange
 	 */
-	record CallerLeft(long now, long exchange) implements OfExchange {
+	record CallerDisconnected(long now, long exchange) implements ExchangeEvent {
 
 	}
 
@@ -99,7 +100,7 @@
 	 * @param exchange the exchange
 	 * @param reminder what for
 	 */
-	record Reminded(long now, long exchange, Reminder reminder) implements OfExchange {
+	record TimerFired(long now, long exchange, TimerKind timer) implements ExchangeEvent {
 
 	}
 
@@ -112,7 +113,8 @@
 	 * @param head its head
 	 * @param body its body
 	 */
-	record Answered(long now, long exchange, int attempt, AnswerHead head, byte[] body) implements OfAttempt {
+	record ResponseReceived(long now, long exchange, int attempt, AnswerHead head,
+			byte[] body) implements AttemptEvent {
 
 	}
 
@@ -124,7 +126,7 @@
 	 * @param attempt the attempt
 	 * @param head its head
 	 */
-	record StreamOpened(long now, long exchange, int attempt, AnswerHead head) implements OfAttempt {
+	record StreamOpened(long now, long exchange, int attempt, AnswerHead head) implements AttemptEvent {
 
 	}
 
@@ -138,8 +140,8 @@
 	 * @param raw its bytes as they came
 	 * @param data its data
 	 */
-	record EventArrived(long now, long exchange, int attempt, long number, byte[] raw,
-			byte[] data) implements OfAttempt {
+	record StreamEventReceived(long now, long exchange, int attempt, long number, byte[] raw,
+			byte[] data) implements AttemptEvent {
 
 	}
 
@@ -150,7 +152,7 @@
 	 * @param exchange the exchange
 	 * @param attempt the attempt
 	 */
-	record StreamEnded(long now, long exchange, int attempt) implements OfAttempt {
+	record StreamEnded(long now, long exchange, int attempt) implements AttemptEvent {
 
 	}
 
@@ -162,7 +164,7 @@
 	 * @param attempt the attempt
 	 * @param cause why
 	 */
-	record AttemptFailed(long now, long exchange, int attempt, FailureCause cause) implements OfAttempt {
+	record AttemptFailed(long now, long exchange, int attempt, FailureCause cause) implements AttemptEvent {
 
 	}
 
@@ -174,7 +176,7 @@
 	 * @param teller the relay that told them; empty if they were read from the log, and
 	 * so stand in the order that all relays see
 	 */
-	record EntriesRead(long now, List<LedgerEntry> entries, Optional<String> teller) implements RelayEvent {
+	record EntriesReceived(long now, List<LedgerEntry> entries, Optional<String> sender) implements RelayEvent {
 
 		/**
 		 * Creates an event.
@@ -183,7 +185,7 @@
 		 * @param teller the relay that told them; empty if they were read from the log,
 		 * and so stand in the order that all relays see
 		 */
-		public EntriesRead {
+		public EntriesReceived {
 			entries = List.copyOf(entries);
 		}
 
@@ -192,7 +194,7 @@
 		 * @return whether they were
 		 */
 		boolean fromLog() {
-			return this.teller.isEmpty();
+			return this.sender.isEmpty();
 		}
 
 	}
@@ -204,7 +206,7 @@
 	 * @param now when
 	 * @param slept for how long, at most
 	 */
-	record Woken(long now, Duration slept) implements RelayEvent {
+	record ProcessResumed(long now, Duration pause) implements RelayEvent {
 
 	}
 
@@ -218,7 +220,7 @@
 	 * @param age the longest time for which nothing was written to it, up to now, by
 	 * clocks that may be off; empty if there is no entry
 	 */
-	record CaughtUp(long now, long offset, Duration took, Optional<Duration> age) implements RelayEvent {
+	record CaughtUp(long now, long offset, Duration duration, Optional<Duration> idle) implements RelayEvent {
 
 	}
 
@@ -230,7 +232,7 @@
 	 * @param now when
 	 * @param requests the turns
 	 */
-	record Stored(long now, Set<String> requests) implements RelayEvent {
+	record SettlementsStored(long now, Set<String> requests) implements RelayEvent {
 
 	}
 
@@ -242,7 +244,7 @@
 	 * @param end where the partition of this relay's texts ends now
 	 * @param took how long the log took
 	 */
-	record TextsStored(long now, Set<String> requests, long end, Duration took) implements RelayEvent {
+	record TextsStored(long now, Set<String> requests, long endOffset, Duration latency) implements RelayEvent {
 
 		/**
 		 * Creates an event.
@@ -263,14 +265,14 @@
 	 * @param now when
 	 * @param requests the turns
 	 */
-	record Helped(long now, Set<String> requests) implements RelayEvent {
+	record TurnWritesAcknowledged(long now, Set<String> requests) implements RelayEvent {
 
 		/**
 		 * Creates an event.
 		 * @param now when
 		 * @param requests the turns
 		 */
-		public Helped {
+		public TurnWritesAcknowledged {
 			requests = Set.copyOf(requests);
 		}
 
@@ -284,7 +286,8 @@
 	 * @param end what the turn has taken of its program's budget
 	 * @param text its text
 	 */
-	record HelpAsked(long now, String peer, LedgerEntry.Settled end, KeptTurn text) implements RelayEvent {
+	record TurnWriteRequested(long now, String peer, LedgerEntry.Settled settlement,
+			KeptTurn text) implements RelayEvent {
 
 	}
 
@@ -295,7 +298,7 @@
 	 * @param peer the other relay
 	 * @param request the last turn of the chain
 	 */
-	record PlacesAsked(long now, String peer, String request) implements RelayEvent {
+	record TextLocationsRequested(long now, String peer, String request) implements RelayEvent {
 
 	}
 
@@ -306,7 +309,7 @@
 	 * @param peer the other relay
 	 * @param turns the turns that it knows
 	 */
-	record PlacesTold(long now, String peer, List<PlacedTurn> turns) implements RelayEvent {
+	record TextLocationsReceived(long now, String peer, List<PlacedTurn> turns) implements RelayEvent {
 
 		/**
 		 * Creates an event.
@@ -314,7 +317,7 @@
 		 * @param peer the other relay
 		 * @param turns the turns that it knows
 		 */
-		public PlacesTold {
+		public TextLocationsReceived {
 			turns = List.copyOf(turns);
 		}
 
@@ -327,7 +330,7 @@
 	 * @param peer the other relay
 	 * @param requests the turns
 	 */
-	record TextsAsked(long now, String peer, Set<String> requests) implements RelayEvent {
+	record TextsRequested(long now, String peer, Set<String> requests) implements RelayEvent {
 
 		/**
 		 * Creates an event.
@@ -335,7 +338,7 @@
 		 * @param peer the other relay
 		 * @param requests the turns
 		 */
-		public TextsAsked {
+		public TextsRequested {
 			requests = Set.copyOf(requests);
 		}
 
@@ -347,14 +350,14 @@
 	 * @param now when
 	 * @param texts the texts
 	 */
-	record TextsTold(long now, List<TurnText> texts) implements RelayEvent {
+	record TextsReceived(long now, List<TurnText> texts) implements RelayEvent {
 
 		/**
 		 * Creates an event.
 		 * @param now when
 		 * @param texts the texts
 		 */
-		public TextsTold {
+		public TextsReceived {
 			texts = List.copyOf(texts);
 		}
 
@@ -382,8 +385,8 @@
 	 * @param budget the program's budget
 	 * @param place whether a place in the log is asked for, instead of an answer at once
 	 */
-	record TakenAsked(long now, String peer, String request, String program, int most, long budget,
-			boolean place) implements RelayEvent {
+	record ReservationRequested(long now, String peer, String request, String program, int maxTokens, long budget,
+			boolean throughLog) implements RelayEvent {
 
 	}
 
@@ -398,8 +401,8 @@
 	 * @param log whether it reaches the log, and can get the turn a place there
 	 * @param others how many other relays are known
 	 */
-	record TakenTold(long now, String peer, String request, long tokens, long unlogged, boolean log,
-			int others) implements RelayEvent {
+	record UsageReceived(long now, String peer, String request, long tokens, long uncommitted, boolean logReachable,
+			int otherRelays) implements RelayEvent {
 
 	}
 
@@ -410,7 +413,7 @@
 	 * @param peer the other relay
 	 * @param request the turn for which it was asked
 	 */
-	record TakenUnsure(long now, String peer, String request) implements RelayEvent {
+	record UsageUnavailable(long now, String peer, String request) implements RelayEvent {
 
 	}
 
@@ -420,14 +423,14 @@
 	 * @param now when
 	 * @param loads what they said
 	 */
-	record LoadsTold(long now, List<UpstreamLoad> loads) implements RelayEvent {
+	record LoadsReceived(long now, List<UpstreamLoad> loads) implements RelayEvent {
 
 		/**
 		 * Creates an event.
 		 * @param now when
 		 * @param loads what they said
 		 */
-		public LoadsTold {
+		public LoadsReceived {
 			loads = List.copyOf(loads);
 		}
 
@@ -439,14 +442,14 @@
 	 * @param now when
 	 * @param members all of them, this one included
 	 */
-	record RelaysListed(long now, List<Member> members) implements RelayEvent {
+	record MembershipUpdated(long now, List<Member> members) implements RelayEvent {
 
 		/**
 		 * Creates an event.
 		 * @param now when
 		 * @param members all of them, this one included
 		 */
-		public RelaysListed {
+		public MembershipUpdated {
 			members = List.copyOf(members);
 		}
 
@@ -458,7 +461,7 @@
 	 * @param now when
 	 * @param peer the other relay
 	 */
-	record UnloggedAsked(long now, String peer) implements RelayEvent {
+	record SyncRequested(long now, String peer) implements RelayEvent {
 
 	}
 
@@ -469,7 +472,7 @@
 	 * @param request the turn
 	 * @param held whether it does
 	 */
-	record PlaceTold(long now, String request, boolean held) implements RelayEvent {
+	record LogDecisionReceived(long now, String request, boolean admitted) implements RelayEvent {
 
 	}
 
@@ -479,7 +482,7 @@
 	 * @param now when
 	 * @param name the name by which they know it
 	 */
-	record Opened(long now, String name) implements RelayEvent {
+	record ListenerStarted(long now, String name) implements RelayEvent {
 
 	}
 
@@ -489,7 +492,7 @@
 	 * @param now when
 	 * @param peer the other relay
 	 */
-	record PeerLinked(long now, String peer) implements RelayEvent {
+	record PeerConnected(long now, String peer) implements RelayEvent {
 
 	}
 
@@ -499,7 +502,7 @@
 	 * @param now when
 	 * @param peer the other relay
 	 */
-	record PeerLost(long now, String peer) implements RelayEvent {
+	record PeerDisconnected(long now, String peer) implements RelayEvent {
 
 	}
 
@@ -510,7 +513,7 @@
 	 * @param peer the other relay
 	 * @param others how many other relays are known
 	 */
-	record PeerTold(long now, String peer, int others) implements RelayEvent {
+	record SyncCompleted(long now, String peer, int otherRelays) implements RelayEvent {
 
 	}
 
@@ -520,7 +523,7 @@
 	 * @param now when
 	 * @param reach what it reaches
 	 */
-	record ReachChanged(long now, Reach reach) implements RelayEvent {
+	record ConnectivityChanged(long now, Connectivity connectivity) implements RelayEvent {
 
 	}
 
@@ -530,7 +533,7 @@
 	 * @param now when
 	 * @param table the table
 	 */
-	record TableRead(long now, RouteTable table) implements RelayEvent {
+	record RouteTableUpdated(long now, RouteTable table) implements RelayEvent {
 
 	}
 
@@ -540,14 +543,14 @@
 	 * @param now when
 	 * @param upstreams the upstreams
 	 */
-	record UpstreamsRead(long now, List<Upstream> upstreams) implements RelayEvent {
+	record UpstreamsReplaced(long now, List<Upstream> upstreams) implements RelayEvent {
 
 		/**
 		 * Creates an event.
 		 * @param now when
 		 * @param upstreams the upstreams
 		 */
-		public UpstreamsRead {
+		public UpstreamsReplaced {
 			upstreams = List.copyOf(upstreams);
 		}
 
@@ -559,7 +562,7 @@
 	 * @param now when
 	 * @param upstream the upstream
 	 */
-	record UpstreamListed(long now, Upstream upstream) implements RelayEvent {
+	record UpstreamUpdated(long now, Upstream upstream) implements RelayEvent {
 
 	}
 
@@ -570,7 +573,7 @@
 	 * @param id the key of the record
 	 * @param problem why
 	 */
-	record UpstreamUnusable(long now, String id, EntryProblem problem) implements RelayEvent {
+	record UpstreamInvalid(long now, String id, EntryProblem problem) implements RelayEvent {
 
 	}
 
@@ -580,14 +583,14 @@
 	 * @param now when
 	 * @param id its id
 	 */
-	record UpstreamGone(long now, String id) implements RelayEvent {
+	record UpstreamRemoved(long now, String id) implements RelayEvent {
 
 	}
 
 	/**
 	 * What a relay reaches of the rest of its site. Safe for use by several threads.
 	 */
-	enum Reach {
+	enum Connectivity {
 
 		/**
 		 * The log, and perhaps other relays.
@@ -609,7 +612,7 @@
 	/**
 	 * What an exchange can be reminded of. Safe for use by several threads.
 	 */
-	enum Reminder {
+	enum TimerKind {
 
 		/**
 		 * For a permit of a team.
@@ -619,33 +622,33 @@
 		/**
 		 * The longest time that the request may take is over.
 		 */
-		DUE,
+		DEADLINE,
 
 		/**
 		 * The text of its chain should have been found.
 		 */
-		CHAIN,
+		CHAIN_LOOKUP,
 
 		/**
 		 * The texts of its chain should have been brought.
 		 */
-		TEXTS,
+		TEXT_FETCH,
 
 		/**
 		 * The keepers of the program, the log or other relays should have told whether
 		 * the budget holds the turn.
 		 */
-		ORDER,
+		BUDGET_DECISION,
 
 		/**
 		 * The log should have taken a kept turn.
 		 */
-		STORED,
+		LOG_WRITE,
 
 		/**
 		 * The upstream should have said something.
 		 */
-		SILENCE
+		UPSTREAM_IDLE
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
@@ -73,7 +73,7 @@
 
 	static Notice caughtUp(RelayEvent.CaughtUp event) {
 		return notice(NoticeCode.LOG_CAUGHT_UP, field(FieldName.OFFSET, event.offset()),
-				field(FieldName.MILLISECONDS, event.took().toMillis()));
+				field(FieldName.MILLISECONDS, event.duration().toMillis()));
 	}
 
 	static Notice adopted(int entries) {
@@ -84,7 +84,7 @@
 		return notice(NoticeCode.RELAY_WOKEN, field(FieldName.MILLISECONDS, slept.toMillis()));
 	}
 
-	static Notice reach(RelayEvent.Reach reach) {
+	static Notice reach(RelayEvent.Connectivity reach) {
 		return notice(NoticeCode.REACH_CHANGED, field(FieldName.REASON, reach));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
@@ -14,8 +14,8 @@
 
 import io.lentilslip.core.notice.Notice;
 import io.lentilslip.core.quota.QuotaTolerance;
-import io.lentilslip.core.relay.RelayEvent.Reach;
-import io.lentilslip.core.relay.RelayEvent.Reminder;
+import io.lentilslip.core.relay.RelayEvent.Connectivity;
+import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import io.lentilslip.core.relay.Upstreams.Known;
 
 /**
@@ -76,9 +76,9 @@
 	 * The questions of other relays whose turns get a place in the log here, by request.
 	 * Bounded: the oldest are given up, and their relays ask elsewhere.
 	 */
-	final Map<String, RelayEvent.TakenAsked> placing = new LinkedHashMap<>() {
+	final Map<String, RelayEvent.ReservationRequested> placing = new LinkedHashMap<>() {
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<String, RelayEvent.TakenAsked> eldest) {
+		protected boolean removeEldestEntry(Map.Entry<String, RelayEvent.ReservationRequested> eldest) {
 			return size() > RelaySettings.PLACING;
 		}
 	};
@@ -153,7 +153,7 @@
 	 */
 	boolean complete;
 
-	Reach reach = Reach.LOG;
+	Connectivity reach = Connectivity.LOG;
 
 	boolean ready;
 
@@ -204,7 +204,7 @@
 	 */
 	void write(LedgerEntry entry, List<String> tell) {
 		note(entry);
-		emit(new RelayEffect.Write(entry, tell));
+		emit(new RelayEffect.AppendEntry(entry, tell));
 	}
 
 	/**
@@ -250,7 +250,7 @@
 	}
 
 	void tell(Notice notice) {
-		emit(new RelayEffect.Tell(notice));
+		emit(new RelayEffect.WriteNotice(notice));
 	}
 
 	List<RelayEffect> take() {
@@ -259,7 +259,7 @@
 		return taken;
 	}
 
-	Optional<Exchange> find(RelayEvent.OfExchange event) {
+	Optional<Exchange> find(RelayEvent.ExchangeEvent event) {
 		return Optional.ofNullable(this.exchanges.get(event.exchange()));
 	}
 
@@ -276,8 +276,8 @@
 		return engine(upstream.service()).map(RouteTable.Engine::memory).orElse(0L);
 	}
 
-	void remind(Exchange exchange, Duration delay, Reminder reminder) {
-		emit(new RelayEffect.Remind(exchange.number(), delay, reminder));
+	void remind(Exchange exchange, Duration delay, TimerKind reminder) {
+		emit(new RelayEffect.StartTimer(exchange.number(), delay, reminder));
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.relay.RelayEvent.Reach;
-import io.lentilslip.core.relay.RelayEvent.Reminder;
+import io.lentilslip.core.relay.RelayEvent.Connectivity;
+import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import io.lentilslip.core.relay.RequestHead.Turn;
 import io.lentilslip.core.relay.UpstreamChoice.Weighed;
 import io.lentilslip.core.relay.Upstreams.Known;
@@ -38,7 +38,7 @@
 		return this.quotas;
 	}
 
-	void asked(RelayEvent.Asked asked) {
+	void asked(RelayEvent.RequestReceived asked) {
 		if (this.state.table.isEmpty() || !this.state.upstreams.listed()) {
 			boolean turn = asked.head().turn().isPresent();
 			this.ends.refuseUnknown(asked, Refusal.NOT_READY,
@@ -62,7 +62,7 @@
 			this.ends.refuse(exchange, Refusal.BLAMED, Optional.empty());
 			return;
 		}
-		this.state.remind(exchange, exchange.left(this.state.now), Reminder.DUE);
+		this.state.remind(exchange, exchange.left(this.state.now), TimerKind.DEADLINE);
 		if ((exchange.head().turn().isPresent() && refusedTurn(exchange)) || !this.quotas.admit(exchange)) {
 			return;
 		}
@@ -79,7 +79,8 @@
 		if (!exchange.bringing()) {
 			this.texts.lookForChain(exchange);
 		}
-		this.state.remind(exchange, exchange.route().target().dividedBy(RelaySettings.CHAIN_WAIT_PART), Reminder.CHAIN);
+		this.state.remind(exchange, exchange.route().target().dividedBy(RelaySettings.CHAIN_WAIT_PART),
+				TimerKind.CHAIN_LOOKUP);
 	}
 
 	private boolean refusedTurn(Exchange exchange) {
@@ -100,7 +101,7 @@
 		// A relay that reaches nobody can't see what a program spends elsewhere, and
 		// would give it more than its budget. Refused here, the caller goes to a relay
 		// that can see.
-		if (this.state.reach == Reach.NOTHING) {
+		if (this.state.reach == Connectivity.NOTHING) {
 			this.ends.refuse(exchange, Refusal.ISOLATED, Optional.of(RelaySettings.COME_BACK));
 			return true;
 		}
@@ -213,7 +214,7 @@
 			this.state.silence.watch(exchange);
 		}
 		boolean stream = exchange.route().repeatability() == Repeatability.STREAM;
-		this.state.emit(new RelayEffect.Send(exchange.number(), exchange.attempt(), upstream, exchange.chain(),
+		this.state.emit(new RelayEffect.SendRequest(exchange.number(), exchange.attempt(), upstream, exchange.chain(),
 				exchange.left(this.state.now), exchange.lastEvent(), stream, exchange.caller()));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Silence.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Silence.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-import io.lentilslip.core.relay.RelayEvent.Reminder;
+import io.lentilslip.core.relay.RelayEvent.TimerKind;
 
 /**
  * How long an upstream may be silent before a request that may run twice leaves it, by
@@ -82,7 +82,7 @@
 
 	private void lookAgain(Exchange exchange, long delay) {
 		exchange.lookAt(this.state.now + delay);
-		this.state.remind(exchange, Duration.ofMillis(delay), Reminder.SILENCE);
+		this.state.remind(exchange, Duration.ofMillis(delay), TimerKind.UPSTREAM_IDLE);
 	}
 
 	private long patience(Route route) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-import io.lentilslip.core.relay.RelayEvent.Reach;
+import io.lentilslip.core.relay.RelayEvent.Connectivity;
 import io.lentilslip.core.relay.Upstreams.Known;
 
 /**
@@ -33,10 +33,10 @@
 			lookWhetherComplete();
 		}
 		boolean now = this.state.table.isPresent() && this.state.upstreams.listed() && this.state.caughtUp
-				&& this.state.knowsRelays() && this.state.reach != Reach.NOTHING && this.state.textEnd >= 0;
+				&& this.state.knowsRelays() && this.state.reach != Connectivity.NOTHING && this.state.textEnd >= 0;
 		if (now != this.state.ready) {
 			this.state.ready = now;
-			this.state.emit(new RelayEffect.Ready(now));
+			this.state.emit(new RelayEffect.ReportReadiness(now));
 		}
 	}
 
@@ -65,7 +65,7 @@
 			return;
 		}
 		this.state.table = Optional.of(read);
-		this.state.emit(new RelayEffect.Limit(read.limits()));
+		this.state.emit(new RelayEffect.ApplyLimits(read.limits()));
 		this.state.tell(RelayNotices.accepted(read));
 	}
 
@@ -141,7 +141,7 @@
 					.isPresent())
 				.toList();
 		}
-		this.state.emit(new RelayEffect.TellUnlogged(peer, entries, this.state.complete));
+		this.state.emit(new RelayEffect.SendSync(peer, entries, this.state.complete));
 	}
 
 	/**
@@ -180,10 +180,10 @@
 	 * out of reach the other relays are asked at once.
 	 * @param reach what it reaches
 	 */
-	void reachChanged(Reach reach) {
+	void reachChanged(Connectivity reach) {
 		this.state.reach = reach;
 		this.state.tell(RelayNotices.reach(reach));
-		if (reach != Reach.LOG) {
+		if (reach != Connectivity.LOG) {
 			List.copyOf(this.state.contending.values())
 				.forEach((number) -> this.budgets.orderDue(this.state.exchanges.get(number)));
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -8,8 +8,8 @@
 
 import io.lentilslip.core.relay.Exchange.Phase;
 import io.lentilslip.core.relay.KeptTurns.Chain;
-import io.lentilslip.core.relay.RelayEvent.Reach;
-import io.lentilslip.core.relay.RelayEvent.Reminder;
+import io.lentilslip.core.relay.RelayEvent.Connectivity;
+import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import io.lentilslip.core.relay.RequestHead.Turn;
 
 /**
@@ -91,8 +91,8 @@
 		this.state.ending.put(exchange.id(), new Ending(exchange.number(), text));
 		this.state.emit(new RelayEffect.StoreText(exchange.id(), text));
 		this.ends.settle(exchange, Optional.of(place));
-		Duration pause = (this.state.reach == Reach.LOG) ? RelaySettings.ALONE : RelaySettings.TELLING;
-		this.state.remind(exchange, pause, Reminder.STORED);
+		Duration pause = (this.state.reach == Connectivity.LOG) ? RelaySettings.ALONE : RelaySettings.TELLING;
+		this.state.remind(exchange, pause, TimerKind.LOG_WRITE);
 	}
 
 	private TextPlace place(KeptTurn text, String holder) {
@@ -105,8 +105,8 @@
 	 * @param stored which
 	 */
 	void textsStored(RelayEvent.TextsStored stored) {
-		this.state.textEnd = Math.max(this.state.textEnd, stored.end());
-		boolean slow = stored.took().compareTo(RelaySettings.ALONE) > 0;
+		this.state.textEnd = Math.max(this.state.textEnd, stored.endOffset());
+		boolean slow = stored.latency().compareTo(RelaySettings.ALONE) > 0;
 		this.state.logSlowAt = slow ? stored.now() : RelayState.NEVER;
 		for (String request : stored.requests()) {
 			storing(request).forEach((turn) -> turn.text = true);
@@ -134,7 +134,7 @@
 		Helping helping = this.state.helping.get(request);
 		if (helping != null && helping.whole()) {
 			this.state.helping.remove(request);
-			this.state.emit(new RelayEffect.TellStored(helping.peer, request));
+			this.state.emit(new RelayEffect.AcknowledgeTurnWrite(helping.peer, request));
 		}
 		Ending ending = this.state.ending.get(request);
 		if (ending != null && ending.whole()) {
@@ -164,8 +164,9 @@
 		if (exchange.phase() != Phase.ENDING || ending == null) {
 			return;
 		}
-		this.state.emit(new RelayEffect.AskForHelp(this.ends.settlement(exchange, Optional.empty()), ending.kept));
-		this.state.remind(exchange, RelaySettings.ALONE.multipliedBy(HELP_PAUSES), Reminder.STORED);
+		this.state
+			.emit(new RelayEffect.RequestTurnWrite(this.ends.settlement(exchange, Optional.empty()), ending.kept));
+		this.state.remind(exchange, RelaySettings.ALONE.multipliedBy(HELP_PAUSES), TimerKind.LOG_WRITE);
 	}
 
 	/**
@@ -173,10 +174,10 @@
 	 * a second and third copy of each turn would make it slower for all.
 	 * @param asked what is asked for
 	 */
-	void helpAsked(RelayEvent.HelpAsked asked) {
-		String request = asked.end().request();
+	void helpAsked(RelayEvent.TurnWriteRequested asked) {
+		String request = asked.settlement().request();
 		boolean slow = this.state.now - this.state.logSlowAt < SLOW_MS;
-		boolean able = this.state.reach == Reach.LOG && this.state.textEnd >= 0 && !slow;
+		boolean able = this.state.reach == Connectivity.LOG && this.state.textEnd >= 0 && !slow;
 		if (!able || this.state.helping.containsKey(request)) {
 			return;
 		}
@@ -184,9 +185,8 @@
 		this.state.turns.note(request, place, Optional.of(asked.peer()));
 		this.state.helping.put(request, new Helping(asked.peer()));
 		this.state.emit(new RelayEffect.StoreText(request, asked.text()));
-		this.state.writeAndTell(
-				new LedgerEntry.Settled(request, asked.end().program(), asked.end().tokens(), Optional.of(place)),
-				asked.end().program());
+		this.state.writeAndTell(new LedgerEntry.Settled(request, asked.settlement().program(),
+				asked.settlement().tokens(), Optional.of(place)), asked.settlement().program());
 	}
 
 	/**
@@ -223,14 +223,14 @@
 		Turn turn = exchange.head().turn().orElseThrow();
 		List<String> keepers = this.state.otherKeepers(turn.program());
 		if (turn.previous().isPresent() && !keepers.isEmpty()) {
-			this.state.emit(new RelayEffect.AskPlaces(keepers, turn.previous().get()));
+			this.state.emit(new RelayEffect.RequestTextLocations(keepers, turn.previous().get()));
 		}
-		if (this.state.reach == Reach.LOG || keepers.isEmpty()) {
+		if (this.state.reach == Connectivity.LOG || keepers.isEmpty()) {
 			this.state.emit(new RelayEffect.ReadLog());
 		}
 	}
 
-	void placesAsked(RelayEvent.PlacesAsked asked) {
+	void placesAsked(RelayEvent.TextLocationsRequested asked) {
 		List<PlacedTurn> known = new ArrayList<>();
 		Optional<String> next = Optional.of(asked.request());
 		while (next.isPresent() && known.size() < LONGEST_CHAIN) {
@@ -242,11 +242,11 @@
 			next = places.getFirst().previous();
 		}
 		if (!known.isEmpty()) {
-			this.state.emit(new RelayEffect.TellPlaces(asked.peer(), known));
+			this.state.emit(new RelayEffect.SendTextLocations(asked.peer(), known));
 		}
 	}
 
-	void placesTold(RelayEvent.PlacesTold told) {
+	void placesTold(RelayEvent.TextLocationsReceived told) {
 		told.turns().forEach((turn) -> this.state.turns.note(turn.request(), turn.place(), Optional.of(told.peer())));
 	}
 
@@ -261,8 +261,8 @@
 			read(exchange, elsewhere);
 			return;
 		}
-		this.state.emit(new RelayEffect.AskTexts(holder.get(), elsewhere.turns()));
-		this.state.remind(exchange, HOLDER_WAIT.plusMillis(bytes(elsewhere) / LINK_BYTES_PER_MS), Reminder.TEXTS);
+		this.state.emit(new RelayEffect.RequestTexts(holder.get(), elsewhere.turns()));
+		this.state.remind(exchange, HOLDER_WAIT.plusMillis(bytes(elsewhere) / LINK_BYTES_PER_MS), TimerKind.TEXT_FETCH);
 	}
 
 	private long bytes(Chain.Elsewhere elsewhere) {
@@ -275,7 +275,7 @@
 				this.state.emit(new RelayEffect.ReadText(request, this.state.turns.places(request)));
 			}
 		}
-		this.state.remind(exchange, READ_WAIT, Reminder.TEXTS);
+		this.state.remind(exchange, READ_WAIT, TimerKind.TEXT_FETCH);
 	}
 
 	/**
@@ -297,7 +297,8 @@
 		boolean exists = exchange.phase() == Phase.WAITING_FOR_CHAIN && !this.state.stale
 				&& chain(exchange) instanceof Chain.Elsewhere;
 		if (exists && exchange.extend()) {
-			this.state.remind(exchange, exchange.left(this.state.now).dividedBy(TEXTS_WAIT_PART), Reminder.CHAIN);
+			this.state.remind(exchange, exchange.left(this.state.now).dividedBy(TEXTS_WAIT_PART),
+					TimerKind.CHAIN_LOOKUP);
 			return;
 		}
 		this.ends.chainDue(exchange);
@@ -311,7 +312,7 @@
 			.orElseGet(() -> new Chain.Whole(new byte[0]));
 	}
 
-	void asked(RelayEvent.TextsAsked asked) {
+	void asked(RelayEvent.TextsRequested asked) {
 		List<TurnText> found = new ArrayList<>();
 		int bytes = 0;
 		for (String request : asked.requests()) {
@@ -319,17 +320,17 @@
 			text.ifPresent((known) -> found.add(new TurnText(request, known)));
 			bytes += text.map(KeptTurn::size).orElse(0);
 			if (bytes > MESSAGE_BYTES) {
-				this.state.emit(new RelayEffect.TellTexts(asked.peer(), found));
+				this.state.emit(new RelayEffect.SendTexts(asked.peer(), found));
 				found.clear();
 				bytes = 0;
 			}
 		}
 		if (!found.isEmpty()) {
-			this.state.emit(new RelayEffect.TellTexts(asked.peer(), found));
+			this.state.emit(new RelayEffect.SendTexts(asked.peer(), found));
 		}
 	}
 
-	void told(RelayEvent.TextsTold told) {
+	void told(RelayEvent.TextsReceived told) {
 		told.texts().forEach((found) -> this.state.turns.add(found.request(), found.text()));
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/AnswerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/AnswerRulesTests.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import io.lentilslip.core.relay.RelayEvent.Reminder;
+import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -18,9 +18,9 @@
 		RelayFixture relay = RelayFixture.ready();
 		relay.ask("r1", "look");
 		relay.pass(700);
-		List<RelayEffect> late = relay.remind(Reminder.SILENCE);
-		assertThat(RelayFixture.of(late, RelayEffect.Send.class)).isEmpty();
-		assertThat(RelayFixture.of(relay.answer(1, RelayFixture.SIGNED), RelayEffect.Answer.class)).hasSize(1);
+		List<RelayEffect> late = relay.remind(TimerKind.UPSTREAM_IDLE);
+		assertThat(RelayFixture.of(late, RelayEffect.SendRequest.class)).isEmpty();
+		assertThat(RelayFixture.of(relay.answer(1, RelayFixture.SIGNED), RelayEffect.SendResponse.class)).hasSize(1);
 	}
 
 	// The grace ends: an upstream that is still silent when the relay has caught up is
@@ -30,9 +30,11 @@
 		RelayFixture relay = RelayFixture.ready();
 		relay.ask("r1", "look");
 		relay.pass(700);
-		RelayEffect.Remind again = RelayFixture.of(relay.remind(Reminder.SILENCE), RelayEffect.Remind.class).getFirst();
+		RelayEffect.StartTimer again = RelayFixture
+			.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.StartTimer.class)
+			.getFirst();
 		relay.pass(again.delay().toMillis());
-		assertThat(RelayFixture.of(relay.remind(Reminder.SILENCE), RelayEffect.Send.class)).hasSize(1);
+		assertThat(RelayFixture.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class)).hasSize(1);
 	}
 
 	// The link of a relay is full, so that each answer reaches it after one and a half
@@ -50,10 +52,12 @@
 		long asked = relay.now();
 		relay.ask("r", "look");
 		relay.pass(200);
-		RelayEffect.Remind again = RelayFixture.of(relay.remind(Reminder.SILENCE), RelayEffect.Remind.class).getFirst();
+		RelayEffect.StartTimer again = RelayFixture
+			.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.StartTimer.class)
+			.getFirst();
 		relay.pass(again.delay().toMillis());
 		assertThat(relay.now() - asked).isGreaterThan(300);
-		assertThat(RelayFixture.of(relay.remind(Reminder.SILENCE), RelayEffect.Send.class)).hasSize(1);
+		assertThat(RelayFixture.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class)).hasSize(1);
 	}
 
 	// Answers that come soon make no relay less patient than its route says.
@@ -65,9 +69,9 @@
 		}
 		relay.ask("r", "look");
 		relay.pass(199);
-		assertThat(RelayFixture.of(relay.remind(Reminder.SILENCE), RelayEffect.Send.class)).isEmpty();
+		assertThat(RelayFixture.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class)).isEmpty();
 		relay.pass(1);
-		assertThat(RelayFixture.of(relay.remind(Reminder.SILENCE), RelayEffect.Send.class)).hasSize(1);
+		assertThat(RelayFixture.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class)).hasSize(1);
 	}
 
 	// All timers of a relay run 30 ms late, as on a machine with a quarter of a core. An
@@ -79,19 +83,19 @@
 		relay.ask("r1", "look");
 		long asked = relay.now();
 		relay.pass(230);
-		List<RelayEffect> effects = relay.remind(Reminder.SILENCE);
-		while (RelayFixture.of(effects, RelayEffect.Send.class).isEmpty() && relay.now() - asked < 2_000) {
-			relay.pass(RelayFixture.of(effects, RelayEffect.Remind.class).getFirst().delay().toMillis() + 30);
-			effects = relay.remind(Reminder.SILENCE);
+		List<RelayEffect> effects = relay.remind(TimerKind.UPSTREAM_IDLE);
+		while (RelayFixture.of(effects, RelayEffect.SendRequest.class).isEmpty() && relay.now() - asked < 2_000) {
+			relay.pass(RelayFixture.of(effects, RelayEffect.StartTimer.class).getFirst().delay().toMillis() + 30);
+			effects = relay.remind(TimerKind.UPSTREAM_IDLE);
 		}
-		assertThat(RelayFixture.of(effects, RelayEffect.Send.class)).hasSize(1);
+		assertThat(RelayFixture.of(effects, RelayEffect.SendRequest.class)).hasSize(1);
 		assertThat(relay.now() - asked).isLessThan(4 * 230);
 	}
 
 	private static void answerAfter(RelayFixture relay, String id, long milliseconds) {
 		relay.ask(id, "look");
 		relay.pass(milliseconds);
-		assertThat(RelayFixture.of(relay.answer(1, RelayFixture.SIGNED), RelayEffect.Answer.class)).hasSize(1);
+		assertThat(RelayFixture.of(relay.answer(1, RelayFixture.SIGNED), RelayEffect.SendResponse.class)).hasSize(1);
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/BudgetProperties.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/BudgetProperties.java
@@ -112,7 +112,7 @@
 
 		private void take(RelayFixture relay, List<RelayEffect> effects) {
 			this.unwritten.get(relay).addAll(RelayFixture.written(effects));
-			RelayFixture.of(effects, RelayEffect.Send.class)
+			RelayFixture.of(effects, RelayEffect.SendRequest.class)
 				.forEach((send) -> this.running.add(new Running(relay, send)));
 		}
 
@@ -133,12 +133,13 @@
 			int events = this.random.nextInt(MOST / RelayFixture.TOKENS_PER_EVENT + 1);
 			for (int i = 1; i <= events; i++) {
 				byte[] data = { 'x' };
-				effects.addAll(relay.on(new RelayEvent.EventArrived(relay.now(), exchange, attempt, i, data, data)));
+				effects.addAll(
+						relay.on(new RelayEvent.StreamEventReceived(relay.now(), exchange, attempt, i, data, data)));
 			}
-			this.given += (long) RelayFixture.of(effects, RelayEffect.PassEvent.class).size()
+			this.given += (long) RelayFixture.of(effects, RelayEffect.ForwardStreamEvent.class).size()
 					* RelayFixture.TOKENS_PER_EVENT;
 			boolean leaves = this.random.nextInt(4) == 0;
-			RelayEvent last = leaves ? new RelayEvent.CallerLeft(relay.now(), exchange)
+			RelayEvent last = leaves ? new RelayEvent.CallerDisconnected(relay.now(), exchange)
 					: new RelayEvent.StreamEnded(relay.now(), exchange, attempt);
 			effects.addAll(relay.on(last));
 			take(relay, effects);
@@ -153,7 +154,7 @@
 	 * @param relay the relay that sent it
 	 * @param send where it was sent
 	 */
-	private record Running(RelayFixture relay, RelayEffect.Send send) {
+	private record Running(RelayFixture relay, RelayEffect.SendRequest send) {
 
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
@@ -26,7 +26,7 @@
 	@Test
 	void entryOfARelayThatIsLostIsWrittenByAllWhoWereToldOfIt() {
 		List<RelayFixture> relays = told();
-		relays.forEach((relay) -> relay.on(new RelayEvent.PeerLost(relay.now(), "teller")));
+		relays.forEach((relay) -> relay.on(new RelayEvent.PeerDisconnected(relay.now(), "teller")));
 		assertThat(written(relays, 4_500)).isEqualTo(RELAYS);
 	}
 
@@ -34,11 +34,11 @@
 		List<RelayFixture> relays = new ArrayList<>();
 		for (int seed = 0; seed < RELAYS; seed++) {
 			RelayFixture relay = RelayFixture.ready(seed);
-			relay.on(new RelayEvent.Opened(relay.now(), "relay" + seed));
-			relay.on(new RelayEvent.PeerLinked(relay.now(), "teller"));
+			relay.on(new RelayEvent.ListenerStarted(relay.now(), "relay" + seed));
+			relay.on(new RelayEvent.PeerConnected(relay.now(), "teller"));
 			for (int peer = 0; peer < RELAYS; peer++) {
 				if (peer != seed) {
-					relay.on(new RelayEvent.PeerLinked(relay.now(), "relay" + peer));
+					relay.on(new RelayEvent.PeerConnected(relay.now(), "relay" + peer));
 				}
 			}
 			relay.readFromLog();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
@@ -10,7 +10,7 @@
 import io.lentilslip.core.quota.PermitReply;
 import io.lentilslip.core.quota.PermitRequest;
 import io.lentilslip.core.quota.Quota;
-import io.lentilslip.core.relay.RelayEvent.Reminder;
+import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -24,11 +24,11 @@
 	QuotaRulesTests() {
 		RouteTable plain = RelayFixture.table();
 		Team red = new Team("red", OptionalInt.empty(), Optional.of(new Quota(10, 10)));
-		this.relay.on(new RelayEvent.TableRead(this.relay.now(), new RouteTable(2, plain.routes(), plain.services(),
-				plain.limits(), Optional.of(new Teams(Map.of(KeyDigest.of("key"), red))))));
-		this.relay.on(new RelayEvent.Opened(this.relay.now(), "own"));
-		this.relay
-			.on(new RelayEvent.RelaysListed(this.relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
+		this.relay.on(new RelayEvent.RouteTableUpdated(this.relay.now(), new RouteTable(2, plain.routes(),
+				plain.services(), plain.limits(), Optional.of(new Teams(Map.of(KeyDigest.of("key"), red))))));
+		this.relay.on(new RelayEvent.ListenerStarted(this.relay.now(), "own"));
+		this.relay.on(new RelayEvent.MembershipUpdated(this.relay.now(),
+				List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
 		this.relay.all.clear();
 	}
 
@@ -45,7 +45,7 @@
 		PermitRequest second = requested().getLast();
 		assertThat(second.beginning()).hasSize(3);
 		List<RelayEffect> granted = grant(second, 0, true, true, false);
-		assertThat(RelayFixture.of(granted, RelayEffect.Send.class)).hasSize(2);
+		assertThat(RelayFixture.of(granted, RelayEffect.SendRequest.class)).hasSize(2);
 		assertThat(RelayFixture.of(granted, RelayEffect.Refuse.class)).singleElement()
 			.isEqualTo(new RelayEffect.Refuse(this.relay.exchange(), Refusal.QUOTA_SPENT, Optional.of(LATER)));
 	}
@@ -56,15 +56,15 @@
 	void nextRelayIsAskedWhereTheFirstDoesNotAnswer() {
 		ask("r1", "p");
 		this.relay.pass(60);
-		this.relay.remind(Reminder.PERMIT);
+		this.relay.remind(TimerKind.PERMIT);
 		assertThat(RelayFixture.of(this.relay.all, RelayEffect.RequestPermits.class))
 			.extracting(RelayEffect.RequestPermits::peer)
 			.doesNotHaveDuplicates()
 			.hasSize(2);
 		this.relay.pass(60);
-		this.relay.remind(Reminder.PERMIT);
+		this.relay.remind(TimerKind.PERMIT);
 		this.relay.pass(60);
-		assertThat(RelayFixture.of(this.relay.remind(Reminder.PERMIT), RelayEffect.Refuse.class)).singleElement()
+		assertThat(RelayFixture.of(this.relay.remind(TimerKind.PERMIT), RelayEffect.Refuse.class)).singleElement()
 			.extracting(RelayEffect.Refuse::refusal)
 			.isEqualTo(Refusal.QUOTA_UNKNOWN);
 	}
@@ -72,12 +72,12 @@
 	// No upstream takes a request, and its team pays for it all the same.
 	@Test
 	void permitOfARequestThatWasNotSentIsSpentOnTheNext() {
-		this.relay.on(new RelayEvent.UpstreamsRead(this.relay.now(), List.of()));
+		this.relay.on(new RelayEvent.UpstreamsReplaced(this.relay.now(), List.of()));
 		ask("r1", "p");
 		grant(requested().getFirst(), 0, true);
-		this.relay.on(new RelayEvent.UpstreamsRead(this.relay.now(),
+		this.relay.on(new RelayEvent.UpstreamsReplaced(this.relay.now(),
 				List.of(RelayFixture.upstream("s1", RelayFixture.SHOP))));
-		assertThat(RelayFixture.of(ask("r2", "p"), RelayEffect.Send.class)).hasSize(1);
+		assertThat(RelayFixture.of(ask("r2", "p"), RelayEffect.SendRequest.class)).hasSize(1);
 		assertThat(requested()).hasSize(1);
 	}
 
@@ -90,7 +90,7 @@
 	private List<PermitRequest> requested() {
 		return RelayFixture.of(this.relay.all, RelayEffect.RequestPermits.class)
 			.stream()
-			.map(RelayEffect.RequestPermits::ask)
+			.map(RelayEffect.RequestPermits::request)
 			.toList();
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaSite.java
@@ -192,7 +192,7 @@
 		at(after, () -> this.lives.get(relay).frozenUntil = this.now + frozen.toMillis());
 		at(after.plus(frozen), () -> {
 			Life life = this.lives.get(relay);
-			take(life, life.relay.on(new RelayEvent.Woken(this.now, frozen)));
+			take(life, life.relay.on(new RelayEvent.ProcessResumed(this.now, frozen)));
 		});
 	}
 
@@ -214,10 +214,10 @@
 		for (int i = 0; i < this.lives.size(); i++) {
 			members.add(new Member(Integer.toString(i), "zone-" + i % 4, 100));
 		}
-		life.on(new RelayEvent.Opened(this.now, Integer.toString(index)));
-		life.on(new RelayEvent.TableRead(this.now, this.table));
-		life.on(new RelayEvent.UpstreamsRead(this.now, List.of(RelayFixture.upstream("s1", RelayFixture.SHOP))));
-		life.on(new RelayEvent.RelaysListed(this.now, members));
+		life.on(new RelayEvent.ListenerStarted(this.now, Integer.toString(index)));
+		life.on(new RelayEvent.RouteTableUpdated(this.now, this.table));
+		life.on(new RelayEvent.UpstreamsReplaced(this.now, List.of(RelayFixture.upstream("s1", RelayFixture.SHOP))));
+		life.on(new RelayEvent.MembershipUpdated(this.now, members));
 	}
 
 	private void ask(int index, String team, String program, long exchange) {
@@ -231,7 +231,7 @@
 				new RequestHead.Origin(Optional.of(program), Optional.of(KeyDigest.of(team))));
 		whenRunning(life, () -> {
 			life.teams.put(exchange, List.of(team, program));
-			take(life, life.relay.on(new RelayEvent.Asked(this.now, exchange, head, new byte[0], exchange)));
+			take(life, life.relay.on(new RelayEvent.RequestReceived(this.now, exchange, head, new byte[0], exchange)));
 			this.waited += life.teams.containsKey(exchange) ? 1 : 0;
 		});
 	}
@@ -240,18 +240,18 @@
 		for (RelayEffect effect : effects) {
 			switch (effect) {
 				case RelayEffect.RequestPermits ask -> send(from, ask.peer(),
-						(to) -> new RelayEvent.PermitsRequested(this.now, Integer.toString(from.index), ask.ask()));
+						(to) -> new RelayEvent.PermitsRequested(this.now, Integer.toString(from.index), ask.request()));
 				case RelayEffect.GrantPermits grant -> send(from, grant.peer(),
 						(to) -> new RelayEvent.PermitsGranted(this.now, Integer.toString(from.index), grant.reply()));
-				case RelayEffect.Remind remind -> at(remind.delay(), () -> whenRunning(from, () -> take(from,
-						from.relay.on(new RelayEvent.Reminded(this.now, remind.exchange(), remind.reminder())))));
-				case RelayEffect.Send send -> {
+				case RelayEffect.StartTimer remind -> at(remind.delay(), () -> whenRunning(from, () -> take(from,
+						from.relay.on(new RelayEvent.TimerFired(this.now, remind.exchange(), remind.timer())))));
+				case RelayEffect.SendRequest send -> {
 					note(this.ran, from, send.exchange());
 					ended(send.exchange(), Optional.empty());
 				}
 				case RelayEffect.Refuse refuse -> {
 					note(this.refused, from, refuse.exchange());
-					ended(refuse.exchange(), Optional.of(refuse.comeBack().orElse(Duration.ZERO)));
+					ended(refuse.exchange(), Optional.of(refuse.retryAfter().orElse(Duration.ZERO)));
 				}
 				default -> {
 				}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
@@ -103,8 +103,8 @@
 
 	private static RelayFixture listing(boolean first, long seed) {
 		RelayFixture fixture = new RelayFixture(first, seed);
-		fixture.on(new RelayEvent.TableRead(fixture.now, table()));
-		fixture.on(new RelayEvent.UpstreamsRead(fixture.now, List.of(upstream("e1", ENGINE), upstream("e2", ENGINE),
+		fixture.on(new RelayEvent.RouteTableUpdated(fixture.now, table()));
+		fixture.on(new RelayEvent.UpstreamsReplaced(fixture.now, List.of(upstream("e1", ENGINE), upstream("e2", ENGINE),
 				upstream("s1", SHOP), upstream("s2", SHOP), upstream("s3", SHOP))));
 		return fixture;
 	}
@@ -185,7 +185,8 @@
 
 	List<RelayEffect> ask(RequestHead head, String body) {
 		this.exchange++;
-		return on(new RelayEvent.Asked(this.now, this.exchange, head, body.getBytes(), head.path().hashCode()));
+		return on(
+				new RelayEvent.RequestReceived(this.now, this.exchange, head, body.getBytes(), head.path().hashCode()));
 	}
 
 	long exchange() {
@@ -193,7 +194,7 @@
 	}
 
 	List<RelayEffect> answer(int attempt, AnswerHead head) {
-		return on(new RelayEvent.Answered(this.now, this.exchange, attempt, head, "answer".getBytes()));
+		return on(new RelayEvent.ResponseReceived(this.now, this.exchange, attempt, head, "answer".getBytes()));
 	}
 
 	List<RelayEffect> open(int attempt) {
@@ -202,7 +203,7 @@
 
 	List<RelayEffect> event(int attempt, long number) {
 		byte[] data = ("piece " + number).getBytes();
-		return on(new RelayEvent.EventArrived(this.now, this.exchange, attempt, number, data, data));
+		return on(new RelayEvent.StreamEventReceived(this.now, this.exchange, attempt, number, data, data));
 	}
 
 	List<RelayEffect> end(int attempt) {
@@ -213,16 +214,16 @@
 		return on(new RelayEvent.AttemptFailed(this.now, this.exchange, attempt, cause));
 	}
 
-	List<RelayEffect> remind(RelayEvent.Reminder reminder) {
-		return on(new RelayEvent.Reminded(this.now, this.exchange, reminder));
+	List<RelayEffect> remind(RelayEvent.TimerKind reminder) {
+		return on(new RelayEvent.TimerFired(this.now, this.exchange, reminder));
 	}
 
 	List<RelayEffect> readFromLog(LedgerEntry... entries) {
-		return on(new RelayEvent.EntriesRead(this.now, List.of(entries), Optional.empty()));
+		return on(new RelayEvent.EntriesReceived(this.now, List.of(entries), Optional.empty()));
 	}
 
 	List<RelayEffect> told(LedgerEntry... entries) {
-		return on(new RelayEvent.EntriesRead(this.now, List.of(entries), Optional.of("teller")));
+		return on(new RelayEvent.EntriesReceived(this.now, List.of(entries), Optional.of("teller")));
 	}
 
 	static LedgerEntry.Settled kept(String request, String previous) {
@@ -239,7 +240,7 @@
 
 	List<RelayEffect> stored(String... requests) {
 		on(new RelayEvent.TextsStored(this.now, Set.of(requests), 20, Duration.ofMillis(8)));
-		return on(new RelayEvent.Stored(this.now, Set.of(requests)));
+		return on(new RelayEvent.SettlementsStored(this.now, Set.of(requests)));
 	}
 
 	static <T extends RelayEffect> List<T> of(List<RelayEffect> effects, Class<T> type) {
@@ -247,7 +248,7 @@
 	}
 
 	static List<LedgerEntry> written(List<RelayEffect> effects) {
-		return of(effects, RelayEffect.Write.class).stream().map(RelayEffect.Write::entry).toList();
+		return of(effects, RelayEffect.AppendEntry.class).stream().map(RelayEffect.AppendEntry::entry).toList();
 	}
 
 	static LedgerEntry.Settled settled(List<RelayEffect> effects) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelaySite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelaySite.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-import io.lentilslip.core.relay.RelayEvent.Reach;
+import io.lentilslip.core.relay.RelayEvent.Connectivity;
 
 /**
  * Some relays, the links between them, their log and their callers. Messages of one link
@@ -87,8 +87,8 @@
 		for (int i = 0; i < this.members.size(); i++) {
 			all.add(new Member(Integer.toString(i), "zone-" + i % 3, 100));
 		}
-		life.relay.on(new RelayEvent.Opened(life.relay.now(), Integer.toString(life.index)));
-		life.relay.on(new RelayEvent.RelaysListed(life.relay.now(), all));
+		life.relay.on(new RelayEvent.ListenerStarted(life.relay.now(), Integer.toString(life.index)));
+		life.relay.on(new RelayEvent.MembershipUpdated(life.relay.now(), all));
 	}
 
 	/**
@@ -148,14 +148,14 @@
 		List<Long> due = List.copyOf(member.waiting);
 		member.waiting.clear();
 		for (long exchange : due) {
-			take(member,
-					member.relay.on(new RelayEvent.Reminded(member.relay.now(), exchange, RelayEvent.Reminder.ORDER)));
+			take(member, member.relay
+				.on(new RelayEvent.TimerFired(member.relay.now(), exchange, RelayEvent.TimerKind.BUDGET_DECISION)));
 		}
 	}
 
 	void logGoes() {
 		this.logIsUp = false;
-		this.members.forEach((member) -> reach(member, Reach.RELAYS));
+		this.members.forEach((member) -> reach(member, Connectivity.RELAYS));
 	}
 
 	/**
@@ -169,7 +169,7 @@
 		this.logIsUp = true;
 		for (Life member : this.members) {
 			member.turnedAway = false;
-			reach(member, Reach.LOG);
+			reach(member, Connectivity.LOG);
 		}
 		settle();
 		this.members.forEach(this::catchUp);
@@ -177,17 +177,17 @@
 
 	void turnAway(int member) {
 		this.members.get(member).turnedAway = true;
-		reach(this.members.get(member), Reach.RELAYS);
+		reach(this.members.get(member), Connectivity.RELAYS);
 	}
 
-	private void reach(Life member, Reach reach) {
-		take(member, member.relay.on(new RelayEvent.ReachChanged(member.relay.now(), reach)));
+	private void reach(Life member, Connectivity reach) {
+		take(member, member.relay.on(new RelayEvent.ConnectivityChanged(member.relay.now(), reach)));
 	}
 
 	void restart(int index) {
 		lose(index);
 		Life member = this.members.get(index);
-		reach(member, this.logIsUp ? Reach.LOG : Reach.RELAYS);
+		reach(member, this.logIsUp ? Connectivity.LOG : Connectivity.RELAYS);
 		for (Life other : this.members) {
 			if (other != member && !this.listed) {
 				link(other, member);
@@ -247,7 +247,7 @@
 	}
 
 	private void link(Life from, Life to) {
-		take(from, from.relay.on(new RelayEvent.PeerLinked(from.relay.now(), Integer.toString(to.index))));
+		take(from, from.relay.on(new RelayEvent.PeerConnected(from.relay.now(), Integer.toString(to.index))));
 	}
 
 	private void catchUp(Life member) {
@@ -306,16 +306,16 @@
 	private void take(Life from, List<RelayEffect> effects) {
 		for (RelayEffect effect : effects) {
 			switch (effect) {
-				case RelayEffect.Write write -> {
+				case RelayEffect.AppendEntry write -> {
 					from.unwritten.add(write.entry());
 					if (this.listed) {
-						toSome(from, write.tell(), (to) -> tell(from, to, write.entry()));
+						toSome(from, write.replicas(), (to) -> tell(from, to, write.entry()));
 					}
 					else {
 						toOthers(from, (to) -> tell(to, write.entry()));
 					}
 				}
-				case RelayEffect.AskTaken ask -> {
+				case RelayEffect.RequestReservation ask -> {
 					if (ask.peers().isEmpty()) {
 						toOthers(from, (to) -> ask(from, to, ask));
 					}
@@ -323,22 +323,26 @@
 						toSome(from, ask.peers(), (to) -> ask(from, to, ask));
 					}
 				}
-				case RelayEffect.AskUnlogged ignored -> toOthers(from, (to) -> take(to,
-						to.relay.on(new RelayEvent.UnloggedAsked(to.relay.now(), Integer.toString(from.index)))));
-				case RelayEffect.TellUnsure tell -> send(from, Integer.parseInt(tell.peer()), (to) -> take(to, to.relay
-					.on(new RelayEvent.TakenUnsure(to.relay.now(), Integer.toString(from.index), tell.request()))));
-				case RelayEffect.AskPlace ask -> send(from, Integer.parseInt(ask.peer()), (to) -> place(from, to, ask));
-				case RelayEffect.TellTaken tell -> send(from, Integer.parseInt(tell.peer()), (to) -> {
+				case RelayEffect.RequestSync ignored -> toOthers(from, (to) -> take(to,
+						to.relay.on(new RelayEvent.SyncRequested(to.relay.now(), Integer.toString(from.index)))));
+				case RelayEffect.SendUsageUnavailable tell -> send(from, Integer.parseInt(tell.peer()),
+						(to) -> take(to, to.relay.on(new RelayEvent.UsageUnavailable(to.relay.now(),
+								Integer.toString(from.index), tell.request()))));
+				case RelayEffect.RequestLogReservation ask ->
+					send(from, Integer.parseInt(ask.peer()), (to) -> place(from, to, ask));
+				case RelayEffect.SendUsage tell -> send(from, Integer.parseInt(tell.peer()), (to) -> {
 					tell.entries().forEach((entry) -> tell(to, entry));
-					take(to, to.relay.on(new RelayEvent.TakenTold(to.relay.now(), Integer.toString(from.index),
-							tell.request(), tell.tokens(), tell.unlogged(), tell.log(), this.members.size() - 1)));
+					take(to, to.relay
+						.on(new RelayEvent.UsageReceived(to.relay.now(), Integer.toString(from.index), tell.request(),
+								tell.tokens(), tell.uncommitted(), tell.logReachable(), this.members.size() - 1)));
 				});
-				case RelayEffect.TellPlace tell -> send(from, Integer.parseInt(tell.peer()), (to) -> take(to,
-						to.relay.on(new RelayEvent.PlaceTold(to.relay.now(), tell.request(), tell.held()))));
-				case RelayEffect.TellUnlogged tell -> tellUnlogged(from, tell);
-				case RelayEffect.Send send -> this.running.add(() -> run(from, send));
-				case RelayEffect.Remind remind -> {
-					if (remind.reminder() == RelayEvent.Reminder.ORDER) {
+				case RelayEffect.SendLogDecision tell ->
+					send(from, Integer.parseInt(tell.peer()), (to) -> take(to, to.relay
+						.on(new RelayEvent.LogDecisionReceived(to.relay.now(), tell.request(), tell.admitted()))));
+				case RelayEffect.SendSync tell -> tellUnlogged(from, tell);
+				case RelayEffect.SendRequest send -> this.running.add(() -> run(from, send));
+				case RelayEffect.StartTimer remind -> {
+					if (remind.timer() == RelayEvent.TimerKind.BUDGET_DECISION) {
 						from.waiting.add(remind.exchange());
 					}
 				}
@@ -348,23 +352,23 @@
 		}
 	}
 
-	private void ask(Life from, Life to, RelayEffect.AskTaken ask) {
-		take(to, to.relay.on(new RelayEvent.TakenAsked(to.relay.now(), Integer.toString(from.index), ask.request(),
-				ask.program(), ask.most(), ask.budget(), false)));
+	private void ask(Life from, Life to, RelayEffect.RequestReservation ask) {
+		take(to, to.relay.on(new RelayEvent.ReservationRequested(to.relay.now(), Integer.toString(from.index),
+				ask.request(), ask.program(), ask.maxTokens(), ask.budget(), false)));
 	}
 
-	private void place(Life from, Life to, RelayEffect.AskPlace ask) {
-		take(to, to.relay.on(new RelayEvent.TakenAsked(to.relay.now(), Integer.toString(from.index), ask.request(),
-				ask.program(), ask.most(), ask.budget(), true)));
+	private void place(Life from, Life to, RelayEffect.RequestLogReservation ask) {
+		take(to, to.relay.on(new RelayEvent.ReservationRequested(to.relay.now(), Integer.toString(from.index),
+				ask.request(), ask.program(), ask.maxTokens(), ask.budget(), true)));
 	}
 
-	private void tellUnlogged(Life from, RelayEffect.TellUnlogged tell) {
+	private void tellUnlogged(Life from, RelayEffect.SendSync tell) {
 		List<LedgerEntry> entries = new ArrayList<>(from.unwritten);
 		entries.addAll(tell.entries());
 		send(from, Integer.parseInt(tell.peer()), (to) -> {
 			entries.forEach((entry) -> tell(to, entry));
 			if (tell.complete()) {
-				take(to, to.relay.on(new RelayEvent.PeerTold(to.relay.now(), Integer.toString(from.index),
+				take(to, to.relay.on(new RelayEvent.SyncCompleted(to.relay.now(), Integer.toString(from.index),
 						this.members.size() - 1)));
 			}
 		});
@@ -375,8 +379,8 @@
 	}
 
 	private void tell(Life from, Life to, LedgerEntry entry) {
-		take(to, to.relay
-			.on(new RelayEvent.EntriesRead(to.relay.now(), List.of(entry), Optional.of(Integer.toString(from.index)))));
+		take(to, to.relay.on(new RelayEvent.EntriesReceived(to.relay.now(), List.of(entry),
+				Optional.of(Integer.toString(from.index)))));
 	}
 
 	private void toSome(Life from, List<String> peers, Message message) {
@@ -400,7 +404,7 @@
 			.add(() -> message.arriveAt(this.members.get(to)));
 	}
 
-	private void run(Life at, RelayEffect.Send send) {
+	private void run(Life at, RelayEffect.SendRequest send) {
 		if (this.members.get(at.index) != at) {
 			return;
 		}
@@ -410,9 +414,10 @@
 				relay.on(new RelayEvent.StreamOpened(relay.now(), exchange, send.attempt(), RelayFixture.SIGNED)));
 		for (int i = 1; i <= MOST / RelayFixture.TOKENS_PER_EVENT; i++) {
 			byte[] data = { 'x' };
-			effects.addAll(relay.on(new RelayEvent.EventArrived(relay.now(), exchange, send.attempt(), i, data, data)));
+			effects.addAll(
+					relay.on(new RelayEvent.StreamEventReceived(relay.now(), exchange, send.attempt(), i, data, data)));
 		}
-		this.given += (long) RelayFixture.of(effects, RelayEffect.PassEvent.class).size()
+		this.given += (long) RelayFixture.of(effects, RelayEffect.ForwardStreamEvent.class).size()
 				* RelayFixture.TOKENS_PER_EVENT;
 		effects.addAll(relay.on(new RelayEvent.StreamEnded(relay.now(), exchange, send.attempt())));
 		take(at, effects);
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
@@ -12,8 +12,8 @@
 import io.lentilslip.core.notice.NoticeCode;
 import io.lentilslip.core.notice.NoticeField;
 import io.lentilslip.core.relay.RelayEvent.FailureCause;
-import io.lentilslip.core.relay.RelayEvent.Reach;
-import io.lentilslip.core.relay.RelayEvent.Reminder;
+import io.lentilslip.core.relay.RelayEvent.Connectivity;
+import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -25,19 +25,20 @@
 		RelayFixture relay = RelayFixture.fresh();
 		List<RelayEffect> effects = relay.ask("r1", "look");
 		assertThat(refusal(effects)).contains(Refusal.NOT_READY);
-		assertThat(RelayFixture.of(effects, RelayEffect.Refuse.class).getFirst().comeBack()).isPresent();
+		assertThat(RelayFixture.of(effects, RelayEffect.Refuse.class).getFirst().retryAfter()).isPresent();
 	}
 
 	@Test
 	void readinessFollowsTableUpstreamsLogAndTexts() {
 		RelayFixture relay = RelayFixture.fresh();
-		relay.on(new RelayEvent.TableRead(1, RelayFixture.table()));
-		relay.on(new RelayEvent.UpstreamsRead(1, List.of()));
-		assertThat(RelayFixture.of(relay.all, RelayEffect.Ready.class)).isEmpty();
+		relay.on(new RelayEvent.RouteTableUpdated(1, RelayFixture.table()));
+		relay.on(new RelayEvent.UpstreamsReplaced(1, List.of()));
+		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class)).isEmpty();
 		relay.on(RelayFixture.caughtUp(1));
-		assertThat(RelayFixture.of(relay.all, RelayEffect.Ready.class)).isEmpty();
+		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class)).isEmpty();
 		relay.on(RelayFixture.textsEnd(1));
-		assertThat(RelayFixture.of(relay.all, RelayEffect.Ready.class)).containsExactly(new RelayEffect.Ready(true));
+		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class))
+			.containsExactly(new RelayEffect.ReportReadiness(true));
 	}
 
 	// A relay has started and has not read yet who the others are, of whom three keep
@@ -46,13 +47,13 @@
 	@Test
 	void relayThatDoesNotKnowTheOthersYetTakesNoTurns() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.Opened(relay.now(), "own"));
+		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
 		RelayEffect.Refuse refused = refuse(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)));
 		assertThat(refused.refusal()).isEqualTo(Refusal.NOT_READY);
-		relay.on(new RelayEvent.RelaysListed(relay.now(), List.of(Member.of("own"))));
+		relay.on(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("own"))));
 		assertThat(sends(relay.askTurn("t2", "draft", RelayFixture.turn("p", 1000, 100, null)))).hasSize(1);
-		assertThat(RelayFixture.of(relay.all, RelayEffect.Ready.class)).containsExactly(new RelayEffect.Ready(false),
-				new RelayEffect.Ready(true));
+		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class))
+			.containsExactly(new RelayEffect.ReportReadiness(false), new RelayEffect.ReportReadiness(true));
 	}
 
 	// All relays were lost and read the log from its first record. The caller of a turn
@@ -63,8 +64,8 @@
 		RelayFixture relay = RelayFixture.fresh();
 		RelayEffect.Refuse turn = refuse(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)));
 		RelayEffect.Refuse call = refuse(relay.ask("r1", "look"));
-		assertThat(turn.comeBack()).contains(RelaySettings.COME_BACK_WHEN_READ);
-		assertThat(call.comeBack()).contains(RelaySettings.COME_BACK_LATER);
+		assertThat(turn.retryAfter()).contains(RelaySettings.COME_BACK_WHEN_READ);
+		assertThat(call.retryAfter()).contains(RelaySettings.COME_BACK_LATER);
 	}
 
 	@Test
@@ -78,7 +79,7 @@
 		RelayFixture relay = RelayFixture.ready();
 		RouteTable older = new RouteTable(0, List.of(), Map.of(), RouteTable.Limits.beforeFirstTable(),
 				Optional.empty());
-		assertThat(relay.on(new RelayEvent.TableRead(1, older))).isEmpty();
+		assertThat(relay.on(new RelayEvent.RouteTableUpdated(1, older))).isEmpty();
 		assertThat(sends(relay.ask("r1", "look"))).hasSize(1);
 	}
 
@@ -91,14 +92,14 @@
 		List<RelayEffect> effects = relay.fail(1, FailureCause.BROKEN);
 		assertThat(sends(effects)).isEmpty();
 		assertThat(refusal(effects)).contains(Refusal.ANSWER_LOST);
-		assertThat(RelayFixture.of(effects, RelayEffect.Refuse.class).getFirst().comeBack()).isEmpty();
+		assertThat(RelayFixture.of(effects, RelayEffect.Refuse.class).getFirst().retryAfter()).isEmpty();
 	}
 
 	@Test
 	void requestThatWasNotSentGoesToAnotherUpstream() {
 		RelayFixture relay = RelayFixture.ready();
 		String first = sends(relay.ask("r1", "order")).getFirst().upstream().id();
-		List<RelayEffect.Send> again = sends(relay.fail(1, FailureCause.NOT_CONNECTED));
+		List<RelayEffect.SendRequest> again = sends(relay.fail(1, FailureCause.NOT_CONNECTED));
 		assertThat(again).hasSize(1);
 		assertThat(again.getFirst().upstream().id()).isNotEqualTo(first);
 	}
@@ -108,8 +109,8 @@
 	@Test
 	void sendingTellsItsCandidates() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect.Tell> told = RelayFixture.of(relay.ask("r1", "look"), RelayEffect.Tell.class);
-		assertThat(told).singleElement().extracting(RelayEffect.Tell::notice).satisfies((notice) -> {
+		List<RelayEffect.WriteNotice> told = RelayFixture.of(relay.ask("r1", "look"), RelayEffect.WriteNotice.class);
+		assertThat(told).singleElement().extracting(RelayEffect.WriteNotice::notice).satisfies((notice) -> {
 			assertThat(notice.code()).isEqualTo(NoticeCode.REQUEST_PLACED);
 			assertThat(notice.fields()).filteredOn((field) -> field.name() == FieldName.CANDIDATES)
 				.singleElement()
@@ -134,7 +135,7 @@
 		relay.ask("r1", "look");
 		assertThat(sends(relay.fail(1, FailureCause.BROKEN))).hasSize(1);
 		List<RelayEffect> effects = relay.answer(2, RelayFixture.SIGNED);
-		assertThat(RelayFixture.of(effects, RelayEffect.Answer.class)).hasSize(1);
+		assertThat(RelayFixture.of(effects, RelayEffect.SendResponse.class)).hasSize(1);
 	}
 
 	@Test
@@ -142,7 +143,7 @@
 		RelayFixture relay = RelayFixture.ready();
 		relay.ask("r1", "order");
 		List<RelayEffect> effects = relay.answer(1, RelayFixture.UNSIGNED);
-		assertThat(RelayFixture.of(effects, RelayEffect.Answer.class)).isEmpty();
+		assertThat(RelayFixture.of(effects, RelayEffect.SendResponse.class)).isEmpty();
 		assertThat(refusal(effects)).contains(Refusal.ANSWER_LOST);
 	}
 
@@ -188,7 +189,7 @@
 		RelayFixture relay = RelayFixture.ready();
 		for (String id : List.of("s1", "s2")) {
 			Upstream gone = RelayFixture.upstream(id, RelayFixture.SHOP);
-			relay.on(new RelayEvent.UpstreamListed(2, new Upstream(id, gone.service(), gone.host(), gone.port(),
+			relay.on(new RelayEvent.UpstreamUpdated(2, new Upstream(id, gone.service(), gone.host(), gone.port(),
 					gone.zone(), gone.slots(), true, gone.born())));
 		}
 		for (int i = 0; i < 10; i++) {
@@ -204,8 +205,8 @@
 		RelayFixture relay = RelayFixture.ready();
 		List<RelayEffect> effects = new ArrayList<>();
 		for (int i = 0; i < 1000; i++) {
-			effects.addAll(relay.on(new RelayEvent.UpstreamUnusable(relay.now(), "s1", EntryProblem.ADDRESS)));
-			effects.addAll(relay.on(new RelayEvent.UpstreamUnusable(relay.now(), "junk", EntryProblem.UNREADABLE)));
+			effects.addAll(relay.on(new RelayEvent.UpstreamInvalid(relay.now(), "s1", EntryProblem.ADDRESS)));
+			effects.addAll(relay.on(new RelayEvent.UpstreamInvalid(relay.now(), "junk", EntryProblem.UNREADABLE)));
 		}
 		assertThat(notices(effects, NoticeCode.UPSTREAM_UNUSABLE)).hasSize(2);
 		for (int i = 0; i < 10; i++) {
@@ -219,14 +220,14 @@
 	void requestThatCrashedThreeLivesOfOneIdIsStopped() {
 		RelayFixture relay = RelayFixture.ready();
 		for (String other : List.of("s2", "s3")) {
-			relay.on(new RelayEvent.UpstreamGone(relay.now(), other));
+			relay.on(new RelayEvent.UpstreamRemoved(relay.now(), other));
 		}
 		for (int life = 1; life <= 3; life++) {
-			relay.on(new RelayEvent.UpstreamListed(relay.now(), RelayFixture.born("s1", RelayFixture.SHOP, life)));
+			relay.on(new RelayEvent.UpstreamUpdated(relay.now(), RelayFixture.born("s1", RelayFixture.SHOP, life)));
 			assertThat(sends(relay.ask("r" + life, "look"))).hasSize(1);
 			relay.fail(1, FailureCause.BROKEN);
 		}
-		relay.on(new RelayEvent.UpstreamListed(relay.now(), RelayFixture.born("s1", RelayFixture.SHOP, 4)));
+		relay.on(new RelayEvent.UpstreamUpdated(relay.now(), RelayFixture.born("s1", RelayFixture.SHOP, 4)));
 		assertThat(refusal(relay.ask("r4", "look"))).contains(Refusal.BLAMED);
 	}
 
@@ -234,8 +235,8 @@
 	void callerThatLeavesCancelsItsRequest() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.ask("r1", "order");
-		List<RelayEffect> effects = relay.on(new RelayEvent.CallerLeft(relay.now(), relay.exchange()));
-		assertThat(RelayFixture.of(effects, RelayEffect.Cancel.class)).hasSize(1);
+		List<RelayEffect> effects = relay.on(new RelayEvent.CallerDisconnected(relay.now(), relay.exchange()));
+		assertThat(RelayFixture.of(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
 		assertThat(relay.answer(1, RelayFixture.SIGNED)).isEmpty();
 	}
 
@@ -243,8 +244,8 @@
 	void requestWithoutAnswerIsEndedWhenItIsDue() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.ask("r1", "order");
-		List<RelayEffect> effects = relay.remind(Reminder.DUE);
-		assertThat(RelayFixture.of(effects, RelayEffect.Cancel.class)).hasSize(1);
+		List<RelayEffect> effects = relay.remind(TimerKind.DEADLINE);
+		assertThat(RelayFixture.of(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
 		assertThat(refusal(effects)).contains(Refusal.NO_ANSWER_IN_TIME);
 	}
 
@@ -371,11 +372,11 @@
 	void contendingTurnIsRefusedAsNotRunIfLogAndRelaysAreSilent() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.askTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		List<RelayEffect> asked = relay.remind(Reminder.ORDER);
+		List<RelayEffect> asked = relay.remind(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(asked)).isEmpty();
-		assertThat(RelayFixture.of(asked, RelayEffect.AskTaken.class)).hasSize(1);
-		assertThat(refusal(relay.remind(Reminder.ORDER))).isEmpty();
-		List<RelayEffect> effects = relay.remind(Reminder.ORDER);
+		assertThat(RelayFixture.of(asked, RelayEffect.RequestReservation.class)).hasSize(1);
+		assertThat(refusal(relay.remind(TimerKind.BUDGET_DECISION))).isEmpty();
+		List<RelayEffect> effects = relay.remind(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(effects)).contains(Refusal.LOG_LOST);
 		assertThat(RelayFixture.settled(effects).tokens()).isZero();
 	}
@@ -387,29 +388,31 @@
 	@Test
 	void logHasItsTimeThoughKeepersWereUnsureBefore() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.Opened(relay.now(), "own"));
-		relay.on(new RelayEvent.RelaysListed(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
+		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay
+			.on(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
 		List<RelayEffect> asked = relay.askTurn("t1", "draft", RelayFixture.turn("p", 300, 100, null));
-		assertThat(RelayFixture.of(asked, RelayEffect.AskTaken.class)).singleElement()
+		assertThat(RelayFixture.of(asked, RelayEffect.RequestReservation.class)).singleElement()
 			.satisfies((ask) -> assertThat(ask.peers()).containsExactlyInAnyOrder("a", "b", "c"));
-		relay.on(new RelayEvent.TakenUnsure(relay.now(), "a", "t1"));
-		List<RelayEffect> contends = relay.on(new RelayEvent.TakenUnsure(relay.now(), "b", "t1"));
-		assertThat(relay.remind(Reminder.ORDER)).isEmpty();
+		relay.on(new RelayEvent.UsageUnavailable(relay.now(), "a", "t1"));
+		List<RelayEffect> contends = relay.on(new RelayEvent.UsageUnavailable(relay.now(), "b", "t1"));
+		assertThat(relay.remind(TimerKind.BUDGET_DECISION)).isEmpty();
 		assertThat(sends(relay.readFromLog(RelayFixture.written(contends).getFirst()))).hasSize(1);
 	}
 
 	@Test
 	void twoKeepersOfThreeDecide() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.Opened(relay.now(), "own"));
-		relay.on(new RelayEvent.RelaysListed(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
+		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay
+			.on(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
 		relay.askTurn("t1", "draft", RelayFixture.turn("p", 300, 100, null));
-		assertThat(sends(relay.on(new RelayEvent.TakenTold(relay.now(), "a", "t1", 300, 0, true, 3)))).isEmpty();
-		assertThat(sends(relay.on(new RelayEvent.TakenTold(relay.now(), "a", "t1", 300, 0, true, 3)))).isEmpty();
-		assertThat(sends(relay.on(new RelayEvent.TakenTold(relay.now(), "c", "t1", 100, 0, true, 3)))).hasSize(1);
+		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 300, 0, true, 3)))).isEmpty();
+		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 300, 0, true, 3)))).isEmpty();
+		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "c", "t1", 100, 0, true, 3)))).hasSize(1);
 		relay.askTurn("t2", "draft", RelayFixture.turn("p", 300, 100, null));
-		relay.on(new RelayEvent.TakenTold(relay.now(), "a", "t2", 400, 0, true, 3));
-		assertThat(refusal(relay.on(new RelayEvent.TakenTold(relay.now(), "b", "t2", 100, 0, true, 3))))
+		relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t2", 400, 0, true, 3));
+		assertThat(refusal(relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t2", 100, 0, true, 3))))
 			.contains(Refusal.BUDGET_SPENT);
 	}
 
@@ -420,11 +423,12 @@
 	@Test
 	void logIsAskedOnceItHasNotShownHalfOfTheBudget() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.Opened(relay.now(), "own"));
-		relay.on(new RelayEvent.RelaysListed(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
+		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay
+			.on(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
 		relay.askTurn("t1", "draft", RelayFixture.turn("p", 600, 100, null));
-		relay.on(new RelayEvent.TakenTold(relay.now(), "a", "t1", 400, 301, true, 3));
-		List<RelayEffect> told = relay.on(new RelayEvent.TakenTold(relay.now(), "b", "t1", 400, 250, true, 3));
+		relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 400, 301, true, 3));
+		List<RelayEffect> told = relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 400, 250, true, 3));
 		assertThat(sends(told)).isEmpty();
 		assertThat(sends(relay.readFromLog(RelayFixture.written(told).getFirst()))).hasSize(1);
 	}
@@ -437,12 +441,12 @@
 	void relayWithoutTheLogAsksTheOthersAtOnce() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.askTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		List<RelayEffect> lost = relay.on(new RelayEvent.ReachChanged(relay.now(), Reach.RELAYS));
-		assertThat(RelayFixture.of(lost, RelayEffect.AskTaken.class)).hasSize(1);
+		List<RelayEffect> lost = relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
+		assertThat(RelayFixture.of(lost, RelayEffect.RequestReservation.class)).hasSize(1);
 		List<RelayEffect> asked = relay.askTurn("t2", "draft", RelayFixture.turn("q", 100, 100, null));
-		assertThat(RelayFixture.of(asked, RelayEffect.AskTaken.class)).hasSize(1);
+		assertThat(RelayFixture.of(asked, RelayEffect.RequestReservation.class)).hasSize(1);
 		assertThat(sends(asked)).isEmpty();
-		List<RelayEffect> due = relay.remind(Reminder.ORDER);
+		List<RelayEffect> due = relay.remind(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(due)).contains(Refusal.LOG_LOST);
 		assertThat(RelayFixture.settled(due).tokens()).isZero();
 		assertThat(sends(relay.askTurn("t3", "draft", RelayFixture.turn("r", 1000, 100, null)))).hasSize(1);
@@ -451,12 +455,12 @@
 	@Test
 	void turnRunsWithoutTheLogIfAMajorityKnowsOfLessThanHalfOfTheBudget() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ReachChanged(relay.now(), Reach.RELAYS));
+		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		relay.askTurn("t1", "draft", RelayFixture.turn("p", 400, 100, null));
-		assertThat(sends(relay.on(new RelayEvent.TakenTold(relay.now(), "a", "t1", 200, 0, false, 4)))).isEmpty();
-		assertThat(sends(relay.on(new RelayEvent.TakenTold(relay.now(), "a", "t1", 100, 0, false, 4)))).isEmpty();
-		assertThat(sends(relay.on(new RelayEvent.TakenTold(relay.now(), "b", "t1", 100, 0, false, 4)))).hasSize(1);
-		assertThat(relay.on(new RelayEvent.TakenTold(relay.now(), "c", "t1", 100, 0, false, 4))).isEmpty();
+		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 200, 0, false, 4)))).isEmpty();
+		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, false, 4)))).isEmpty();
+		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, false, 4)))).hasSize(1);
+		assertThat(relay.on(new RelayEvent.UsageReceived(relay.now(), "c", "t1", 100, 0, false, 4))).isEmpty();
 	}
 
 	// What is given without the log is in no log if all relays are lost. The second half
@@ -464,10 +468,10 @@
 	@Test
 	void turnInTheSecondHalfOfTheBudgetWaitsForTheLog() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ReachChanged(relay.now(), Reach.RELAYS));
+		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		relay.askTurn("t1", "draft", RelayFixture.turn("p", 400, 100, null));
-		relay.on(new RelayEvent.TakenTold(relay.now(), "a", "t1", 100, 0, false, 4));
-		List<RelayEffect> told = relay.on(new RelayEvent.TakenTold(relay.now(), "b", "t1", 300, 0, false, 4));
+		relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, false, 4));
+		List<RelayEffect> told = relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 300, 0, false, 4));
 		assertThat(refusal(told)).contains(Refusal.LOG_LOST);
 		assertThat(RelayFixture.settled(told).tokens()).isZero();
 	}
@@ -477,12 +481,12 @@
 	@Test
 	void relayThatReachesTheLogDecidesForOneThatDoesNot() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ReachChanged(relay.now(), Reach.RELAYS));
+		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		relay.askTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		List<RelayEffect> told = relay.on(new RelayEvent.TakenTold(relay.now(), "a", "t1", 100, 0, true, 2));
-		assertThat(told).containsExactly(new RelayEffect.AskPlace("a", "t1", "p", 100, 100));
-		assertThat(sends(relay.on(new RelayEvent.TakenTold(relay.now(), "b", "t1", 100, 0, false, 2)))).isEmpty();
-		List<RelayEffect> placed = relay.on(new RelayEvent.PlaceTold(relay.now(), "t1", true));
+		List<RelayEffect> told = relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, true, 2));
+		assertThat(told).containsExactly(new RelayEffect.RequestLogReservation("a", "t1", "p", 100, 100));
+		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, false, 2)))).isEmpty();
+		List<RelayEffect> placed = relay.on(new RelayEvent.LogDecisionReceived(relay.now(), "t1", true));
 		assertThat(sends(placed)).hasSize(1);
 		assertThat(notices(placed, NoticeCode.TURN_DECIDED).getFirst().fields())
 			.contains(new NoticeField(FieldName.REASON, "PLACE"), new NoticeField(FieldName.VERDICT, "HELD"));
@@ -522,9 +526,9 @@
 	}
 
 	private static List<Measurement> copies(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.Measure.class)
+		return RelayFixture.of(effects, RelayEffect.RecordMeasurement.class)
 			.stream()
-			.map(RelayEffect.Measure::measurement)
+			.map(RelayEffect.RecordMeasurement::measurement)
 			.filter(Measurement.LogCopies.class::isInstance)
 			.toList();
 	}
@@ -539,9 +543,9 @@
 	}
 
 	private static List<Notice> notices(List<RelayEffect> effects, NoticeCode code) {
-		return RelayFixture.of(effects, RelayEffect.Tell.class)
+		return RelayFixture.of(effects, RelayEffect.WriteNotice.class)
 			.stream()
-			.map(RelayEffect.Tell::notice)
+			.map(RelayEffect.WriteNotice::notice)
 			.filter((notice) -> notice.code() == code)
 			.toList();
 	}
@@ -552,46 +556,48 @@
 	@Test
 	void oneRelayAfterTheOtherIsAskedForAPlace() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ReachChanged(relay.now(), Reach.RELAYS));
+		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		relay.askTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		relay.on(new RelayEvent.TakenTold(relay.now(), "a", "t1", 100, 0, true, 2));
-		assertThat(relay.on(new RelayEvent.TakenTold(relay.now(), "b", "t1", 100, 0, true, 2))).isEmpty();
-		assertThat(relay.remind(Reminder.ORDER)).contains(new RelayEffect.AskPlace("b", "t1", "p", 100, 100));
-		assertThat(refusal(relay.remind(Reminder.ORDER))).contains(Refusal.LOG_LOST);
+		relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, true, 2));
+		assertThat(relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, true, 2))).isEmpty();
+		assertThat(relay.remind(TimerKind.BUDGET_DECISION))
+			.contains(new RelayEffect.RequestLogReservation("b", "t1", "p", 100, 100));
+		assertThat(refusal(relay.remind(TimerKind.BUDGET_DECISION))).contains(Refusal.LOG_LOST);
 	}
 
 	@Test
 	void placeInTheLogIsGotForAnotherRelay() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.told(new LedgerEntry.Reserved("t1", "p", 100, "", List.of(), false));
-		List<RelayEffect> asked = relay.on(new RelayEvent.TakenAsked(relay.now(), "peer", "t1", "p", 100, 100, true));
+		List<RelayEffect> asked = relay
+			.on(new RelayEvent.ReservationRequested(relay.now(), "peer", "t1", "p", 100, 100, true));
 		List<RelayEffect> read = relay.readFromLog(RelayFixture.written(asked).toArray(new LedgerEntry[0]));
-		assertThat(RelayFixture.of(read, RelayEffect.TellPlace.class))
-			.containsExactly(new RelayEffect.TellPlace("peer", "t1", true));
+		assertThat(RelayFixture.of(read, RelayEffect.SendLogDecision.class))
+			.containsExactly(new RelayEffect.SendLogDecision("peer", "t1", true));
 	}
 
 	@Test
 	void questionIsAnsweredWithAllThatIsTakenAndWhatTheLogHasNotShown() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ReachChanged(relay.now(), Reach.RELAYS));
+		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		LedgerEntry settled = new LedgerEntry.Settled("t0", "p", 30, Optional.empty());
 		LedgerEntry reserved = new LedgerEntry.Reserved("t1", "p", 100, "", List.of(), false);
 		relay.told(settled);
 		relay.told(reserved);
-		assertThat(relay.on(new RelayEvent.TakenAsked(relay.now(), "peer", "t1", "p", 100, 400, false)))
+		assertThat(relay.on(new RelayEvent.ReservationRequested(relay.now(), "peer", "t1", "p", 100, 400, false)))
 			.containsExactly(
-					new RelayEffect.TellTaken("peer", "t1", 130, 130, false, List.of(settled, reserved), List.of()));
+					new RelayEffect.SendUsage("peer", "t1", 130, 130, false, List.of(settled, reserved), List.of()));
 	}
 
 	@Test
 	void relayThatMayMissTurnsAnswersNoQuestion() {
 		RelayFixture woken = RelayFixture.ready();
-		woken.on(new RelayEvent.Woken(woken.now(), Duration.ofSeconds(4)));
-		assertThat(woken.on(new RelayEvent.TakenAsked(woken.now(), "peer", "t1", "p", 100, 400, false)))
-			.containsExactly(new RelayEffect.TellUnsure("peer", "t1"));
+		woken.on(new RelayEvent.ProcessResumed(woken.now(), Duration.ofSeconds(4)));
+		assertThat(woken.on(new RelayEvent.ReservationRequested(woken.now(), "peer", "t1", "p", 100, 400, false)))
+			.containsExactly(new RelayEffect.SendUsageUnavailable("peer", "t1"));
 		RelayFixture lost = RelayFixture.readyAfterLoss();
-		assertThat(lost.on(new RelayEvent.TakenAsked(lost.now(), "peer", "t1", "p", 100, 400, false)))
-			.containsExactly(new RelayEffect.TellUnsure("peer", "t1"));
+		assertThat(lost.on(new RelayEvent.ReservationRequested(lost.now(), "peer", "t1", "p", 100, 400, false)))
+			.containsExactly(new RelayEffect.SendUsageUnavailable("peer", "t1"));
 	}
 
 	// All relays were lost, perhaps in an outage in which a program was given half of its
@@ -604,8 +610,8 @@
 		relay.readFromLog(new LedgerEntry.Settled("t0", "p", 310, Optional.empty()));
 		assertThat(refusal(relay.askTurn("t1", "draft", RelayFixture.turn("p", 600, 150, null))))
 			.contains(Refusal.BUDGET_SPENT);
-		relay.on(new RelayEvent.PeerTold(relay.now(), "a", 2));
-		relay.on(new RelayEvent.PeerTold(relay.now(), "b", 2));
+		relay.on(new RelayEvent.SyncCompleted(relay.now(), "a", 2));
+		relay.on(new RelayEvent.SyncCompleted(relay.now(), "b", 2));
 		assertThat(refusal(relay.askTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
 	}
 
@@ -615,7 +621,7 @@
 	@Test
 	void wokenRelayDecidesOnTurnsWhenItHasReadTheLog() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect> woken = relay.on(new RelayEvent.Woken(relay.now(), Duration.ofSeconds(4)));
+		List<RelayEffect> woken = relay.on(new RelayEvent.ProcessResumed(relay.now(), Duration.ofSeconds(4)));
 		assertThat(RelayFixture.of(woken, RelayEffect.CatchUp.class)).hasSize(1);
 		assertThat(sends(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)))).isEmpty();
 		relay.readFromLog(new LedgerEntry.Settled("t0", "p", 1000, Optional.empty()));
@@ -627,9 +633,9 @@
 	@Test
 	void wokenRelayThatCannotReadTheLogRefusesTurnsAsNotRun() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.Woken(relay.now(), Duration.ofSeconds(4)));
+		relay.on(new RelayEvent.ProcessResumed(relay.now(), Duration.ofSeconds(4)));
 		relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null));
-		assertThat(refusal(relay.remind(Reminder.CHAIN))).contains(Refusal.NOT_READY);
+		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).contains(Refusal.NOT_READY);
 		assertThat(sends(relay.ask("r1", "look"))).hasSize(1);
 	}
 
@@ -638,7 +644,7 @@
 	@Test
 	void isolatedRelayRunsNoTurns() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ReachChanged(relay.now(), Reach.NOTHING));
+		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.NOTHING));
 		assertThat(refusal(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null))))
 			.contains(Refusal.ISOLATED);
 		assertThat(sends(relay.ask("r1", "look"))).hasSize(1);
@@ -654,7 +660,7 @@
 		List<RelayEffect> effects = relay.fail(1, FailureCause.BROKEN);
 		assertThat(RelayFixture.settled(effects).tokens()).isEqualTo(2 * RelayFixture.TOKENS_PER_EVENT);
 		assertThat(RelayFixture.settled(effects).text()).isEmpty();
-		assertThat(RelayFixture.of(effects, RelayEffect.BreakOff.class)).hasSize(1);
+		assertThat(RelayFixture.of(effects, RelayEffect.AbortConnection.class)).hasSize(1);
 	}
 
 	// An upstream dies in the middle of a stream that may be resumed. The caller sees one
@@ -666,11 +672,11 @@
 		relay.open(1);
 		relay.event(1, 1);
 		relay.event(1, 2);
-		RelayEffect.Send again = sends(relay.fail(1, FailureCause.BROKEN)).getFirst();
+		RelayEffect.SendRequest again = sends(relay.fail(1, FailureCause.BROKEN)).getFirst();
 		assertThat(again.lastEvent()).hasValue(2);
 		assertThat(RelayFixture.of(relay.open(2), RelayEffect.OpenStream.class)).isEmpty();
-		assertThat(RelayFixture.of(relay.event(2, 2), RelayEffect.PassEvent.class)).isEmpty();
-		assertThat(RelayFixture.of(relay.event(2, 3), RelayEffect.PassEvent.class)).hasSize(1);
+		assertThat(RelayFixture.of(relay.event(2, 2), RelayEffect.ForwardStreamEvent.class)).isEmpty();
+		assertThat(RelayFixture.of(relay.event(2, 3), RelayEffect.ForwardStreamEvent.class)).hasSize(1);
 		assertThat(ends(relay.end(2))).hasSize(1);
 	}
 
@@ -681,20 +687,20 @@
 		RelayFixture relay = RelayFixture.ready();
 		String first = sends(relay.ask("r1", "look")).getFirst().upstream().id();
 		relay.pass(200);
-		List<RelayEffect> effects = relay.remind(Reminder.SILENCE);
-		assertThat(RelayFixture.of(effects, RelayEffect.Cancel.class)).hasSize(1);
+		List<RelayEffect> effects = relay.remind(TimerKind.UPSTREAM_IDLE);
+		assertThat(RelayFixture.of(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
 		assertThat(sends(effects)).singleElement()
 			.satisfies((send) -> assertThat(send.upstream().id()).isNotEqualTo(first));
 		assertThat(relay.answer(1, RelayFixture.SIGNED)).isEmpty();
-		assertThat(RelayFixture.of(relay.answer(2, RelayFixture.SIGNED), RelayEffect.Answer.class)).hasSize(1);
+		assertThat(RelayFixture.of(relay.answer(2, RelayFixture.SIGNED), RelayEffect.SendResponse.class)).hasSize(1);
 	}
 
 	@Test
 	void requestThatRunsOnceStaysWithASilentUpstream() {
 		RelayFixture relay = RelayFixture.ready();
 		List<RelayEffect> asked = relay.ask("r1", "order");
-		assertThat(RelayFixture.of(asked, RelayEffect.Remind.class)).extracting(RelayEffect.Remind::reminder)
-			.containsExactly(Reminder.DUE);
+		assertThat(RelayFixture.of(asked, RelayEffect.StartTimer.class)).extracting(RelayEffect.StartTimer::timer)
+			.containsExactly(TimerKind.DEADLINE);
 	}
 
 	// All upstreams are full, so the silence is a queue. At the end of another queue the
@@ -706,9 +712,9 @@
 			relay.ask("r" + i, "look");
 		}
 		relay.pass(200);
-		List<RelayEffect> effects = relay.remind(Reminder.SILENCE);
+		List<RelayEffect> effects = relay.remind(TimerKind.UPSTREAM_IDLE);
 		assertThat(sends(effects)).isEmpty();
-		assertThat(RelayFixture.of(effects, RelayEffect.Remind.class)).hasSize(1);
+		assertThat(RelayFixture.of(effects, RelayEffect.StartTimer.class)).hasSize(1);
 	}
 
 	// A stream that may be resumed falls silent after its second event: it goes on at
@@ -722,9 +728,9 @@
 		relay.event(1, 1);
 		relay.event(1, 2);
 		relay.pass(300);
-		assertThat(sends(relay.remind(Reminder.SILENCE))).isEmpty();
+		assertThat(sends(relay.remind(TimerKind.UPSTREAM_IDLE))).isEmpty();
 		relay.pass(700);
-		RelayEffect.Send again = sends(relay.remind(Reminder.SILENCE)).getFirst();
+		RelayEffect.SendRequest again = sends(relay.remind(TimerKind.UPSTREAM_IDLE)).getFirst();
 		assertThat(again.lastEvent()).hasValue(2);
 	}
 
@@ -735,12 +741,12 @@
 		relay.open(1);
 		relay.event(1, 1);
 		List<RelayEffect> effects = relay.event(1, 3);
-		assertThat(RelayFixture.of(effects, RelayEffect.PassEvent.class)).isEmpty();
-		assertThat(RelayFixture.of(effects, RelayEffect.BreakOff.class)).hasSize(1);
+		assertThat(RelayFixture.of(effects, RelayEffect.ForwardStreamEvent.class)).isEmpty();
+		assertThat(RelayFixture.of(effects, RelayEffect.AbortConnection.class)).hasSize(1);
 	}
 
-	private static List<RelayEffect.Send> sends(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.Send.class);
+	private static List<RelayEffect.SendRequest> sends(List<RelayEffect> effects) {
+		return RelayFixture.of(effects, RelayEffect.SendRequest.class);
 	}
 
 	private static List<RelayEffect.EndStream> ends(List<RelayEffect> effects) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TeamTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TeamTests.java
@@ -21,7 +21,7 @@
 			teams.put(KeyDigest.of("key of " + name), new Team(name, OptionalInt.empty(), Optional.empty()));
 		}
 		RouteTable plain = RelayFixture.table();
-		this.relay.on(new RelayEvent.TableRead(this.relay.now(),
+		this.relay.on(new RelayEvent.RouteTableUpdated(this.relay.now(),
 				new RouteTable(2, plain.routes(), plain.services(), plain.limits(), Optional.of(new Teams(teams)))));
 		this.relay.all.clear();
 	}
@@ -31,13 +31,13 @@
 	void keyThatNoTeamHoldsIsRefused() {
 		assertThat(refusal(ask("r1", "look", Optional.of("key of nobody"), null))).isEqualTo(Refusal.KEY_UNKNOWN);
 		assertThat(refusal(ask("r2", "look", Optional.empty(), null))).isEqualTo(Refusal.KEY_UNKNOWN);
-		assertThat(RelayFixture.of(this.relay.all, RelayEffect.Send.class)).isEmpty();
+		assertThat(RelayFixture.of(this.relay.all, RelayEffect.SendRequest.class)).isEmpty();
 	}
 
 	@Test
 	void upstreamReceivesTheTeam() {
-		RelayEffect.Send send = RelayFixture
-			.of(ask("r1", "look", Optional.of("key of red"), null), RelayEffect.Send.class)
+		RelayEffect.SendRequest send = RelayFixture
+			.of(ask("r1", "look", Optional.of("key of red"), null), RelayEffect.SendRequest.class)
 			.getFirst();
 		assertThat(send.caller()).isInstanceOfSatisfying(CallerIdentity.OfTeam.class,
 				(of) -> assertThat(of.team().name()).isEqualTo("red"));
@@ -53,9 +53,9 @@
 		this.relay.stored("red/t1");
 		List<RelayEffect> other = ask("t2", "chat", Optional.of("key of blue"),
 				RelayFixture.turn("p", 1000, 100, "t1"));
-		assertThat(RelayFixture.of(other, RelayEffect.Send.class)).isEmpty();
+		assertThat(RelayFixture.of(other, RelayEffect.SendRequest.class)).isEmpty();
 		List<RelayEffect> own = ask("t3", "chat", Optional.of("key of red"), RelayFixture.turn("p", 1000, 100, "t1"));
-		assertThat(RelayFixture.of(own, RelayEffect.Send.class)).hasSize(1);
+		assertThat(RelayFixture.of(own, RelayEffect.SendRequest.class)).hasSize(1);
 	}
 
 	// Two teams give programs the same name, and the one's turns are counted in the
@@ -71,7 +71,8 @@
 
 	private int sends(String key, String turn) {
 		return RelayFixture
-			.of(ask(turn, "draft", Optional.of(key), RelayFixture.turn("p", 600, 100, null)), RelayEffect.Send.class)
+			.of(ask(turn, "draft", Optional.of(key), RelayFixture.turn("p", 600, 100, null)),
+					RelayEffect.SendRequest.class)
 			.size();
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.Set;
 
-import io.lentilslip.core.relay.RelayEvent.Reach;
-import io.lentilslip.core.relay.RelayEvent.Reminder;
+import io.lentilslip.core.relay.RelayEvent.Connectivity;
+import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -16,11 +16,11 @@
 	@Test
 	void turnIsGivenItsWholeChain() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.TextsTold(relay.now(), List.of(RelayFixture.text("t1", null, "in1;", "out1;"),
+		relay.on(new RelayEvent.TextsReceived(relay.now(), List.of(RelayFixture.text("t1", null, "in1;", "out1;"),
 				RelayFixture.text("t2", "t1", "in2;", "out2;"))));
-		RelayEffect.Send send = sends(relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2")))
+		RelayEffect.SendRequest send = sends(relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2")))
 			.getFirst();
-		assertThat(new String(send.chain())).isEqualTo("in1;out1;in2;out2;");
+		assertThat(new String(send.prefix())).isEqualTo("in1;out1;in2;out2;");
 	}
 
 	// A caller sends a turn that no record of the log can hold. Run, its end would wait
@@ -56,20 +56,20 @@
 	void relayWithoutTheLogAsksTheKeepersWhereATextIs() {
 		RelayFixture relay = RelayFixture.ready();
 		List<Member> members = List.of(Member.of("a"), Member.of("b"), Member.of("c"));
-		relay.on(new RelayEvent.Opened(relay.now(), "own"));
-		relay.on(new RelayEvent.RelaysListed(relay.now(), members));
-		relay.on(new RelayEvent.ReachChanged(relay.now(), Reach.RELAYS));
+		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.on(new RelayEvent.MembershipUpdated(relay.now(), members));
+		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		List<RelayEffect> asked = relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
-		assertThat(RelayFixture.of(asked, RelayEffect.AskPlaces.class)).singleElement().satisfies((ask) -> {
+		assertThat(RelayFixture.of(asked, RelayEffect.RequestTextLocations.class)).singleElement().satisfies((ask) -> {
 			assertThat(ask.peers()).containsExactlyInAnyOrder("a", "b", "c");
 			assertThat(ask.request()).isEqualTo("t2");
 		});
 		assertThat(RelayFixture.of(asked, RelayEffect.ReadLog.class)).isEmpty();
 		TextPlace place = new TextPlace(Optional.empty(), 9, 5, 17, Optional.of("b"));
 		List<RelayEffect> told = relay
-			.on(new RelayEvent.PlacesTold(relay.now(), "a", List.of(new PlacedTurn("t2", place))));
-		assertThat(RelayFixture.of(told, RelayEffect.AskTexts.class))
-			.containsExactly(new RelayEffect.AskTexts("b", List.of("t2")));
+			.on(new RelayEvent.TextLocationsReceived(relay.now(), "a", List.of(new PlacedTurn("t2", place))));
+		assertThat(RelayFixture.of(told, RelayEffect.RequestTexts.class))
+			.containsExactly(new RelayEffect.RequestTexts("b", List.of("t2")));
 	}
 
 	// The store takes a quarter of a second for an answer. The turn before ended at
@@ -80,10 +80,10 @@
 	@Test
 	void keepersAreAskedWhereATextIsWhileTheLogIsRead() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.Opened(relay.now(), "own"));
-		relay.on(new RelayEvent.RelaysListed(relay.now(), List.of(Member.of("a"), Member.of("b"))));
+		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.on(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"))));
 		List<RelayEffect> asked = relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
-		assertThat(RelayFixture.of(asked, RelayEffect.AskPlaces.class)).hasSize(1);
+		assertThat(RelayFixture.of(asked, RelayEffect.RequestTextLocations.class)).hasSize(1);
 		assertThat(RelayFixture.of(asked, RelayEffect.ReadLog.class)).hasSize(1);
 	}
 
@@ -91,10 +91,10 @@
 	void keeperTellsWhereTheTextsOfAChainAre() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.told(RelayFixture.kept("t1", null), RelayFixture.kept("t2", "t1"));
-		assertThat(relay.on(new RelayEvent.PlacesAsked(relay.now(), "peer", "t2")))
-			.containsExactly(new RelayEffect.TellPlaces("peer", List.of(new PlacedTurn("t2", RelayFixture.place("t1")),
-					new PlacedTurn("t1", RelayFixture.place(null)))));
-		assertThat(relay.on(new RelayEvent.PlacesAsked(relay.now(), "peer", "t9"))).isEmpty();
+		assertThat(relay.on(new RelayEvent.TextLocationsRequested(relay.now(), "peer", "t2")))
+			.containsExactly(new RelayEffect.SendTextLocations("peer", List
+				.of(new PlacedTurn("t2", RelayFixture.place("t1")), new PlacedTurn("t1", RelayFixture.place(null)))));
+		assertThat(relay.on(new RelayEvent.TextLocationsRequested(relay.now(), "peer", "t9"))).isEmpty();
 	}
 
 	// The turn before is not found in time. It may exist where this relay can't see it,
@@ -104,7 +104,7 @@
 	void turnWhoseChainIsNotFoundIsCalledUncertain() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
-		assertThat(refusal(relay.remind(Reminder.CHAIN))).contains(Refusal.TURN_UNCERTAIN);
+		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).contains(Refusal.TURN_UNCERTAIN);
 	}
 
 	// A relay that dies right after a caller saw the end of a turn must not take the turn
@@ -114,13 +114,13 @@
 		RelayFixture relay = RelayFixture.ready();
 		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
-		assertThat(RelayFixture.of(relay.event(1, 1), RelayEffect.PassEvent.class)).hasSize(1);
+		assertThat(RelayFixture.of(relay.event(1, 1), RelayEffect.ForwardStreamEvent.class)).hasSize(1);
 		List<RelayEffect> atEnd = relay.end(1);
 		assertThat(RelayFixture.of(atEnd, RelayEffect.EndStream.class)).isEmpty();
 		assertThat(RelayFixture.of(atEnd, RelayEffect.StoreText.class)).singleElement()
 			.satisfies((store) -> assertThat(new String(store.text().output())).isEqualTo("piece 1\n"));
 		assertThat(RelayFixture.settled(atEnd).text().map(TextPlace::part)).contains(RelayFixture.PART);
-		assertThat(ends(relay.on(new RelayEvent.Stored(relay.now(), Set.of("t1"))))).isEmpty();
+		assertThat(ends(relay.on(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1"))))).isEmpty();
 		assertThat(ends(relay.on(textsStored(relay, "t1")))).hasSize(1);
 	}
 
@@ -131,7 +131,7 @@
 		relay.open(1);
 		relay.end(1);
 		assertThat(ends(relay.on(textsStored(relay, "t1")))).isEmpty();
-		assertThat(ends(relay.on(new RelayEvent.Stored(relay.now(), Set.of("t1"))))).hasSize(1);
+		assertThat(ends(relay.on(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1"))))).hasSize(1);
 	}
 
 	// The store turns this relay away and serves others. The turn's end waits for the log
@@ -143,10 +143,10 @@
 		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.end(1);
-		List<RelayEffect> due = relay.remind(Reminder.STORED);
-		assertThat(RelayFixture.of(due, RelayEffect.AskForHelp.class)).hasSize(1);
+		List<RelayEffect> due = relay.remind(TimerKind.LOG_WRITE);
+		assertThat(RelayFixture.of(due, RelayEffect.RequestTurnWrite.class)).hasSize(1);
 		assertThat(ends(due)).isEmpty();
-		assertThat(ends(relay.on(new RelayEvent.Helped(relay.now(), Set.of("t1"))))).hasSize(1);
+		assertThat(ends(relay.on(new RelayEvent.TurnWritesAcknowledged(relay.now(), Set.of("t1"))))).hasSize(1);
 	}
 
 	// Where the relay knows already that it does not reach the log, nothing is gained by
@@ -154,10 +154,10 @@
 	@Test
 	void relayWithoutTheLogAsksForHelpAtOnce() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ReachChanged(relay.now(), Reach.RELAYS));
+		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
-		List<RelayEffect.Remind> reminds = RelayFixture.of(relay.end(1), RelayEffect.Remind.class);
+		List<RelayEffect.StartTimer> reminds = RelayFixture.of(relay.end(1), RelayEffect.StartTimer.class);
 		assertThat(reminds).singleElement()
 			.satisfies((remind) -> assertThat(remind.delay()).isEqualTo(RelaySettings.TELLING));
 	}
@@ -165,14 +165,15 @@
 	@Test
 	void helpIsGivenOnceAndTold() {
 		RelayFixture relay = RelayFixture.ready();
-		RelayEvent.HelpAsked asked = helpAsked(relay, "t1");
+		RelayEvent.TurnWriteRequested asked = helpAsked(relay, "t1");
 		List<RelayEffect> helping = relay.on(asked);
 		assertThat(RelayFixture.settled(helping).tokens()).isEqualTo(10);
 		assertThat(RelayFixture.settled(helping).text().map(TextPlace::part)).contains(RelayFixture.PART);
 		assertThat(RelayFixture.of(helping, RelayEffect.StoreText.class)).hasSize(1);
 		assertThat(relay.on(asked)).isEmpty();
-		assertThat(relay.on(new RelayEvent.Stored(relay.now(), Set.of("t1")))).isEmpty();
-		assertThat(relay.on(textsStored(relay, "t1"))).containsExactly(new RelayEffect.TellStored("peer", "t1"));
+		assertThat(relay.on(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1")))).isEmpty();
+		assertThat(relay.on(textsStored(relay, "t1")))
+			.containsExactly(new RelayEffect.AcknowledgeTurnWrite("peer", "t1"));
 	}
 
 	// The log is slow for all. Relays that are asked for help would write each turn twice
@@ -207,19 +208,19 @@
 	@Test
 	void textIsAskedOfTheRelayThatRanItsTurnAndReadFromTheLogIfItDoesNotAnswer() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.PeerLinked(relay.now(), "teller"));
+		relay.on(new RelayEvent.PeerConnected(relay.now(), "teller"));
 		relay.told(RelayFixture.kept("t1", null), RelayFixture.kept("t2", "t1"));
 		List<RelayEffect> effects = relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
-		assertThat(RelayFixture.of(effects, RelayEffect.AskTexts.class))
-			.containsExactly(new RelayEffect.AskTexts("teller", List.of("t2", "t1")));
+		assertThat(RelayFixture.of(effects, RelayEffect.RequestTexts.class))
+			.containsExactly(new RelayEffect.RequestTexts("teller", List.of("t2", "t1")));
 		assertThat(RelayFixture.of(effects, RelayEffect.ReadText.class)).isEmpty();
-		relay.on(new RelayEvent.TextsTold(relay.now(), List.of(RelayFixture.text("t2", "t1", "in2;", "out2;"))));
-		List<RelayEffect> due = relay.remind(Reminder.TEXTS);
+		relay.on(new RelayEvent.TextsReceived(relay.now(), List.of(RelayFixture.text("t2", "t1", "in2;", "out2;"))));
+		List<RelayEffect> due = relay.remind(TimerKind.TEXT_FETCH);
 		assertThat(RelayFixture.of(due, RelayEffect.ReadText.class)).singleElement()
 			.satisfies((read) -> assertThat(read.request()).isEqualTo("t1"));
 		List<RelayEffect> read = relay.on(new RelayEvent.TextRead(relay.now(), "t1",
 				Optional.of(RelayFixture.text("t1", null, "in1;", "out1;").text())));
-		assertThat(new String(sends(read).getFirst().chain())).isEqualTo("in1;out1;in2;out2;");
+		assertThat(new String(sends(read).getFirst().prefix())).isEqualTo("in1;out1;in2;out2;");
 	}
 
 	// A relay has started and has not heard yet where its partition of the texts ends. It
@@ -228,13 +229,14 @@
 	@Test
 	void relayThatDoesNotKnowWhereItsTextsGoTakesNoTurnsWhoseTextsAreKept() {
 		RelayFixture relay = RelayFixture.beforeTexts();
-		assertThat(RelayFixture.of(relay.all, RelayEffect.Ready.class)).isEmpty();
+		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class)).isEmpty();
 		assertThat(refusal(relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null))))
 			.contains(Refusal.NOT_READY);
 		assertThat(sends(relay.askTurn("t2", "draft", RelayFixture.turn("p", 10_000, 100, null)))).hasSize(1);
 		assertThat(relay.on(helpAsked(relay, "t0"))).isEmpty();
 		relay.on(new RelayEvent.TextsStored(relay.now(), Set.of(), 0, Duration.ZERO));
-		assertThat(RelayFixture.of(relay.all, RelayEffect.Ready.class)).containsExactly(new RelayEffect.Ready(true));
+		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class))
+			.containsExactly(new RelayEffect.ReportReadiness(true));
 		assertThat(sends(relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, null)))).hasSize(1);
 	}
 
@@ -242,9 +244,9 @@
 	void relayThatRanATurnSendsItsTextToWhoAsks() {
 		RelayFixture relay = RelayFixture.ready();
 		TurnText text = RelayFixture.text("t1", null, "in;", "out;");
-		relay.on(new RelayEvent.TextsTold(relay.now(), List.of(text)));
-		assertThat(relay.on(new RelayEvent.TextsAsked(relay.now(), "peer", Set.of("t1", "t0"))))
-			.containsExactly(new RelayEffect.TellTexts("peer", List.of(text)));
+		relay.on(new RelayEvent.TextsReceived(relay.now(), List.of(text)));
+		assertThat(relay.on(new RelayEvent.TextsRequested(relay.now(), "peer", Set.of("t1", "t0"))))
+			.containsExactly(new RelayEffect.SendTexts("peer", List.of(text)));
 	}
 
 	// All relays were lost, and the texts of a chain are read from the log, which takes
@@ -256,8 +258,8 @@
 		RelayFixture relay = RelayFixture.ready();
 		relay.readFromLog(RelayFixture.kept("t1", null));
 		relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
-		assertThat(refusal(relay.remind(Reminder.CHAIN))).isEmpty();
-		assertThat(refusal(relay.remind(Reminder.CHAIN))).contains(Refusal.TURN_UNCERTAIN);
+		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).isEmpty();
+		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).contains(Refusal.TURN_UNCERTAIN);
 	}
 
 	@Test
@@ -266,7 +268,7 @@
 		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.end(1);
-		assertThat(RelayFixture.of(relay.remind(Reminder.DUE), RelayEffect.BreakOff.class)).hasSize(1);
+		assertThat(RelayFixture.of(relay.remind(TimerKind.DEADLINE), RelayEffect.AbortConnection.class)).hasSize(1);
 	}
 
 	// The log was slow for this relay once, and it has kept no turn since. Minutes later
@@ -289,9 +291,9 @@
 		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.end(1);
-		relay.on(new RelayEvent.TextsTold(relay.now(),
+		relay.on(new RelayEvent.TextsReceived(relay.now(),
 				List.of(RelayFixture.text("other", null, "x".repeat(1_000_000), ""))));
-		assertThat(RelayFixture.of(relay.remind(Reminder.STORED), RelayEffect.AskForHelp.class)).hasSize(1);
+		assertThat(RelayFixture.of(relay.remind(TimerKind.LOG_WRITE), RelayEffect.RequestTurnWrite.class)).hasSize(1);
 	}
 
 	// One relay wrote the turn for the one that ran it, and the log shows both entries.
@@ -308,7 +310,7 @@
 		relay.told(new LedgerEntry.Settled("t1", "p", 10, Optional.of(new TextPlace(Optional.empty(), 9, 7, 40))));
 		List<RelayEffect> effects = relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
 		assertThat(RelayFixture.of(effects, RelayEffect.ReadText.class)).singleElement()
-			.satisfies((read) -> assertThat(read.places()).contains(helpers));
+			.satisfies((read) -> assertThat(read.locations()).contains(helpers));
 	}
 
 	// A link is made anew, and its relay tells all that the log has not shown, turns of
@@ -316,17 +318,18 @@
 	@Test
 	void textIsAskedOfTheRelayThatRanItsTurnAfterAnotherToldOfItToo() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.PeerLinked(relay.now(), "teller"));
-		relay.on(new RelayEvent.PeerLinked(relay.now(), "other"));
+		relay.on(new RelayEvent.PeerConnected(relay.now(), "teller"));
+		relay.on(new RelayEvent.PeerConnected(relay.now(), "other"));
 		relay.told(RelayFixture.kept("t1", null));
-		relay.on(new RelayEvent.EntriesRead(relay.now(), List.of(RelayFixture.kept("t1", null)), Optional.of("other")));
+		relay.on(new RelayEvent.EntriesReceived(relay.now(), List.of(RelayFixture.kept("t1", null)),
+				Optional.of("other")));
 		List<RelayEffect> effects = relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
-		assertThat(RelayFixture.of(effects, RelayEffect.AskTexts.class))
-			.containsExactly(new RelayEffect.AskTexts("teller", List.of("t1")));
+		assertThat(RelayFixture.of(effects, RelayEffect.RequestTexts.class))
+			.containsExactly(new RelayEffect.RequestTexts("teller", List.of("t1")));
 	}
 
-	private static RelayEvent.HelpAsked helpAsked(RelayFixture relay, String request) {
-		return new RelayEvent.HelpAsked(relay.now(), "peer",
+	private static RelayEvent.TurnWriteRequested helpAsked(RelayFixture relay, String request) {
+		return new RelayEvent.TurnWriteRequested(relay.now(), "peer",
 				new LedgerEntry.Settled(request, "p", 10, Optional.empty()),
 				RelayFixture.text(request, null, "in;", "out;").text());
 	}
@@ -335,8 +338,8 @@
 		return new RelayEvent.TextsStored(relay.now(), Set.of(request), 20, Duration.ofMillis(8));
 	}
 
-	private static List<RelayEffect.Send> sends(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.Send.class);
+	private static List<RelayEffect.SendRequest> sends(List<RelayEffect> effects) {
+		return RelayFixture.of(effects, RelayEffect.SendRequest.class);
 	}
 
 	private static List<RelayEffect.EndStream> ends(List<RelayEffect> effects) {
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/Dialect.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/Dialect.java
@@ -41,7 +41,7 @@
 	 * @param send what is sent where
 	 * @param headers takes the headers
 	 */
-	void forward(HttpRequest request, RelayEffect.Send send, HttpHeaders headers);
+	void forward(HttpRequest request, RelayEffect.SendRequest send, HttpHeaders headers);
 
 	/**
 	 * Returns whether an answer is to the request with an id.
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
@@ -54,14 +54,14 @@
 		this.last++;
 		RequestHead head = this.dialect.request(request);
 		this.open.put(this.last, new Open(connection, request, body, head.id()));
-		this.events.on(new RelayEvent.Asked(this.timers.now(), this.last, head, body, digest(request, body)));
+		this.events.on(new RelayEvent.RequestReceived(this.timers.now(), this.last, head, body, digest(request, body)));
 		return this.last;
 	}
 
 	@Override
 	public void left(long exchange) {
 		this.open.remove(exchange);
-		this.events.on(new RelayEvent.CallerLeft(this.timers.now(), exchange));
+		this.events.on(new RelayEvent.CallerDisconnected(this.timers.now(), exchange));
 	}
 
 	/**
@@ -79,19 +79,19 @@
 	 */
 	boolean run(RelayEffect effect) {
 		switch (effect) {
-			case RelayEffect.Send send -> find(send.exchange()).ifPresent((exchange) -> send(exchange, send));
-			case RelayEffect.Cancel cancel -> this.upstreams.cancel(cancel.exchange(), cancel.attempt());
-			case RelayEffect.Answer answer -> remove(answer.exchange())
+			case RelayEffect.SendRequest send -> find(send.exchange()).ifPresent((exchange) -> send(exchange, send));
+			case RelayEffect.CancelAttempt cancel -> this.upstreams.cancel(cancel.exchange(), cancel.attempt());
+			case RelayEffect.SendResponse answer -> remove(answer.exchange())
 				.ifPresent((exchange) -> exchange.connection().answer(answer.head(), answer.body()));
 			case RelayEffect.OpenStream stream ->
 				find(stream.exchange()).ifPresent((exchange) -> exchange.connection().open(stream.head()));
-			case RelayEffect.PassEvent event ->
+			case RelayEffect.ForwardStreamEvent event ->
 				find(event.exchange()).ifPresent((exchange) -> exchange.connection().pass(event.raw()));
 			case RelayEffect.EndStream end ->
 				remove(end.exchange()).ifPresent((exchange) -> exchange.connection().end());
-			case RelayEffect.BreakOff broken -> breakOff(broken.exchange());
+			case RelayEffect.AbortConnection broken -> breakOff(broken.exchange());
 			case RelayEffect.Refuse refuse -> remove(refuse.exchange()).ifPresent((exchange) -> exchange.connection()
-				.answer(this.dialect.refuse(refuse.refusal(), refuse.comeBack())));
+				.answer(this.dialect.refuse(refuse.refusal(), refuse.retryAfter())));
 			default -> {
 				return false;
 			}
@@ -99,7 +99,7 @@
 		return true;
 	}
 
-	private void send(Open exchange, RelayEffect.Send send) {
+	private void send(Open exchange, RelayEffect.SendRequest send) {
 		this.upstreams.send(send, exchange.id(), exchange.request(), exchange.body(),
 				new Attempt(send.exchange(), send.attempt()));
 	}
@@ -168,7 +168,7 @@
 
 		@Override
 		public void answered(AnswerHead head, byte[] body) {
-			tell(new RelayEvent.Answered(now(), this.exchange, this.attempt, head, body));
+			tell(new RelayEvent.ResponseReceived(now(), this.exchange, this.attempt, head, body));
 		}
 
 		@Override
@@ -178,7 +178,7 @@
 
 		@Override
 		public void event(long number, byte[] raw, byte[] data) {
-			tell(new RelayEvent.EventArrived(now(), this.exchange, this.attempt, number, raw, data));
+			tell(new RelayEvent.StreamEventReceived(now(), this.exchange, this.attempt, number, raw, data));
 		}
 
 		@Override
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Reachability.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Reachability.java
@@ -1,7 +1,7 @@
 package io.lentilslip.relay.process;
 
 import io.lentilslip.core.relay.RelayEvent;
-import io.lentilslip.core.relay.RelayEvent.Reach;
+import io.lentilslip.core.relay.RelayEvent.Connectivity;
 import io.lentilslip.relay.peer.Peers;
 import io.lentilslip.relay.store.Timers;
 
@@ -39,7 +39,7 @@
 
 	private int failures;
 
-	private Reach reach = Reach.LOG;
+	private Connectivity reach = Connectivity.LOG;
 
 	Reachability(Timers timers, Peers peers, Exchanges.EventSink events) {
 		this.timers = timers;
@@ -53,7 +53,7 @@
 		if (well) {
 			this.storeAnsweredAt = now;
 			this.failures = 0;
-			if (this.reach != Reach.LOG) {
+			if (this.reach != Connectivity.LOG) {
 				check();
 			}
 			return;
@@ -65,18 +65,18 @@
 	}
 
 	void check() {
-		Reach now = reach();
+		Connectivity now = reach();
 		if (now != this.reach) {
 			this.reach = now;
-			this.events.on(new RelayEvent.ReachChanged(this.timers.now(), now));
+			this.events.on(new RelayEvent.ConnectivityChanged(this.timers.now(), now));
 		}
 	}
 
-	private Reach reach() {
+	private Connectivity reach() {
 		if (!storeLost()) {
-			return Reach.LOG;
+			return Connectivity.LOG;
 		}
-		return isolated() ? Reach.NOTHING : Reach.RELAYS;
+		return isolated() ? Connectivity.NOTHING : Connectivity.RELAYS;
 	}
 
 	private boolean storeLost() {
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
@@ -180,7 +180,7 @@
 		this.loop.execute(() -> {
 			this.name = open.name();
 			this.peers.setLocalAddress(this.name);
-			on(new RelayEvent.Opened(this.timers.now(), this.name));
+			on(new RelayEvent.ListenerStarted(this.timers.now(), this.name));
 			follow();
 		});
 		return open;
@@ -253,7 +253,7 @@
 	 */
 	private void lookForSleep() {
 		this.sleep.check(this.timers.now(), System.currentTimeMillis())
-			.ifPresent((slept) -> this.pending.add(new RelayEvent.Woken(this.timers.now(), slept)));
+			.ifPresent((slept) -> this.pending.add(new RelayEvent.ProcessResumed(this.timers.now(), slept)));
 	}
 
 	private void checkReach() {
@@ -296,7 +296,7 @@
 			this.notices.write(NoticeCode.DECISION_FAILED.with(FieldName.REASON, ex)
 				.with(FieldName.CALL, event.getClass().getSimpleName()));
 			logger.error("a decision failed", ex);
-			if (event instanceof RelayEvent.OfExchange of) {
+			if (event instanceof RelayEvent.ExchangeEvent of) {
 				this.exchanges.breakOff(of.exchange());
 			}
 		}
@@ -307,46 +307,50 @@
 			return;
 		}
 		switch (effect) {
-			case RelayEffect.Write write -> {
-				this.peers.tell(write.tell(), write.entry());
+			case RelayEffect.AppendEntry write -> {
+				this.peers.tell(write.replicas(), write.entry());
 				this.writer.write(write.entry());
 			}
 			case RelayEffect.StoreText turn -> this.textWriter.write(new TurnText(turn.request(), turn.text()));
-			case RelayEffect.ReadText read -> this.textReader.read(read.request(), read.places(),
+			case RelayEffect.ReadText read -> this.textReader.read(read.request(), read.locations(),
 					(text) -> on(new RelayEvent.TextRead(this.timers.now(), read.request(), text)));
-			case RelayEffect.AskPlaces ask -> this.peers.ask(ask.peers(), new PeerMessage.PlacesWanted(ask.request()));
-			case RelayEffect.TellPlaces tell -> this.peers.send(tell.peer(), new PeerMessage.Places(tell.turns()));
-			case RelayEffect.AskTexts ask ->
+			case RelayEffect.RequestTextLocations ask ->
+				this.peers.ask(ask.peers(), new PeerMessage.PlacesWanted(ask.request()));
+			case RelayEffect.SendTextLocations tell ->
+				this.peers.send(tell.peer(), new PeerMessage.Places(tell.turns()));
+			case RelayEffect.RequestTexts ask ->
 				this.peers.send(ask.peer(), new PeerMessage.TextsWanted(Set.copyOf(ask.requests())));
-			case RelayEffect.TellTexts tell -> this.peers.send(tell.peer(), new PeerMessage.Texts(tell.texts()));
-			case RelayEffect.AskForHelp help -> this.peers.askForHelp(new PeerMessage.Help(help.end(), help.text()));
-			case RelayEffect.TellStored tell ->
+			case RelayEffect.SendTexts tell -> this.peers.send(tell.peer(), new PeerMessage.Texts(tell.texts()));
+			case RelayEffect.RequestTurnWrite help ->
+				this.peers.askForHelp(new PeerMessage.Help(help.settlement(), help.text()));
+			case RelayEffect.AcknowledgeTurnWrite tell ->
 				this.peers.send(tell.peer(), new PeerMessage.Stored(Set.of(tell.request())));
-			case RelayEffect.AskTaken ask -> this.peers.ask(ask.peers(),
-					new PeerMessage.Question(ask.request(), ask.program(), ask.most(), ask.budget(), false));
-			case RelayEffect.AskUnlogged ignored -> this.peers.ask(List.of(), new PeerMessage.Sync());
-			case RelayEffect.AskPlace ask -> this.peers.send(ask.peer(),
-					new PeerMessage.Question(ask.request(), ask.program(), ask.most(), ask.budget(), true));
-			case RelayEffect.TellTaken tell -> {
+			case RelayEffect.RequestReservation ask -> this.peers.ask(ask.peers(),
+					new PeerMessage.Question(ask.request(), ask.program(), ask.maxTokens(), ask.budget(), false));
+			case RelayEffect.RequestSync ignored -> this.peers.ask(List.of(), new PeerMessage.Sync());
+			case RelayEffect.RequestLogReservation ask -> this.peers.send(ask.peer(),
+					new PeerMessage.Question(ask.request(), ask.program(), ask.maxTokens(), ask.budget(), true));
+			case RelayEffect.SendUsage tell -> {
 				this.peers.tell(tell.peer(), tell.entries());
-				this.peers.send(tell.peer(), new PeerMessage.Taken(tell.request(), tell.tokens(), tell.unlogged(),
-						tell.log(), tell.loads()));
+				this.peers.send(tell.peer(), new PeerMessage.Taken(tell.request(), tell.tokens(), tell.uncommitted(),
+						tell.logReachable(), tell.loads()));
 			}
-			case RelayEffect.RequestPermits ask -> this.peers.send(ask.peer(), new PeerMessage.Permits(ask.ask()));
+			case RelayEffect.RequestPermits ask -> this.peers.send(ask.peer(), new PeerMessage.Permits(ask.request()));
 			case RelayEffect.GrantPermits grant ->
 				this.peers.send(grant.peer(), new PeerMessage.PermitsGranted(grant.reply()));
-			case RelayEffect.TellUnsure tell -> this.peers.send(tell.peer(), new PeerMessage.Unsure(tell.request()));
-			case RelayEffect.TellPlace tell ->
-				this.peers.send(tell.peer(), new PeerMessage.Place(tell.request(), tell.held()));
-			case RelayEffect.TellUnlogged tell -> tellUnlogged(tell);
+			case RelayEffect.SendUsageUnavailable tell ->
+				this.peers.send(tell.peer(), new PeerMessage.Unsure(tell.request()));
+			case RelayEffect.SendLogDecision tell ->
+				this.peers.send(tell.peer(), new PeerMessage.Place(tell.request(), tell.admitted()));
+			case RelayEffect.SendSync tell -> tellUnlogged(tell);
 			case RelayEffect.ReadLog ignored -> this.reader.read();
 			case RelayEffect.CatchUp ignored -> this.reader.catchUp();
-			case RelayEffect.Remind remind -> this.timers.schedule(remind.delay(),
-					() -> on(new RelayEvent.Reminded(this.timers.now(), remind.exchange(), remind.reminder())));
-			case RelayEffect.Ready now -> this.ready = now.ready();
-			case RelayEffect.Limit limit -> this.callers.limit(limit.limits());
-			case RelayEffect.Measure measure -> this.setup.measurements().accept(measure.measurement());
-			case RelayEffect.Tell tell -> this.notices.write(tell.notice());
+			case RelayEffect.StartTimer remind -> this.timers.schedule(remind.delay(),
+					() -> on(new RelayEvent.TimerFired(this.timers.now(), remind.exchange(), remind.timer())));
+			case RelayEffect.ReportReadiness now -> this.ready = now.ready();
+			case RelayEffect.ApplyLimits limit -> this.callers.limit(limit.limits());
+			case RelayEffect.RecordMeasurement measure -> this.setup.measurements().accept(measure.measurement());
+			case RelayEffect.WriteNotice tell -> this.notices.write(tell.notice());
 			default -> throw new IllegalStateException("nothing runs " + effect);
 		}
 	}
@@ -354,7 +358,7 @@
 	// What was told while the link was down is neither on it nor, while the store is
 	// away,
 	// in the log: the other relay would give a program more than its budget.
-	private void tellUnlogged(RelayEffect.TellUnlogged tell) {
+	private void tellUnlogged(RelayEffect.SendSync tell) {
 		this.peers.tell(tell.peer(), this.writer.unacknowledged());
 		this.peers.tell(tell.peer(), tell.entries());
 		if (tell.complete()) {
@@ -363,7 +367,7 @@
 	}
 
 	private void stored(Set<String> requests) {
-		on(new RelayEvent.Stored(this.timers.now(), requests));
+		on(new RelayEvent.SettlementsStored(this.timers.now(), requests));
 	}
 
 	private void textsStored(Set<String> requests, long end, Duration took) {
@@ -371,7 +375,7 @@
 	}
 
 	private void read(List<LedgerEntry> entries) {
-		on(new RelayEvent.EntriesRead(this.timers.now(), entries, Optional.empty()));
+		on(new RelayEvent.EntriesReceived(this.timers.now(), entries, Optional.empty()));
 	}
 
 	private void contendersStored() {
@@ -464,7 +468,7 @@
 			}
 			value.ifPresent((bytes) -> RelayProcess.this.setup.storeDecoder()
 				.decodeRouteTable(bytes)
-				.peek((table) -> on(new RelayEvent.TableRead(RelayProcess.this.timers.now(), table)))
+				.peek((table) -> on(new RelayEvent.RouteTableUpdated(RelayProcess.this.timers.now(), table)))
 				.peekLeft((problem) -> RelayProcess.this.notices
 					.write(NoticeCode.ROUTES_REFUSED.with(FieldName.REASON, problem))));
 		}
@@ -483,7 +487,7 @@
 			values.forEach(
 					(key, value) -> decode(key, value).peek(listed::add).peekLeft((why) -> unusable.put(key, why)));
 			RelayProcess.this.upstreams.keepOnly(listed.stream().map(Upstream::id).collect(Collectors.toSet()));
-			on(new RelayEvent.UpstreamsRead(RelayProcess.this.timers.now(), listed));
+			on(new RelayEvent.UpstreamsReplaced(RelayProcess.this.timers.now(), listed));
 			unusable.forEach(this::unusable);
 		}
 
@@ -491,17 +495,17 @@
 		public void recordChanged(String key, Optional<byte[]> value) {
 			if (value.isEmpty()) {
 				RelayProcess.this.upstreams.forget(key);
-				on(new RelayEvent.UpstreamGone(RelayProcess.this.timers.now(), key));
+				on(new RelayEvent.UpstreamRemoved(RelayProcess.this.timers.now(), key));
 				return;
 			}
 			decode(key, value.get())
-				.peek((upstream) -> on(new RelayEvent.UpstreamListed(RelayProcess.this.timers.now(), upstream)))
+				.peek((upstream) -> on(new RelayEvent.UpstreamUpdated(RelayProcess.this.timers.now(), upstream)))
 				.peekLeft((problem) -> unusable(key, problem));
 		}
 
 		private void unusable(String key, EntryProblem problem) {
 			RelayProcess.this.upstreams.forget(key);
-			on(new RelayEvent.UpstreamUnusable(RelayProcess.this.timers.now(), key, problem));
+			on(new RelayEvent.UpstreamInvalid(RelayProcess.this.timers.now(), key, problem));
 		}
 
 		private Either<EntryProblem, Upstream> decode(String key, byte[] value) {
@@ -517,65 +521,65 @@
 
 		@Override
 		public void entries(String peer, List<LedgerEntry> entries) {
-			on(new RelayEvent.EntriesRead(RelayProcess.this.timers.now(), entries, Optional.of(peer)));
+			on(new RelayEvent.EntriesReceived(RelayProcess.this.timers.now(), entries, Optional.of(peer)));
 		}
 
 		@Override
 		public void helpAsked(String peer, PeerMessage.Help help) {
-			on(new RelayEvent.HelpAsked(RelayProcess.this.timers.now(), peer, help.end(), help.text()));
+			on(new RelayEvent.TurnWriteRequested(RelayProcess.this.timers.now(), peer, help.end(), help.text()));
 		}
 
 		@Override
 		public void placesAsked(String peer, String request) {
-			on(new RelayEvent.PlacesAsked(RelayProcess.this.timers.now(), peer, request));
+			on(new RelayEvent.TextLocationsRequested(RelayProcess.this.timers.now(), peer, request));
 		}
 
 		@Override
 		public void placesTold(String peer, List<PlacedTurn> turns) {
-			on(new RelayEvent.PlacesTold(RelayProcess.this.timers.now(), peer, turns));
+			on(new RelayEvent.TextLocationsReceived(RelayProcess.this.timers.now(), peer, turns));
 		}
 
 		@Override
 		public void textsAsked(String peer, Set<String> requests) {
-			on(new RelayEvent.TextsAsked(RelayProcess.this.timers.now(), peer, requests));
+			on(new RelayEvent.TextsRequested(RelayProcess.this.timers.now(), peer, requests));
 		}
 
 		@Override
 		public void textsTold(List<TurnText> texts) {
-			on(new RelayEvent.TextsTold(RelayProcess.this.timers.now(), texts));
+			on(new RelayEvent.TextsReceived(RelayProcess.this.timers.now(), texts));
 		}
 
 		@Override
 		public void takenAsked(String peer, PeerMessage.Question question) {
-			on(new RelayEvent.TakenAsked(RelayProcess.this.timers.now(), peer, question.request(), question.program(),
-					question.most(), question.budget(), question.place()));
+			on(new RelayEvent.ReservationRequested(RelayProcess.this.timers.now(), peer, question.request(),
+					question.program(), question.most(), question.budget(), question.place()));
 		}
 
 		@Override
 		public void takenTold(String peer, PeerMessage.Taken taken) {
-			on(new RelayEvent.LoadsTold(RelayProcess.this.timers.now(), taken.loads()));
-			on(new RelayEvent.TakenTold(RelayProcess.this.timers.now(), peer, taken.request(), taken.tokens(),
+			on(new RelayEvent.LoadsReceived(RelayProcess.this.timers.now(), taken.loads()));
+			on(new RelayEvent.UsageReceived(RelayProcess.this.timers.now(), peer, taken.request(), taken.tokens(),
 					taken.unlogged(), taken.log(), RelayProcess.this.peers.knownCount()));
 		}
 
 		@Override
 		public void takenUnsure(String peer, String request) {
-			on(new RelayEvent.TakenUnsure(RelayProcess.this.timers.now(), peer, request));
+			on(new RelayEvent.UsageUnavailable(RelayProcess.this.timers.now(), peer, request));
 		}
 
 		@Override
 		public void unloggedAsked(String peer) {
-			on(new RelayEvent.UnloggedAsked(RelayProcess.this.timers.now(), peer));
+			on(new RelayEvent.SyncRequested(RelayProcess.this.timers.now(), peer));
 		}
 
 		@Override
 		public void listed(List<Member> members) {
-			on(new RelayEvent.RelaysListed(RelayProcess.this.timers.now(), members));
+			on(new RelayEvent.MembershipUpdated(RelayProcess.this.timers.now(), members));
 		}
 
 		@Override
 		public void placeTold(PeerMessage.Place place) {
-			on(new RelayEvent.PlaceTold(RelayProcess.this.timers.now(), place.request(), place.held()));
+			on(new RelayEvent.LogDecisionReceived(RelayProcess.this.timers.now(), place.request(), place.held()));
 		}
 
 		@Override
@@ -590,12 +594,13 @@
 
 		@Override
 		public void allTold(String peer) {
-			on(new RelayEvent.PeerTold(RelayProcess.this.timers.now(), peer, RelayProcess.this.peers.knownCount()));
+			on(new RelayEvent.SyncCompleted(RelayProcess.this.timers.now(), peer,
+					RelayProcess.this.peers.knownCount()));
 		}
 
 		@Override
 		public void stored(Set<String> requests) {
-			on(new RelayEvent.Helped(RelayProcess.this.timers.now(), requests));
+			on(new RelayEvent.TurnWritesAcknowledged(RelayProcess.this.timers.now(), requests));
 		}
 
 		@Override
@@ -618,14 +623,14 @@
 		@Override
 		public void linked(String peer) {
 			RelayProcess.this.notices.write(NoticeCode.PEER_LINKED.with(FieldName.ADDRESS, peer));
-			on(new RelayEvent.PeerLinked(RelayProcess.this.timers.now(), peer));
+			on(new RelayEvent.PeerConnected(RelayProcess.this.timers.now(), peer));
 		}
 
 		@Override
 		public void lost(String peer, String reason) {
 			RelayProcess.this.notices
 				.write(NoticeCode.PEER_LOST.with(FieldName.ADDRESS, peer).with(FieldName.REASON, reason));
-			on(new RelayEvent.PeerLost(RelayProcess.this.timers.now(), peer));
+			on(new RelayEvent.PeerDisconnected(RelayProcess.this.timers.now(), peer));
 		}
 
 	}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamClient.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamClient.java
@@ -56,11 +56,12 @@
 	 * @param body the caller's body
 	 * @param listener takes what becomes of it
 	 */
-	public void send(RelayEffect.Send send, String id, HttpRequest request, byte[] body, AttemptListener listener) {
+	public void send(RelayEffect.SendRequest send, String id, HttpRequest request, byte[] body,
+			AttemptListener listener) {
 		DefaultFullHttpRequest outgoing = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(),
-				request.uri(), Unpooled.wrappedBuffer(send.chain(), body));
+				request.uri(), Unpooled.wrappedBuffer(send.prefix(), body));
 		this.dialect.forward(request, send, outgoing.headers());
-		if (body.length > 0 || send.chain().length > 0 || request.headers().contains(HttpHeaderNames.CONTENT_LENGTH)) {
+		if (body.length > 0 || send.prefix().length > 0 || request.headers().contains(HttpHeaderNames.CONTENT_LENGTH)) {
 			HttpUtil.setContentLength(outgoing, outgoing.content().readableBytes());
 		}
 		AttemptKey key = new AttemptKey(send.exchange(), send.attempt());
