--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
@@ -53,22 +53,22 @@
 		}
 		Turn turn = exchange.head().turn().orElseThrow();
 		if (this.state.keepers.known()) {
-			boolean spent = this.state.tokens.spent(turn.program()) + turn.most() > budget.getAsLong();
+			boolean spent = this.state.tokens.spent(turn.program()) + turn.maxTokens() > budget.getAsLong();
 			return spent ? Admission.REFUSED : Admission.CONTENDING;
 		}
-		long taken = this.state.tokens.taken(turn.program()) + missed(turn.most(), budget.getAsLong());
-		if (taken + turn.most() > budget.getAsLong()) {
+		long taken = this.state.tokens.taken(turn.program()) + missed(turn.maxTokens(), budget.getAsLong());
+		if (taken + turn.maxTokens() > budget.getAsLong()) {
 			return Admission.REFUSED;
 		}
-		long atOnce = (long) RelaySettings.TURNS_AT_ONCE * turn.most();
+		long atOnce = (long) RelaySettings.TURNS_AT_ONCE * turn.maxTokens();
 		return (taken + atOnce <= boundAlone(turn, budget.getAsLong())) ? Admission.ADMITTED : Admission.CONTENDING;
 	}
 
 	private long boundAlone(Turn turn, long budget) {
 		if (this.state.reach != Connectivity.LOG) {
-			return withoutLog(turn.most(), budget);
+			return withoutLog(turn.maxTokens(), budget);
 		}
-		return this.state.complete ? budget + turn.most() : budget;
+		return this.state.complete ? budget + turn.maxTokens() : budget;
 	}
 
 	private static long withoutLog(int most, long budget) {
@@ -121,7 +121,7 @@
 		}
 		List<String> others = this.state.otherKeepers(turn.program());
 		if (!others.isEmpty()) {
-			this.state.emit(new RelayEffect.RequestReservation(others, exchange.id(), turn.program(), turn.most(),
+			this.state.emit(new RelayEffect.RequestReservation(others, exchange.id(), turn.program(), turn.maxTokens(),
 					turn.budget().orElseThrow()));
 			remind(exchange, poll, RelaySettings.KEEPERS_WAIT);
 		}
@@ -130,8 +130,8 @@
 
 	private void hold(Exchange exchange, Turn turn, Poll poll) {
 		exchange.reserve();
-		this.state.tokens.reserve(turn.program(), exchange.id(), turn.most());
-		this.state.note(new Reserved(exchange.id(), turn.program(), turn.most(), "", List.of(), false));
+		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
+		this.state.note(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), false));
 		this.state.polls.put(exchange.id(), poll);
 	}
 
@@ -149,13 +149,13 @@
 			decided(exchange, Decider.KEEPERS, false);
 			return Optional.of(false);
 		}
-		long part = withoutLog(turn.most(), budget);
+		long part = withoutLog(turn.maxTokens(), budget);
 		// What the log has not shown is lost with all relays. The log may have been out
 		// of reach for a while before that is found out, so the part that is granted
 		// without it is counted here, wherever it seems to be in reach.
 		long counted = log ? poll.unlogged() : poll.taken();
-		long unseen = poll.unseen(turn.most());
-		boolean whole = !log || unseen == 0 || poll.taken() + unseen <= budget + turn.most();
+		long unseen = poll.unseen(turn.maxTokens());
+		boolean whole = !log || unseen == 0 || poll.taken() + unseen <= budget + turn.maxTokens();
 		if (whole && counted + unseen <= part) {
 			decided(exchange, Decider.KEEPERS, true);
 			return Optional.of(true);
@@ -183,7 +183,7 @@
 	private void contendInLog(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
 		this.state.contending.put(exchange.id(), exchange.number());
-		this.state.write(new Reserved(exchange.id(), turn.program(), turn.most(), "", List.of(), true));
+		this.state.write(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), true));
 		this.state.remind(exchange, RelaySettings.ORDER_PATIENCE, TimerKind.BUDGET_DECISION);
 	}
 
@@ -203,8 +203,8 @@
 		poll.askAll(this.state.name);
 		exchange.askAll();
 		hold(exchange, turn, poll);
-		this.state.write(new Reserved(exchange.id(), turn.program(), turn.most(), "", List.of(), false));
-		this.state.emit(new RelayEffect.RequestReservation(List.of(), exchange.id(), turn.program(), turn.most(),
+		this.state.write(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), false));
+		this.state.emit(new RelayEffect.RequestReservation(List.of(), exchange.id(), turn.program(), turn.maxTokens(),
 				turn.budget().orElseThrow()));
 		remind(exchange, poll, RelaySettings.RELAYS_WAIT);
 	}
@@ -255,10 +255,10 @@
 	Optional<Refusal> ordered(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
 		Optional<Poll> poll = Optional.ofNullable(this.state.polls.get(exchange.id()));
-		boolean held = holds(exchange.id(), turn.program(), turn.most(), turn.budget().orElseThrow());
+		boolean held = holds(exchange.id(), turn.program(), turn.maxTokens(), turn.budget().orElseThrow());
 		boolean sure = poll.isEmpty() || sure(poll.get(), turn);
 		exchange.reserve();
-		this.state.tokens.reserve(turn.program(), exchange.id(), turn.most());
+		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
 		decided(exchange, Decider.LOG, held && sure);
 		if (held && sure) {
 			return Optional.empty();
@@ -275,8 +275,8 @@
 		if (poll.seesKeepers()) {
 			return poll.taken() <= budget;
 		}
-		long atOnce = (long) RelaySettings.TURNS_AT_ONCE * turn.most();
-		return this.state.tokens.takenWithout(turn.program(), poll.request()) + atOnce <= budget + turn.most();
+		long atOnce = (long) RelaySettings.TURNS_AT_ONCE * turn.maxTokens();
+		return this.state.tokens.takenWithout(turn.program(), poll.request()) + atOnce <= budget + turn.maxTokens();
 	}
 
 	private boolean holds(String request, String program, int most, long budget) {
@@ -326,8 +326,8 @@
 		}
 		Turn turn = exchange.head().turn().orElseThrow();
 		long budget = turn.budget().orElseThrow();
-		long taken = Math.max(poll.taken(), this.state.tokens.taken(turn.program())) + missed(turn.most(), budget);
-		boolean held = taken <= withoutLog(turn.most(), budget);
+		long taken = Math.max(poll.taken(), this.state.tokens.taken(turn.program())) + missed(turn.maxTokens(), budget);
+		boolean held = taken <= withoutLog(turn.maxTokens(), budget);
 		decided(exchange, Decider.MAJORITY, held);
 		return Optional.of(held);
 	}
@@ -367,7 +367,7 @@
 		Turn turn = exchange.head().turn().orElseThrow();
 		poll.nextPlacer()
 			.ifPresent((relay) -> this.state.emit(new RelayEffect.RequestLogReservation(relay, exchange.id(),
-					turn.program(), turn.most(), turn.budget().orElseThrow())));
+					turn.program(), turn.maxTokens(), turn.budget().orElseThrow())));
 	}
 
 	private void decided(Exchange exchange, Decider by, boolean held) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LogCopies.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/DuplicateEntryCounter.java
@@ -10,7 +10,7 @@
  * Adds up the entries that the log has shown before, until they are taken. Used by one
  * thread.
  */
-final class LogCopies {
+final class DuplicateEntryCounter {
 
 	private static final Kind[] KINDS = Kind.values();
 
@@ -32,7 +32,7 @@
 	 * Returns what was added since the last call.
 	 * @return a measurement of each kind of which there was any
 	 */
-	List<Measurement> take() {
+	List<Measurement> drain() {
 		List<Measurement> taken = new ArrayList<>();
 		for (Kind kind : KINDS) {
 			if (this.counts[kind.ordinal()] > 0) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
@@ -71,10 +71,10 @@
 		this.asked = asked;
 		this.route = route;
 		this.caller = caller;
-		this.head = team().map(asked.head()::of).orElse(asked.head());
+		this.head = team().map(asked.head()::scopedTo).orElse(asked.head());
 		this.id = team().map((team) -> team.scoped(asked.head().id())).orElse(asked.head().id());
 		this.lastEvent = route.resumable() ? asked.head().lastEvent() : OptionalLong.empty();
-		Duration patience = asked.head().patience().orElse(route.timeout());
+		Duration patience = asked.head().callerTimeout().orElse(route.timeout());
 		Duration longest = (patience.compareTo(route.timeout()) < 0) ? patience : route.timeout();
 		this.due = asked.now() + longest.toMillis();
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeEnds.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeEnds.java
@@ -43,7 +43,7 @@
 	}
 
 	void endStream(Exchange exchange) {
-		this.state.tell(RelayNotices.answered(exchange, AnswerHead.SUCCESS, this.state.now));
+		this.state.tell(RelayNotices.answered(exchange, ResponseHead.SUCCESS, this.state.now));
 		measure(exchange, Outcome.ANSWERED);
 		close(exchange, new RelayEffect.EndStream(exchange.number()));
 	}
@@ -86,7 +86,7 @@
 		refuse(exchange, refusal, worthAnother ? Optional.of(RelaySettings.COME_BACK) : Optional.empty());
 	}
 
-	void settle(Exchange exchange, Optional<TextPlace> text) {
+	void settle(Exchange exchange, Optional<TextLocation> text) {
 		if (!exchange.reserved()) {
 			return;
 		}
@@ -102,7 +102,7 @@
 	 * @param text where its text is, if it is kept
 	 * @return the entry
 	 */
-	LedgerEntry.Settled settlement(Exchange exchange, Optional<TextPlace> text) {
+	LedgerEntry.Settled settlement(Exchange exchange, Optional<TextLocation> text) {
 		Turn turn = exchange.head().turn().orElseThrow();
 		int perEvent = this.state.engine(exchange.upstream().map(Upstream::service).orElse(""))
 			.map(RouteTable.Engine::tokensPerEvent)
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerEntry.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerEntry.java
@@ -68,7 +68,7 @@
 	 * @param tokens the tokens that the caller was given
 	 * @param text where the turn's text is, if later turns may continue from it
 	 */
-	record Settled(String request, String program, int tokens, Optional<TextPlace> text) implements LedgerEntry {
+	record Settled(String request, String program, int tokens, Optional<TextLocation> text) implements LedgerEntry {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
@@ -17,7 +17,7 @@
 
 	private final ExchangeEnds ends;
 
-	private final LogCopies copies = new LogCopies();
+	private final DuplicateEntryCounter copies = new DuplicateEntryCounter();
 
 	LedgerRules(RelayState state, RequestRules requests, BudgetRules budgets, ExchangeEnds ends) {
 		this.state = state;
@@ -38,7 +38,7 @@
 		}
 		if (read.fromLog()) {
 			adopt();
-			this.copies.take().forEach((measured) -> this.state.emit(new RelayEffect.RecordMeasurement(measured)));
+			this.copies.drain().forEach((measured) -> this.state.emit(new RelayEffect.RecordMeasurement(measured)));
 		}
 		this.requests.dispatchWaiting();
 	}
@@ -134,7 +134,7 @@
 
 	private void settledElsewhere(LedgerEntry.Settled settled, Optional<String> teller) {
 		this.state.tokens.settle(settled.program(), settled.request(), settled.tokens());
-		settled.text().ifPresent((place) -> this.state.turns.note(settled.request(), place, teller));
+		settled.text().ifPresent((place) -> this.state.turns.recordLocation(settled.request(), place, teller));
 		this.state.upstreams.ended(settled.request());
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
@@ -20,7 +20,7 @@
 
 	private final BudgetRules budgets;
 
-	private final AnswerRules answers;
+	private final ResponseRules answers;
 
 	private final LedgerRules ledger;
 
@@ -42,7 +42,7 @@
 		this.texts = new TextRules(this.state, this.ends);
 		this.requests = new RequestRules(this.state, this.budgets, this.texts, this.ends);
 		this.quotas = this.requests.quotas();
-		this.answers = new AnswerRules(this.state, this.requests, this.texts, this.ends);
+		this.answers = new ResponseRules(this.state, this.requests, this.texts, this.ends);
 		this.ledger = new LedgerRules(this.state, this.requests, this.budgets, this.ends);
 	}
 
@@ -51,7 +51,7 @@
 	 * @param event what happened
 	 * @return what is to be done, in order
 	 */
-	public List<RelayEffect> on(RelayEvent event) {
+	public List<RelayEffect> handle(RelayEvent event) {
 		this.state.now = event.now();
 		switch (event) {
 			case RelayEvent.RequestReceived asked -> this.requests.asked(asked);
@@ -115,7 +115,7 @@
 	 * Returns how many exchanges are under way.
 	 * @return the number
 	 */
-	public int underWay() {
+	public int inFlight() {
 		return this.state.exchanges.size();
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEffect.java
@@ -69,7 +69,7 @@
 	 * @param head the head
 	 * @param body the body
 	 */
-	record SendResponse(long exchange, AnswerHead head, byte[] body) implements RelayEffect {
+	record SendResponse(long exchange, ResponseHead head, byte[] body) implements RelayEffect {
 
 	}
 
@@ -79,7 +79,7 @@
 	 * @param exchange the exchange
 	 * @param head the head
 	 */
-	record OpenStream(long exchange, AnswerHead head) implements RelayEffect {
+	record OpenStream(long exchange, ResponseHead head) implements RelayEffect {
 
 	}
 
@@ -148,7 +148,7 @@
 	 * @param request the turn
 	 * @param text its text
 	 */
-	record StoreText(String request, KeptTurn text) implements RelayEffect {
+	record StoreText(String request, StoredTurn text) implements RelayEffect {
 
 	}
 
@@ -158,7 +158,7 @@
 	 * @param request the turn
 	 * @param places where it may stand
 	 */
-	record ReadText(String request, List<TextPlace> locations) implements RelayEffect {
+	record ReadText(String request, List<TextLocation> locations) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
@@ -196,7 +196,7 @@
 	 * @param peer the other relay
 	 * @param turns the turns of the chain that are known here
 	 */
-	record SendTextLocations(String peer, List<PlacedTurn> turns) implements RelayEffect {
+	record SendTextLocations(String peer, List<TurnLocation> turns) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
@@ -253,7 +253,7 @@
 	 * @param end what the turn has taken of its program's budget
 	 * @param text its text
 	 */
-	record RequestTurnWrite(LedgerEntry.Settled settlement, KeptTurn text) implements RelayEffect {
+	record RequestTurnWrite(LedgerEntry.Settled settlement, StoredTurn text) implements RelayEffect {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEvent.java
@@ -113,7 +113,7 @@
 	 * @param head its head
 	 * @param body its body
 	 */
-	record ResponseReceived(long now, long exchange, int attempt, AnswerHead head,
+	record ResponseReceived(long now, long exchange, int attempt, ResponseHead head,
 			byte[] body) implements AttemptEvent {
 
 	}
@@ -126,7 +126,7 @@
 	 * @param attempt the attempt
 	 * @param head its head
 	 */
-	record StreamOpened(long now, long exchange, int attempt, AnswerHead head) implements AttemptEvent {
+	record StreamOpened(long now, long exchange, int attempt, ResponseHead head) implements AttemptEvent {
 
 	}
 
@@ -287,7 +287,7 @@
 	 * @param text its text
 	 */
 	record TurnWriteRequested(long now, String peer, LedgerEntry.Settled settlement,
-			KeptTurn text) implements RelayEvent {
+			StoredTurn text) implements RelayEvent {
 
 	}
 
@@ -309,7 +309,7 @@
 	 * @param peer the other relay
 	 * @param turns the turns that it knows
 	 */
-	record TextLocationsReceived(long now, String peer, List<PlacedTurn> turns) implements RelayEvent {
+	record TextLocationsReceived(long now, String peer, List<TurnLocation> turns) implements RelayEvent {
 
 		/**
 		 * Creates an event.
@@ -370,7 +370,7 @@
 	 * @param request the turn
 	 * @param text the text, or empty if it was not found
 	 */
-	record TextRead(long now, String request, Optional<KeptTurn> text) implements RelayEvent {
+	record TextRead(long now, String request, Optional<StoredTurn> text) implements RelayEvent {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
@@ -33,7 +33,7 @@
 
 	final ProgramTokens tokens;
 
-	final KeptTurns turns;
+	final TurnCache turns;
 
 	final Blames blames = new Blames();
 
@@ -168,7 +168,7 @@
 		this.textPart = settings.textPart();
 		this.tolerance = settings.tolerance();
 		this.tokens = new ProgramTokens(settings.programs());
-		this.turns = new KeptTurns(settings.turnBytes());
+		this.turns = new TurnCache(settings.turnBytes());
 		this.complete = settings.first();
 		this.random = new SplittableRandom(settings.seed());
 		this.unlogged = new UnloggedEntries(this.random.nextLong(RelaySettings.ADOPTION_SPREAD.toMillis()));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Repeatability.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Repeatability.java
@@ -13,7 +13,7 @@
 	/**
 	 * A request runs at most once.
 	 */
-	ONCE,
+	AT_MOST_ONCE,
 
 	/**
 	 * The answer is a stream of numbered events; a request runs at most once, unless its
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestHead.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestHead.java
@@ -12,30 +12,31 @@
  * @param id the id of this attempt of the caller
  * @param host the host, without a port
  * @param path the path, without a query
- * @param patience how long the caller waits; empty if it doesn't say
+ * @param callerTimeout how long the caller waits; empty if it doesn't say
  * @param turn what it says as a turn of a program
  * @param prompt the parts of its prompt, in order
  * @param promptTokens the tokens of its prompt
  * @param lastEvent the last event that the caller has of an earlier attempt
- * @param object names the object that the request is about; requests about one object
- * share it
+ * @param affinityKey names the object that the request is about; requests about one
+ * object share it
  * @param origin where it comes from
  */
-public record RequestHead(String id, String host, String path, Optional<Duration> patience, Optional<Turn> turn,
-		List<PromptPart> prompt, int promptTokens, OptionalLong lastEvent, Optional<String> object, Origin origin) {
+public record RequestHead(String id, String host, String path, Optional<Duration> callerTimeout, Optional<Turn> turn,
+		List<PromptPart> prompt, int promptTokens, OptionalLong lastEvent, Optional<String> affinityKey,
+		Origin origin) {
 
 	/**
 	 * Creates a head.
 	 * @param id the id of this attempt of the caller
 	 * @param host the host, without a port
 	 * @param path the path, without a query
-	 * @param patience how long the caller waits; empty if it doesn't say
+	 * @param callerTimeout how long the caller waits; empty if it doesn't say
 	 * @param turn what it says as a turn of a program
 	 * @param prompt the parts of its prompt, in order
 	 * @param promptTokens the tokens of its prompt
 	 * @param lastEvent the last event that the caller has of an earlier attempt
-	 * @param object names the object that the request is about; requests about one object
-	 * share it
+	 * @param affinityKey names the object that the request is about; requests about one
+	 * object share it
 	 * @param origin where it comes from
 	 */
 	public RequestHead {
@@ -57,11 +58,11 @@
 	 * @param team the team
 	 * @return the head
 	 */
-	RequestHead of(Team team) {
-		return new RequestHead(this.id, this.host, this.path, this.patience,
-				this.turn.map((known) -> new Turn(team.scoped(known.program()), known.budget(), known.most(),
+	RequestHead scopedTo(Team team) {
+		return new RequestHead(this.id, this.host, this.path, this.callerTimeout,
+				this.turn.map((known) -> new Turn(team.scoped(known.program()), known.budget(), known.maxTokens(),
 						known.previous().map(team::scoped))),
-				this.prompt, this.promptTokens, this.lastEvent, this.object.map(team::scoped),
+				this.prompt, this.promptTokens, this.lastEvent, this.affinityKey.map(team::scoped),
 				new Origin(this.origin.program().map(team::scoped), this.origin.key()));
 	}
 
@@ -89,7 +90,7 @@
 	 * @param most the most tokens that this turn generates
 	 * @param previous the turn that it continues from; empty at the start of a chain
 	 */
-	public record Turn(String program, OptionalLong budget, int most, Optional<String> previous) {
+	public record Turn(String program, OptionalLong budget, int maxTokens, Optional<String> previous) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
@@ -181,7 +181,7 @@
 		String service = service(exchange.route());
 		boolean engine = this.state.engine(service).isPresent();
 		boolean warm = exchange.route().warm() && !engine;
-		Optional<String> object = exchange.head().object().filter((name) -> warm);
+		Optional<String> object = exchange.head().affinityKey().filter((name) -> warm);
 		return this.state.choice.weigh(this.state.upstreams.taking(service), exchange.tried(), exchange.head().prompt(),
 				engine, object, this.state.now);
 	}
@@ -220,9 +220,9 @@
 
 	private void reserve(Exchange exchange, Turn turn, Upstream upstream, List<PromptPart> prompt) {
 		exchange.reserve();
-		this.state.tokens.reserve(turn.program(), exchange.id(), turn.most());
-		this.state.write(
-				new LedgerEntry.Reserved(exchange.id(), turn.program(), turn.most(), upstream.life(), prompt, false));
+		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
+		this.state.write(new LedgerEntry.Reserved(exchange.id(), turn.program(), turn.maxTokens(), upstream.life(),
+				prompt, false));
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/AnswerHead.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseHead.java
@@ -15,7 +15,7 @@
  * @param signed whether the upstream signed the answer
  * @param load the upstream's own count of its requests, if it tells it
  */
-public record AnswerHead(int status, List<Header> headers, boolean notRun, boolean signed, Optional<Load> load) {
+public record ResponseHead(int status, List<Header> headers, boolean notRun, boolean signed, Optional<Load> load) {
 
 	static final int SUCCESS = 200;
 
@@ -32,7 +32,7 @@
 	 * @param signed whether the upstream signed the answer
 	 * @param load the upstream's own count of its requests, if it tells it
 	 */
-	public AnswerHead {
+	public ResponseHead {
 		headers = List.copyOf(headers);
 	}
 
@@ -40,7 +40,7 @@
 	 * Returns whether the status is that of a success.
 	 * @return whether it is
 	 */
-	public boolean success() {
+	public boolean successful() {
 		return this.status >= SUCCESS && this.status < REDIRECTION;
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/AnswerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
@@ -12,7 +12,7 @@
  * What becomes of an attempt at an upstream: passed on, sent again, or given up. Used by
  * one thread.
  */
-final class AnswerRules {
+final class ResponseRules {
 
 	private final RelayState state;
 
@@ -22,7 +22,7 @@
 
 	private final ExchangeEnds ends;
 
-	AnswerRules(RelayState state, RequestRules requests, TextRules texts, ExchangeEnds ends) {
+	ResponseRules(RelayState state, RequestRules requests, TextRules texts, ExchangeEnds ends) {
 		this.state = state;
 		this.requests = requests;
 		this.texts = texts;
@@ -45,7 +45,7 @@
 	}
 
 	private void answered(Exchange exchange, RelayEvent.ResponseReceived answered) {
-		AnswerHead head = answered.head();
+		ResponseHead head = answered.head();
 		Optional<Known> known = this.state.known(exchange);
 		this.state.upstreams.ended(exchange.id());
 		takeLoad(exchange, head);
@@ -57,7 +57,7 @@
 			return;
 		}
 		exchange.mayRun();
-		if (head.success() && !head.signed()) {
+		if (head.successful() && !head.signed()) {
 			failed(exchange, FailureCause.UNREADABLE);
 			return;
 		}
@@ -86,7 +86,7 @@
 		exchange.notSent();
 	}
 
-	private void takeLoad(Exchange exchange, AnswerHead head) {
+	private void takeLoad(Exchange exchange, ResponseHead head) {
 		this.state.known(exchange)
 			.ifPresent((known) -> head.load()
 				.ifPresent((load) -> this.state.upstreams.reported(known, load.requests(), this.state.now)));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/KeptTurn.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/StoredTurn.java
@@ -10,7 +10,7 @@
  * @param input the new input
  * @param output the data of its events, a line feed after each
  */
-public record KeptTurn(Optional<String> previous, byte[] input, byte[] output) {
+public record StoredTurn(Optional<String> previous, byte[] input, byte[] output) {
 
 	/**
 	 * Returns how many bytes the text has.
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextPlace.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextLocation.java
@@ -8,23 +8,24 @@
  *
  * @param previous the turn that it continues from; empty at the start of a chain
  * @param bytes the bytes of the text
- * @param part the partition of the texts
- * @param from the offset at which or after which the text stands: the end of the
+ * @param partition the partition of the texts
+ * @param minOffset the offset at which or after which the text stands: the end of the
  * partition as its writer knew it, so that writing need not wait for the answer
- * @param holder the relay that ran the turn, and so had the texts of its whole chain;
+ * @param origin the relay that ran the turn, and so had the texts of its whole chain;
  * empty if the writer does not say
  */
-public record TextPlace(Optional<String> previous, int bytes, int part, long from, Optional<String> holder) {
+public record TextLocation(Optional<String> previous, int bytes, int partition, long minOffset,
+		Optional<String> origin) {
 
 	/**
 	 * Creates a place whose writer does not say who ran the turn.
 	 * @param previous the turn that it continues from; empty at the start of a chain
 	 * @param bytes the bytes of the text
-	 * @param part the partition of the texts
-	 * @param from the offset at which or after which the text stands
+	 * @param partition the partition of the texts
+	 * @param minOffset the offset at which or after which the text stands
 	 */
-	public TextPlace(Optional<String> previous, int bytes, int part, long from) {
-		this(previous, bytes, part, from, Optional.empty());
+	public TextLocation(Optional<String> previous, int bytes, int partition, long minOffset) {
+		this(previous, bytes, partition, minOffset, Optional.empty());
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -7,7 +7,7 @@
 import java.util.stream.Stream;
 
 import io.lentilslip.core.relay.Exchange.Phase;
-import io.lentilslip.core.relay.KeptTurns.Chain;
+import io.lentilslip.core.relay.TurnCache.Chain;
 import io.lentilslip.core.relay.RelayEvent.Connectivity;
 import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import io.lentilslip.core.relay.RequestHead.Turn;
@@ -83,11 +83,11 @@
 	 */
 	void ended(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		KeptTurn text = new KeptTurn(turn.previous(), exchange.asked().body(), exchange.output());
-		TextPlace place = place(text, this.state.name);
+		StoredTurn text = new StoredTurn(turn.previous(), exchange.asked().body(), exchange.output());
+		TextLocation place = place(text, this.state.name);
 		exchange.become(Phase.ENDING);
 		this.state.turns.add(exchange.id(), text);
-		this.state.turns.note(exchange.id(), place, Optional.empty());
+		this.state.turns.recordLocation(exchange.id(), place, Optional.empty());
 		this.state.ending.put(exchange.id(), new Ending(exchange.number(), text));
 		this.state.emit(new RelayEffect.StoreText(exchange.id(), text));
 		this.ends.settle(exchange, Optional.of(place));
@@ -95,8 +95,8 @@
 		this.state.remind(exchange, pause, TimerKind.LOG_WRITE);
 	}
 
-	private TextPlace place(KeptTurn text, String holder) {
-		return new TextPlace(text.previous(), text.size(), this.state.textPart, this.state.textEnd,
+	private TextLocation place(StoredTurn text, String holder) {
+		return new TextLocation(text.previous(), text.size(), this.state.textPart, this.state.textEnd,
 				Optional.of(holder).filter((name) -> !name.isEmpty()));
 	}
 
@@ -181,8 +181,8 @@
 		if (!able || this.state.helping.containsKey(request)) {
 			return;
 		}
-		TextPlace place = place(asked.text(), asked.peer());
-		this.state.turns.note(request, place, Optional.of(asked.peer()));
+		TextLocation place = place(asked.text(), asked.peer());
+		this.state.turns.recordLocation(request, place, Optional.of(asked.peer()));
 		this.state.helping.put(request, new Helping(asked.peer()));
 		this.state.emit(new RelayEffect.StoreText(request, asked.text()));
 		this.state.writeAndTell(new LedgerEntry.Settled(request, asked.settlement().program(),
@@ -201,11 +201,11 @@
 			return true;
 		}
 		return switch (this.state.turns.chain(previous.get())) {
-			case Chain.Whole whole -> {
+			case Chain.Complete whole -> {
 				exchange.found(whole.text());
 				yield true;
 			}
-			case Chain.Elsewhere elsewhere -> {
+			case Chain.Incomplete elsewhere -> {
 				bring(exchange, elsewhere);
 				yield false;
 			}
@@ -231,14 +231,14 @@
 	}
 
 	void placesAsked(RelayEvent.TextLocationsRequested asked) {
-		List<PlacedTurn> known = new ArrayList<>();
+		List<TurnLocation> known = new ArrayList<>();
 		Optional<String> next = Optional.of(asked.request());
 		while (next.isPresent() && known.size() < LONGEST_CHAIN) {
-			List<TextPlace> places = this.state.turns.places(next.get());
+			List<TextLocation> places = this.state.turns.locations(next.get());
 			if (places.isEmpty()) {
 				break;
 			}
-			known.add(new PlacedTurn(next.get(), places.getFirst()));
+			known.add(new TurnLocation(next.get(), places.getFirst()));
 			next = places.getFirst().previous();
 		}
 		if (!known.isEmpty()) {
@@ -247,32 +247,37 @@
 	}
 
 	void placesTold(RelayEvent.TextLocationsReceived told) {
-		told.turns().forEach((turn) -> this.state.turns.note(turn.request(), turn.place(), Optional.of(told.peer())));
+		told.turns()
+			.forEach((turn) -> this.state.turns.recordLocation(turn.request(), turn.location(),
+					Optional.of(told.peer())));
 	}
 
-	private void bring(Exchange exchange, Chain.Elsewhere elsewhere) {
+	private void bring(Exchange exchange, Chain.Incomplete elsewhere) {
 		if (exchange.bringing()) {
 			return;
 		}
 		exchange.bring();
-		Optional<String> holder = this.state.turns.holder(elsewhere.turns().getFirst())
+		Optional<String> holder = this.state.turns.origin(elsewhere.missing().getFirst())
 			.filter((relay) -> this.state.linked.contains(relay) || this.state.keepers.knows(relay));
 		if (holder.isEmpty()) {
 			read(exchange, elsewhere);
 			return;
 		}
-		this.state.emit(new RelayEffect.RequestTexts(holder.get(), elsewhere.turns()));
+		this.state.emit(new RelayEffect.RequestTexts(holder.get(), elsewhere.missing()));
 		this.state.remind(exchange, HOLDER_WAIT.plusMillis(bytes(elsewhere) / LINK_BYTES_PER_MS), TimerKind.TEXT_FETCH);
 	}
 
-	private long bytes(Chain.Elsewhere elsewhere) {
-		return elsewhere.turns().stream().mapToLong((turn) -> this.state.turns.places(turn).getFirst().bytes()).sum();
+	private long bytes(Chain.Incomplete elsewhere) {
+		return elsewhere.missing()
+			.stream()
+			.mapToLong((turn) -> this.state.turns.locations(turn).getFirst().bytes())
+			.sum();
 	}
 
-	private void read(Exchange exchange, Chain.Elsewhere elsewhere) {
-		for (String request : elsewhere.turns()) {
+	private void read(Exchange exchange, Chain.Incomplete elsewhere) {
+		for (String request : elsewhere.missing()) {
 			if (this.state.reading.add(request)) {
-				this.state.emit(new RelayEffect.ReadText(request, this.state.turns.places(request)));
+				this.state.emit(new RelayEffect.ReadText(request, this.state.turns.locations(request)));
 			}
 		}
 		this.state.remind(exchange, READ_WAIT, TimerKind.TEXT_FETCH);
@@ -283,7 +288,7 @@
 	 * @param exchange the exchange that waits
 	 */
 	void textsDue(Exchange exchange) {
-		if (exchange.phase() == Phase.WAITING_FOR_CHAIN && chain(exchange) instanceof Chain.Elsewhere elsewhere) {
+		if (exchange.phase() == Phase.WAITING_FOR_CHAIN && chain(exchange) instanceof Chain.Incomplete elsewhere) {
 			read(exchange, elsewhere);
 		}
 	}
@@ -295,7 +300,7 @@
 	 */
 	void chainDue(Exchange exchange) {
 		boolean exists = exchange.phase() == Phase.WAITING_FOR_CHAIN && !this.state.stale
-				&& chain(exchange) instanceof Chain.Elsewhere;
+				&& chain(exchange) instanceof Chain.Incomplete;
 		if (exists && exchange.extend()) {
 			this.state.remind(exchange, exchange.left(this.state.now).dividedBy(TEXTS_WAIT_PART),
 					TimerKind.CHAIN_LOOKUP);
@@ -309,16 +314,16 @@
 			.turn()
 			.flatMap(Turn::previous)
 			.map(this.state.turns::chain)
-			.orElseGet(() -> new Chain.Whole(new byte[0]));
+			.orElseGet(() -> new Chain.Complete(new byte[0]));
 	}
 
 	void asked(RelayEvent.TextsRequested asked) {
 		List<TurnText> found = new ArrayList<>();
 		int bytes = 0;
 		for (String request : asked.requests()) {
-			Optional<KeptTurn> text = this.state.turns.text(request);
+			Optional<StoredTurn> text = this.state.turns.text(request);
 			text.ifPresent((known) -> found.add(new TurnText(request, known)));
-			bytes += text.map(KeptTurn::size).orElse(0);
+			bytes += text.map(StoredTurn::size).orElse(0);
 			if (bytes > MESSAGE_BYTES) {
 				this.state.emit(new RelayEffect.SendTexts(asked.peer(), found));
 				found.clear();
@@ -361,9 +366,9 @@
 
 		private final long exchange;
 
-		private final KeptTurn kept;
+		private final StoredTurn kept;
 
-		Ending(long exchange, KeptTurn kept) {
+		Ending(long exchange, StoredTurn kept) {
 			this.exchange = exchange;
 			this.kept = kept;
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/KeptTurns.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnCache.java
@@ -19,7 +19,7 @@
  * from the log again. A turn whose chain is not whole is never taken for a shorter one.
  * Used by one thread.
  */
-final class KeptTurns {
+final class TurnCache {
 
 	/**
 	 * How many places are remembered: a minute of what 380 relays would tell, at some 200
@@ -37,9 +37,9 @@
 
 	private final long bound;
 
-	private final LinkedHashMap<String, KeptTurn> texts = new LinkedHashMap<>(64, 0.75f, true);
+	private final LinkedHashMap<String, StoredTurn> texts = new LinkedHashMap<>(64, 0.75f, true);
 
-	private final Map<String, Known> places = new LinkedHashMap<>(64, 0.75f, true) {
+	private final Map<String, Known> locations = new LinkedHashMap<>(64, 0.75f, true) {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Known> eldest) {
 			return size() > PLACES;
@@ -48,11 +48,11 @@
 
 	private long bytes;
 
-	KeptTurns(long bound) {
+	TurnCache(long bound) {
 		this.bound = bound;
 	}
 
-	void add(String request, KeptTurn text) {
+	void add(String request, StoredTurn text) {
 		if (this.texts.putIfAbsent(request, text) != null) {
 			return;
 		}
@@ -70,21 +70,21 @@
 	 * @param place its place in the log
 	 * @param teller the relay that told the place; empty if the log shows it
 	 */
-	void note(String request, TextPlace place, Optional<String> teller) {
-		Known before = this.places.getOrDefault(request, Known.NOTHING);
-		Optional<String> holder = before.holder().or(place::holder).or(() -> teller);
-		this.places.put(request, teller.isPresent() ? new Known(before.logged(), with(before.told(), place), holder)
+	void recordLocation(String request, TextLocation place, Optional<String> teller) {
+		Known before = this.locations.getOrDefault(request, Known.NOTHING);
+		Optional<String> holder = before.holder().or(place::origin).or(() -> teller);
+		this.locations.put(request, teller.isPresent() ? new Known(before.logged(), with(before.told(), place), holder)
 				: new Known(with(before.logged(), place), before.told(), holder));
 	}
 
-	private static List<TextPlace> with(List<TextPlace> places, TextPlace place) {
-		List<TextPlace> known = new ArrayList<>(places);
+	private static List<TextLocation> with(List<TextLocation> places, TextLocation place) {
+		List<TextLocation> known = new ArrayList<>(places);
 		known.remove(place);
 		known.addFirst(place);
 		return known.subList(0, Math.min(known.size(), COPIES));
 	}
 
-	Optional<KeptTurn> text(String request) {
+	Optional<StoredTurn> text(String request) {
 		return Optional.ofNullable(this.texts.get(request));
 	}
 
@@ -94,8 +94,8 @@
 	 * @param request the turn
 	 * @return the places, those that were only told first, of each the newest first
 	 */
-	List<TextPlace> places(String request) {
-		return Optional.ofNullable(this.places.get(request)).map(Known::places).orElse(List.of());
+	List<TextLocation> locations(String request) {
+		return Optional.ofNullable(this.locations.get(request)).map(Known::places).orElse(List.of());
 	}
 
 	/**
@@ -103,8 +103,8 @@
 	 * @param request the turn
 	 * @return the relay, or empty if it is not known
 	 */
-	Optional<String> holder(String request) {
-		return Optional.ofNullable(this.places.get(request)).flatMap(Known::holder);
+	Optional<String> origin(String request) {
+		return Optional.ofNullable(this.locations.get(request)).flatMap(Known::holder);
 	}
 
 	/**
@@ -113,7 +113,7 @@
 	 * @return inputs and outputs of the whole chain, or what is missing
 	 */
 	Chain chain(String previous) {
-		Deque<KeptTurn> found = new ArrayDeque<>();
+		Deque<StoredTurn> found = new ArrayDeque<>();
 		List<String> elsewhere = new ArrayList<>();
 		Set<String> seen = new HashSet<>();
 		Optional<String> next = Optional.of(previous);
@@ -123,8 +123,8 @@
 			if (!seen.add(next.get())) {
 				return new Chain.Unknown();
 			}
-			KeptTurn text = this.texts.get(next.get());
-			Known known = this.places.get(next.get());
+			StoredTurn text = this.texts.get(next.get());
+			Known known = this.locations.get(next.get());
 			if (text == null && known == null) {
 				return new Chain.Unknown();
 			}
@@ -136,12 +136,12 @@
 			found.addFirst(text);
 			next = text.previous();
 		}
-		return elsewhere.isEmpty() ? new Chain.Whole(join(found)) : new Chain.Elsewhere(elsewhere);
+		return elsewhere.isEmpty() ? new Chain.Complete(join(found)) : new Chain.Incomplete(elsewhere);
 	}
 
-	private static byte[] join(Deque<KeptTurn> chain) {
+	private static byte[] join(Deque<StoredTurn> chain) {
 		ByteArrayOutputStream text = new ByteArrayOutputStream();
-		for (KeptTurn turn : chain) {
+		for (StoredTurn turn : chain) {
 			text.writeBytes(turn.input());
 			text.writeBytes(turn.output());
 		}
@@ -166,7 +166,7 @@
 		 *
 		 * @param text the texts, in order; shared, never written to
 		 */
-		record Whole(byte[] text) implements Chain {
+		record Complete(byte[] text) implements Chain {
 
 		}
 
@@ -175,14 +175,14 @@
 		 *
 		 * @param turns the turns whose texts are missing, the newest first
 		 */
-		record Elsewhere(List<String> turns) implements Chain {
+		record Incomplete(List<String> missing) implements Chain {
 
 			/**
 			 * Creates a chain.
 			 * @param turns the turns whose texts are missing, the newest first
 			 */
-			public Elsewhere {
-				turns = List.copyOf(turns);
+			public Incomplete {
+				missing = List.copyOf(missing);
 			}
 
 		}
@@ -201,9 +201,9 @@
 	 *
 	 * @param logged its places that the log shows, the newest first
 	 * @param told its places that other relays told, the newest first
-	 * @param holder the relay that ran the turn
+	 * @param origin the relay that ran the turn
 	 */
-	private record Known(List<TextPlace> logged, List<TextPlace> told, Optional<String> holder) {
+	private record Known(List<TextLocation> logged, List<TextLocation> told, Optional<String> holder) {
 
 		private static final Known NOTHING = new Known(List.of(), List.of(), Optional.empty());
 
@@ -212,7 +212,7 @@
 			told = List.copyOf(told);
 		}
 
-		List<TextPlace> places() {
+		List<TextLocation> places() {
 			return Stream.concat(this.told.stream(), this.logged.stream()).distinct().toList();
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/PlacedTurn.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnLocation.java
@@ -4,8 +4,8 @@
  * A turn with where its text is. Immutable and safe for use by several threads.
  *
  * @param request the turn
- * @param place where its text is
+ * @param location where its text is
  */
-public record PlacedTurn(String request, TextPlace place) {
+public record TurnLocation(String request, TextLocation location) {
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnText.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnText.java
@@ -6,6 +6,6 @@
  * @param request the turn: the id of its caller's attempt
  * @param text its text
  */
-public record TurnText(String request, KeptTurn text) {
+public record TurnText(String request, StoredTurn text) {
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/LogCopiesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/DuplicateEntryCounterTests.java
@@ -8,9 +8,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LogCopiesTests {
+class DuplicateEntryCounterTests {
 
-	private final LogCopies copies = new LogCopies();
+	private final DuplicateEntryCounter copies = new DuplicateEntryCounter();
 
 	@Test
 	void copiesAreTakenOnceByTheirKind() {
@@ -18,11 +18,11 @@
 		this.copies.add(settled);
 		this.copies.add(settled);
 		this.copies.add(new LedgerEntry.Reserved("t", "p", 7, "", List.of(), false));
-		assertThat(this.copies.take()).containsExactly(new Measurement.LogCopies(Kind.RESERVED, 1),
+		assertThat(this.copies.drain()).containsExactly(new Measurement.LogCopies(Kind.RESERVED, 1),
 				new Measurement.LogCopies(Kind.SETTLED, 2));
-		assertThat(this.copies.take()).isEmpty();
+		assertThat(this.copies.drain()).isEmpty();
 		this.copies.add(new LedgerEntry.Blamed("t", 1, "u"));
-		assertThat(this.copies.take()).containsExactly(new Measurement.LogCopies(Kind.BLAMED, 1));
+		assertThat(this.copies.drain()).containsExactly(new Measurement.LogCopies(Kind.BLAMED, 1));
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaSite.java
@@ -192,7 +192,7 @@
 		at(after, () -> this.lives.get(relay).frozenUntil = this.now + frozen.toMillis());
 		at(after.plus(frozen), () -> {
 			Life life = this.lives.get(relay);
-			take(life, life.relay.on(new RelayEvent.ProcessResumed(this.now, frozen)));
+			take(life, life.relay.handle(new RelayEvent.ProcessResumed(this.now, frozen)));
 		});
 	}
 
@@ -231,7 +231,8 @@
 				new RequestHead.Origin(Optional.of(program), Optional.of(KeyDigest.of(team))));
 		whenRunning(life, () -> {
 			life.teams.put(exchange, List.of(team, program));
-			take(life, life.relay.on(new RelayEvent.RequestReceived(this.now, exchange, head, new byte[0], exchange)));
+			take(life,
+					life.relay.handle(new RelayEvent.RequestReceived(this.now, exchange, head, new byte[0], exchange)));
 			this.waited += life.teams.containsKey(exchange) ? 1 : 0;
 		});
 	}
@@ -244,7 +245,7 @@
 				case RelayEffect.GrantPermits grant -> send(from, grant.peer(),
 						(to) -> new RelayEvent.PermitsGranted(this.now, Integer.toString(from.index), grant.reply()));
 				case RelayEffect.StartTimer remind -> at(remind.delay(), () -> whenRunning(from, () -> take(from,
-						from.relay.on(new RelayEvent.TimerFired(this.now, remind.exchange(), remind.timer())))));
+						from.relay.handle(new RelayEvent.TimerFired(this.now, remind.exchange(), remind.timer())))));
 				case RelayEffect.SendRequest send -> {
 					note(this.ran, from, send.exchange());
 					ended(send.exchange(), Optional.empty());
@@ -274,7 +275,7 @@
 		long arrives = this.now + NEAR_MS + this.random.nextInt(FAR_MS);
 		steps(arrives, () -> {
 			Life life = this.lives.get(Integer.parseInt(to));
-			whenRunning(life, () -> take(life, life.relay.on(message.to(life))));
+			whenRunning(life, () -> take(life, life.relay.handle(message.to(life))));
 		});
 	}
 
@@ -318,7 +319,7 @@
 		}
 
 		void on(RelayEvent event) {
-			take(this, this.relay.on(event));
+			take(this, this.relay.handle(event));
 		}
 
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
@@ -22,14 +22,14 @@
 
 	static final int TOKENS_PER_EVENT = 10;
 
-	static final AnswerHead SIGNED = new AnswerHead(200, List.of(new Header("Stamp", "s")), false, true,
+	static final ResponseHead SIGNED = new ResponseHead(200, List.of(new Header("Stamp", "s")), false, true,
 			Optional.empty());
 
-	static final AnswerHead UNSIGNED = new AnswerHead(200, List.of(), false, false, Optional.empty());
+	static final ResponseHead UNSIGNED = new ResponseHead(200, List.of(), false, false, Optional.empty());
 
-	static final AnswerHead MISDIRECTED = new AnswerHead(421, List.of(), true, false, Optional.empty());
+	static final ResponseHead MISDIRECTED = new ResponseHead(421, List.of(), true, false, Optional.empty());
 
-	static final AnswerHead FULL = new AnswerHead(503, List.of(), true, false, Optional.empty());
+	static final ResponseHead FULL = new ResponseHead(503, List.of(), true, false, Optional.empty());
 
 	static final int PART = 3;
 
@@ -129,7 +129,7 @@
 				List.of(route("chat", Repeatability.STREAM, false, true, ENGINE),
 						route("draft", Repeatability.STREAM, true, false, ENGINE),
 						route("look", Repeatability.IDEMPOTENT, false, false, SHOP),
-						route("order", Repeatability.ONCE, false, false, SHOP)),
+						route("order", Repeatability.AT_MOST_ONCE, false, false, SHOP)),
 				services, RouteTable.Limits.beforeFirstTable(), Optional.empty());
 	}
 
@@ -162,7 +162,7 @@
 
 	List<RelayEffect> on(RelayEvent event) {
 		this.caughtUp = this.caughtUp || event instanceof RelayEvent.CaughtUp;
-		List<RelayEffect> effects = this.relay.on(event);
+		List<RelayEffect> effects = this.relay.handle(event);
 		this.all.addAll(effects);
 		return effects;
 	}
@@ -193,7 +193,7 @@
 		return this.exchange;
 	}
 
-	List<RelayEffect> answer(int attempt, AnswerHead head) {
+	List<RelayEffect> answer(int attempt, ResponseHead head) {
 		return on(new RelayEvent.ResponseReceived(this.now, this.exchange, attempt, head, "answer".getBytes()));
 	}
 
@@ -230,12 +230,13 @@
 		return new LedgerEntry.Settled(request, "p", 10, Optional.of(place(previous)));
 	}
 
-	static TextPlace place(String previous) {
-		return new TextPlace(Optional.ofNullable(previous), 9, 5, 17);
+	static TextLocation place(String previous) {
+		return new TextLocation(Optional.ofNullable(previous), 9, 5, 17);
 	}
 
 	static TurnText text(String request, String previous, String input, String output) {
-		return new TurnText(request, new KeptTurn(Optional.ofNullable(previous), input.getBytes(), output.getBytes()));
+		return new TurnText(request,
+				new StoredTurn(Optional.ofNullable(previous), input.getBytes(), output.getBytes()));
 	}
 
 	List<RelayEffect> stored(String... requests) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/AnswerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ResponseRulesTests.java
@@ -7,7 +7,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class AnswerRulesTests {
+class ResponseRulesTests {
 
 	// A relay was frozen for half a second, and the answer of an upstream lay unread in
 	// its
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TeamTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TeamTests.java
@@ -85,7 +85,7 @@
 	private List<RelayEffect> ask(String id, String route, Optional<String> key, RequestHead.Turn turn) {
 		RequestHead plain = RelayFixture.head(id, route, Optional.ofNullable(turn));
 		return this.relay.ask(
-				new RequestHead(id, plain.host(), plain.path(), plain.patience(), plain.turn(), List.of(), 0,
+				new RequestHead(id, plain.host(), plain.path(), plain.callerTimeout(), plain.turn(), List.of(), 0,
 						OptionalLong.empty(), Optional.empty(),
 						new RequestHead.Origin(plain.turn().map(RequestHead.Turn::program), key.map(KeyDigest::of))),
 				"body");
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
@@ -65,9 +65,9 @@
 			assertThat(ask.request()).isEqualTo("t2");
 		});
 		assertThat(RelayFixture.of(asked, RelayEffect.ReadLog.class)).isEmpty();
-		TextPlace place = new TextPlace(Optional.empty(), 9, 5, 17, Optional.of("b"));
+		TextLocation place = new TextLocation(Optional.empty(), 9, 5, 17, Optional.of("b"));
 		List<RelayEffect> told = relay
-			.on(new RelayEvent.TextLocationsReceived(relay.now(), "a", List.of(new PlacedTurn("t2", place))));
+			.on(new RelayEvent.TextLocationsReceived(relay.now(), "a", List.of(new TurnLocation("t2", place))));
 		assertThat(RelayFixture.of(told, RelayEffect.RequestTexts.class))
 			.containsExactly(new RelayEffect.RequestTexts("b", List.of("t2")));
 	}
@@ -91,9 +91,9 @@
 	void keeperTellsWhereTheTextsOfAChainAre() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.told(RelayFixture.kept("t1", null), RelayFixture.kept("t2", "t1"));
-		assertThat(relay.on(new RelayEvent.TextLocationsRequested(relay.now(), "peer", "t2")))
-			.containsExactly(new RelayEffect.SendTextLocations("peer", List
-				.of(new PlacedTurn("t2", RelayFixture.place("t1")), new PlacedTurn("t1", RelayFixture.place(null)))));
+		assertThat(relay.on(new RelayEvent.TextLocationsRequested(relay.now(), "peer", "t2"))).containsExactly(
+				new RelayEffect.SendTextLocations("peer", List.of(new TurnLocation("t2", RelayFixture.place("t1")),
+						new TurnLocation("t1", RelayFixture.place(null)))));
 		assertThat(relay.on(new RelayEvent.TextLocationsRequested(relay.now(), "peer", "t9"))).isEmpty();
 	}
 
@@ -119,7 +119,7 @@
 		assertThat(RelayFixture.of(atEnd, RelayEffect.EndStream.class)).isEmpty();
 		assertThat(RelayFixture.of(atEnd, RelayEffect.StoreText.class)).singleElement()
 			.satisfies((store) -> assertThat(new String(store.text().output())).isEqualTo("piece 1\n"));
-		assertThat(RelayFixture.settled(atEnd).text().map(TextPlace::part)).contains(RelayFixture.PART);
+		assertThat(RelayFixture.settled(atEnd).text().map(TextLocation::partition)).contains(RelayFixture.PART);
 		assertThat(ends(relay.on(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1"))))).isEmpty();
 		assertThat(ends(relay.on(textsStored(relay, "t1")))).hasSize(1);
 	}
@@ -168,7 +168,7 @@
 		RelayEvent.TurnWriteRequested asked = helpAsked(relay, "t1");
 		List<RelayEffect> helping = relay.on(asked);
 		assertThat(RelayFixture.settled(helping).tokens()).isEqualTo(10);
-		assertThat(RelayFixture.settled(helping).text().map(TextPlace::part)).contains(RelayFixture.PART);
+		assertThat(RelayFixture.settled(helping).text().map(TextLocation::partition)).contains(RelayFixture.PART);
 		assertThat(RelayFixture.of(helping, RelayEffect.StoreText.class)).hasSize(1);
 		assertThat(relay.on(asked)).isEmpty();
 		assertThat(relay.on(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1")))).isEmpty();
@@ -193,8 +193,8 @@
 	@Test
 	void textIsLookedForAtAllPlacesThatWereTold() {
 		RelayFixture relay = RelayFixture.ready();
-		TextPlace own = new TextPlace(Optional.empty(), 9, 1, 10);
-		TextPlace helpers = new TextPlace(Optional.empty(), 9, 2, 20);
+		TextLocation own = new TextLocation(Optional.empty(), 9, 1, 10);
+		TextLocation helpers = new TextLocation(Optional.empty(), 9, 2, 20);
 		relay.readFromLog(new LedgerEntry.Settled("t1", "p", 10, Optional.of(own)));
 		relay.readFromLog(new LedgerEntry.Settled("t1", "p", 10, Optional.of(helpers)));
 		List<RelayEffect> effects = relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
@@ -303,11 +303,11 @@
 	@Test
 	void placeThatTheLogShowsIsNotForgottenForPlacesThatWereOnlyTold() {
 		RelayFixture relay = RelayFixture.ready();
-		TextPlace helpers = new TextPlace(Optional.empty(), 9, 2, 20);
+		TextLocation helpers = new TextLocation(Optional.empty(), 9, 2, 20);
 		relay.readFromLog(RelayFixture.kept("t1", null));
 		relay.readFromLog(new LedgerEntry.Settled("t1", "p", 10, Optional.of(helpers)));
-		relay.told(new LedgerEntry.Settled("t1", "p", 10, Optional.of(new TextPlace(Optional.empty(), 9, 6, 30))));
-		relay.told(new LedgerEntry.Settled("t1", "p", 10, Optional.of(new TextPlace(Optional.empty(), 9, 7, 40))));
+		relay.told(new LedgerEntry.Settled("t1", "p", 10, Optional.of(new TextLocation(Optional.empty(), 9, 6, 30))));
+		relay.told(new LedgerEntry.Settled("t1", "p", 10, Optional.of(new TextLocation(Optional.empty(), 9, 7, 40))));
 		List<RelayEffect> effects = relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
 		assertThat(RelayFixture.of(effects, RelayEffect.ReadText.class)).singleElement()
 			.satisfies((read) -> assertThat(read.locations()).contains(helpers));
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/KeptTurnsTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TurnCacheTests.java
@@ -3,29 +3,29 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.relay.KeptTurns.Chain;
+import io.lentilslip.core.relay.TurnCache.Chain;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class KeptTurnsTests {
+class TurnCacheTests {
 
 	// A keeper tells of a turn that another relay ran. The text is with the one that ran
 	// it,
 	// which the place names.
 	@Test
 	void relayThatAPlaceNamesHasTheText() {
-		KeptTurns turns = new KeptTurns(1000);
-		TextPlace place = new TextPlace(Optional.empty(), 9, 5, 17, Optional.of("ran it"));
-		turns.note("t1", place, Optional.of("told it"));
-		assertThat(turns.holder("t1")).contains("ran it");
-		turns.note("t2", RelayFixture.place(null), Optional.of("told it"));
-		assertThat(turns.holder("t2")).contains("told it");
+		TurnCache turns = new TurnCache(1000);
+		TextLocation place = new TextLocation(Optional.empty(), 9, 5, 17, Optional.of("ran it"));
+		turns.recordLocation("t1", place, Optional.of("told it"));
+		assertThat(turns.origin("t1")).contains("ran it");
+		turns.recordLocation("t2", RelayFixture.place(null), Optional.of("told it"));
+		assertThat(turns.origin("t2")).contains("told it");
 	}
 
 	@Test
 	void chainIsInputsAndOutputsFromTheOldestOn() {
-		KeptTurns turns = new KeptTurns(1000);
+		TurnCache turns = new TurnCache(1000);
 		turns.add("b", turn("a", "3", "4"));
 		turns.add("a", turn(null, "1", "2"));
 		assertThat(whole(turns.chain("b"))).isEqualTo("1234");
@@ -35,7 +35,7 @@
 	// the chain is unknown.
 	@Test
 	void chainWithAGapIsUnknown() {
-		KeptTurns turns = new KeptTurns(1000);
+		TurnCache turns = new TurnCache(1000);
 		turns.add("c", turn("b", "5", "6"));
 		turns.add("a", turn(null, "1", "2"));
 		assertThat(turns.chain("c")).isEqualTo(new Chain.Unknown());
@@ -45,14 +45,14 @@
 	// known to be elsewhere, where its place was told.
 	@Test
 	void textsThatWereNotAskedForGoFirst() {
-		KeptTurns turns = new KeptTurns(4);
-		turns.note("a", RelayFixture.place(null), Optional.of("x"));
+		TurnCache turns = new TurnCache(4);
+		turns.recordLocation("a", RelayFixture.place(null), Optional.of("x"));
 		turns.add("a", turn(null, "1", "2"));
 		turns.add("b", turn(null, "3", "4"));
 		turns.chain("b");
 		turns.add("c", turn(null, "5", "6"));
-		assertThat(turns.chain("a")).isEqualTo(new Chain.Elsewhere(List.of("a")));
-		assertThat(turns.holder("a")).contains("x");
+		assertThat(turns.chain("a")).isEqualTo(new Chain.Incomplete(List.of("a")));
+		assertThat(turns.origin("a")).contains("x");
 		assertThat(whole(turns.chain("b"))).isEqualTo("34");
 		assertThat(whole(turns.chain("c"))).isEqualTo("56");
 		assertThat(turns.bytes()).isEqualTo(4);
@@ -60,11 +60,11 @@
 
 	@Test
 	void turnsOfAChainWhoseTextsAreMissingAreNamedFromTheNewestOn() {
-		KeptTurns turns = new KeptTurns(1000);
-		turns.note("a", RelayFixture.place(null), Optional.empty());
+		TurnCache turns = new TurnCache(1000);
+		turns.recordLocation("a", RelayFixture.place(null), Optional.empty());
 		turns.add("b", turn("a", "3", "4"));
-		turns.note("c", RelayFixture.place("b"), Optional.empty());
-		assertThat(turns.chain("c")).isEqualTo(new Chain.Elsewhere(List.of("c", "a")));
+		turns.recordLocation("c", RelayFixture.place("b"), Optional.empty());
+		assertThat(turns.chain("c")).isEqualTo(new Chain.Incomplete(List.of("c", "a")));
 	}
 
 	// A caller gave two turns one name, and the second one continued the first. Walked
@@ -72,15 +72,15 @@
 	// without end, the chain would stop the relay, and all others that were told of it.
 	@Test
 	void turnThatLeadsBackToItselfIsUnknown() {
-		KeptTurns turns = new KeptTurns(1000);
-		turns.note("a", RelayFixture.place("b"), Optional.empty());
+		TurnCache turns = new TurnCache(1000);
+		turns.recordLocation("a", RelayFixture.place("b"), Optional.empty());
 		turns.add("b", turn("a", "1", "2"));
 		assertThat(turns.chain("a")).isEqualTo(new Chain.Unknown());
 	}
 
 	@Test
 	void turnThatComesTwiceIsKeptOnce() {
-		KeptTurns turns = new KeptTurns(1000);
+		TurnCache turns = new TurnCache(1000);
 		turns.add("a", turn(null, "1", "2"));
 		turns.add("a", turn(null, "1", "2"));
 		assertThat(turns.bytes()).isEqualTo(2);
@@ -88,11 +88,11 @@
 	}
 
 	private static String whole(Chain chain) {
-		return new String(((Chain.Whole) chain).text());
+		return new String(((Chain.Complete) chain).text());
 	}
 
-	private static KeptTurn turn(String previous, String input, String output) {
-		return new KeptTurn(Optional.ofNullable(previous), input.getBytes(), output.getBytes());
+	private static StoredTurn turn(String previous, String input, String output) {
+		return new StoredTurn(Optional.ofNullable(previous), input.getBytes(), output.getBytes());
 	}
 
 }
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/CallerConnection.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/CallerConnection.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 
 import io.lentilslip.core.call.Header;
-import io.lentilslip.core.relay.AnswerHead;
+import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.RouteTable;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -85,7 +85,7 @@
 	 * @param head the head
 	 * @param content the body
 	 */
-	public void answer(AnswerHead head, byte[] content) {
+	public void answer(ResponseHead head, byte[] content) {
 		FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
 				HttpResponseStatus.valueOf(head.status()), Unpooled.wrappedBuffer(content));
 		copy(head, answer);
@@ -108,7 +108,7 @@
 	 * Begins a stream.
 	 * @param head the head of the upstream's answer
 	 */
-	public void open(AnswerHead head) {
+	public void open(ResponseHead head) {
 		HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(head.status()));
 		copy(head, answer);
 		if (this.chunked) {
@@ -304,7 +304,7 @@
 		return status != HttpResponseStatus.NO_CONTENT.code() && status != HttpResponseStatus.NOT_MODIFIED.code();
 	}
 
-	private static void copy(AnswerHead head, HttpResponse answer) {
+	private static void copy(ResponseHead head, HttpResponse answer) {
 		for (Header header : head.headers()) {
 			answer.headers().add(header.name(), header.value());
 		}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/Dialect.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/Dialect.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.relay.AnswerHead;
+import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.Refusal;
 import io.lentilslip.core.relay.RelayEffect;
 import io.lentilslip.core.relay.RequestHead;
@@ -56,7 +56,7 @@
 	 * @param answer the answer
 	 * @return the head
 	 */
-	AnswerHead answer(HttpResponse answer);
+	ResponseHead answer(HttpResponse answer);
 
 	/**
 	 * Returns how long an upstream keeps a connection that is idle.
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerListener.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerListener.java
@@ -7,7 +7,7 @@
 import io.lentilslip.core.quota.PermitRequest;
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.core.relay.Member;
-import io.lentilslip.core.relay.PlacedTurn;
+import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.wire.relay.PeerMessage;
 
@@ -42,7 +42,7 @@
 	 * @param peer its address
 	 * @param turns the turns that it knows
 	 */
-	void placesTold(String peer, List<PlacedTurn> turns);
+	void placesTold(String peer, List<TurnLocation> turns);
 
 	/**
 	 * Another relay asks for texts.
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.zip.CRC32C;
 
-import io.lentilslip.core.relay.AnswerHead;
+import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.RelayEffect;
 import io.lentilslip.core.relay.RelayEvent;
 import io.lentilslip.core.relay.RelayEvent.FailureCause;
@@ -167,12 +167,12 @@
 		}
 
 		@Override
-		public void answered(AnswerHead head, byte[] body) {
+		public void answered(ResponseHead head, byte[] body) {
 			tell(new RelayEvent.ResponseReceived(now(), this.exchange, this.attempt, head, body));
 		}
 
 		@Override
-		public void opened(AnswerHead head) {
+		public void opened(ResponseHead head) {
 			tell(new RelayEvent.StreamOpened(now(), this.exchange, this.attempt, head));
 		}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
@@ -26,7 +26,7 @@
 import io.lentilslip.core.relay.EntryProblem;
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.core.relay.Member;
-import io.lentilslip.core.relay.PlacedTurn;
+import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.Relay;
 import io.lentilslip.core.relay.RelayEffect;
 import io.lentilslip.core.relay.RelayEvent;
@@ -290,7 +290,7 @@
 	// event is told, and its own exchange ends without a claim about what has run.
 	private void reduce(RelayEvent event) {
 		try {
-			this.relay.on(event).forEach(this::run);
+			this.relay.handle(event).forEach(this::run);
 		}
 		catch (RuntimeException ex) {
 			this.notices.write(NoticeCode.DECISION_FAILED.with(FieldName.REASON, ex)
@@ -390,7 +390,7 @@
 		this.draining = true;
 		this.callers.drain();
 		this.notices.write(NoticeCode.DRAINING_BEGAN.with(FieldName.ROLE, ROLE)
-			.with(FieldName.COUNT, this.relay.underWay())
+			.with(FieldName.COUNT, this.relay.inFlight())
 			.with(FieldName.LIMIT, this.setup.drainLimit()));
 		this.store.put(Topic.RELAYS, this.name, Optional.empty(), (outcome) -> {
 			// Where this fails, the others find a closed port, and try ever more seldom.
@@ -535,7 +535,7 @@
 		}
 
 		@Override
-		public void placesTold(String peer, List<PlacedTurn> turns) {
+		public void placesTold(String peer, List<TurnLocation> turns) {
 			on(new RelayEvent.TextLocationsReceived(RelayProcess.this.timers.now(), peer, turns));
 		}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextReader.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextReader.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-import io.lentilslip.core.relay.KeptTurn;
-import io.lentilslip.core.relay.TextPlace;
+import io.lentilslip.core.relay.StoredTurn;
+import io.lentilslip.core.relay.TextLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.wire.relay.RelayCodec;
 
@@ -46,7 +46,7 @@
 	 * @param places where it may stand
 	 * @param then takes the text, or empty if it was not found
 	 */
-	public void read(String request, List<TextPlace> places, Consumer<Optional<KeptTurn>> then) {
+	public void read(String request, List<TextLocation> places, Consumer<Optional<StoredTurn>> then) {
 		new Search(request, new ArrayDeque<>(places), then).next();
 	}
 
@@ -57,13 +57,13 @@
 
 		private final String request;
 
-		private final Deque<TextPlace> places;
+		private final Deque<TextLocation> places;
 
-		private final Consumer<Optional<KeptTurn>> then;
+		private final Consumer<Optional<StoredTurn>> then;
 
 		private int calls;
 
-		Search(String request, Deque<TextPlace> places, Consumer<Optional<KeptTurn>> then) {
+		Search(String request, Deque<TextLocation> places, Consumer<Optional<StoredTurn>> then) {
 			this.request = request;
 			this.places = places;
 			this.then = then;
@@ -75,27 +75,27 @@
 				return;
 			}
 			this.calls = 0;
-			TextPlace place = this.places.pollFirst();
-			look(place, place.from());
+			TextLocation place = this.places.pollFirst();
+			look(place, place.minOffset());
 		}
 
-		private void look(TextPlace place, long from) {
+		private void look(TextLocation place, long from) {
 			if (this.calls == CALLS) {
 				next();
 				return;
 			}
 			int more = MORE_BYTES << this.calls;
 			this.calls++;
-			TextReader.this.store.readTexts(place.part(), from, place.bytes() + more,
+			TextReader.this.store.readTexts(place.partition(), from, place.bytes() + more,
 					(outcome) -> take(place, outcome));
 		}
 
-		private void take(TextPlace place, Store.ReadResult outcome) {
+		private void take(TextLocation place, Store.ReadResult outcome) {
 			switch (outcome) {
 				case Store.ReadResult.Failed ignored -> next();
 				case Store.ReadResult.Deleted deleted -> look(place, deleted.firstOffset());
 				case Store.ReadResult.Records records -> {
-					Optional<KeptTurn> found = find(records.records());
+					Optional<StoredTurn> found = find(records.records());
 					if (found.isPresent()) {
 						this.then.accept(found);
 						return;
@@ -109,7 +109,7 @@
 			}
 		}
 
-		private Optional<KeptTurn> find(List<Store.StoredRecord> records) {
+		private Optional<StoredTurn> find(List<Store.StoredRecord> records) {
 			return records.stream()
 				.flatMap((stored) -> stored.value().stream())
 				.flatMap((value) -> RelayCodec.decodeText(value).toJavaStream())
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/AttemptListener.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/AttemptListener.java
@@ -1,6 +1,6 @@
 package io.lentilslip.relay.upstream;
 
-import io.lentilslip.core.relay.AnswerHead;
+import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.RelayEvent.FailureCause;
 
 /**
@@ -14,13 +14,13 @@
 	 * @param head its head
 	 * @param body its body
 	 */
-	void answered(AnswerHead head, byte[] body);
+	void answered(ResponseHead head, byte[] body);
 
 	/**
 	 * The head of a stream.
 	 * @param head the head
 	 */
-	void opened(AnswerHead head);
+	void opened(ResponseHead head);
 
 	/**
 	 * A whole event of a stream.
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamClient.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamClient.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import io.lentilslip.core.relay.AnswerHead;
+import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.RelayEffect;
 import io.lentilslip.core.relay.RelayEvent.FailureCause;
 import io.lentilslip.core.relay.Upstream;
@@ -137,13 +137,13 @@
 		}
 
 		@Override
-		public void answered(AnswerHead head, byte[] body) {
+		public void answered(ResponseHead head, byte[] body) {
 			UpstreamClient.this.attempts.remove(this.key);
 			this.next.answered(head, body);
 		}
 
 		@Override
-		public void opened(AnswerHead head) {
+		public void opened(ResponseHead head) {
 			this.next.opened(head);
 		}
 
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
@@ -20,7 +20,7 @@
 import io.lentilslip.core.quota.PermitRequest;
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.core.relay.Member;
-import io.lentilslip.core.relay.PlacedTurn;
+import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.core.relay.UpstreamLoad;
 import io.lentilslip.relay.net.Traffic;
@@ -310,7 +310,7 @@
 		}
 
 		@Override
-		public void placesTold(String peer, List<PlacedTurn> turns) {
+		public void placesTold(String peer, List<TurnLocation> turns) {
 		}
 
 		@Override
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryWriterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryWriterTests.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 
 import io.lentilslip.core.relay.LedgerEntry;
-import io.lentilslip.core.relay.TextPlace;
+import io.lentilslip.core.relay.TextLocation;
 import io.lentilslip.wire.relay.RelayCodec;
 import org.junit.jupiter.api.Test;
 
@@ -17,7 +17,7 @@
 
 class EntryWriterTests {
 
-	private static final TextPlace PLACE = new TextPlace(Optional.empty(), 1, 2, 3);
+	private static final TextLocation PLACE = new TextLocation(Optional.empty(), 1, 2, 3);
 
 	private final FakeStore store = new FakeStore();
 
@@ -158,7 +158,7 @@
 		return new LedgerEntry.Settled(request, "p".repeat(bytes), 1, Optional.of(PLACE));
 	}
 
-	private static LedgerEntry settled(String request, Optional<TextPlace> text) {
+	private static LedgerEntry settled(String request, Optional<TextLocation> text) {
 		return new LedgerEntry.Settled(request, "p", 1, text);
 	}
 
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextReaderTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextReaderTests.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-import io.lentilslip.core.relay.KeptTurn;
-import io.lentilslip.core.relay.TextPlace;
+import io.lentilslip.core.relay.StoredTurn;
+import io.lentilslip.core.relay.TextLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.relay.store.Store.StoredRecord;
 import io.lentilslip.wire.relay.RelayCodec;
@@ -81,7 +81,7 @@
 	void textIsFoundBehindWhatAnotherRelayWroteInSeconds() {
 		int size = 4096;
 		int others = 60;
-		read(new TextPlace(Optional.empty(), size, 3, 5));
+		read(new TextLocation(Optional.empty(), size, 3, 5));
 		while (!this.store.readAnswers.isEmpty()) {
 			int next = this.store.reads.getLast().intValue() - 5;
 			int most = Math.max(1, this.store.textBytes.getLast() / size);
@@ -110,18 +110,18 @@
 		assertThat(this.found).containsExactly(Optional.empty());
 	}
 
-	private void read(TextPlace... places) {
+	private void read(TextLocation... places) {
 		this.reader.read("t", List.of(places), (text) -> this.found.add(text.map((kept) -> new String(kept.output()))));
 	}
 
-	private static TextPlace place(long from) {
-		return new TextPlace(Optional.empty(), 9, 3, from);
+	private static TextLocation place(long from) {
+		return new TextLocation(Optional.empty(), 9, 3, from);
 	}
 
 	private static Store.ReadResult records(long from, long end, String... turns) {
 		List<StoredRecord> records = new ArrayList<>();
 		for (String turn : turns) {
-			KeptTurn text = new KeptTurn(Optional.empty(), new byte[0], ("text of " + turn).getBytes());
+			StoredTurn text = new StoredTurn(Optional.empty(), new byte[0], ("text of " + turn).getBytes());
 			records.add(new StoredRecord(from + records.size(), Optional.empty(),
 					Optional.of(RelayCodec.encode(new TurnText(turn, text)))));
 		}
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextWriterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextWriterTests.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-import io.lentilslip.core.relay.KeptTurn;
+import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.TurnText;
 import org.junit.jupiter.api.Test;
 
@@ -104,7 +104,7 @@
 	}
 
 	private static TurnText text(String request, int bytes) {
-		return new TurnText(request, new KeptTurn(Optional.empty(), new byte[bytes], new byte[0]));
+		return new TurnText(request, new StoredTurn(Optional.empty(), new byte[bytes], new byte[0]));
 	}
 
 }
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PeerMessage.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PeerMessage.java
@@ -5,9 +5,9 @@
 
 import io.lentilslip.core.quota.PermitReply;
 import io.lentilslip.core.quota.PermitRequest;
-import io.lentilslip.core.relay.KeptTurn;
+import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.LedgerEntry;
-import io.lentilslip.core.relay.PlacedTurn;
+import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.core.relay.UpstreamLoad;
 
@@ -49,7 +49,7 @@
 	 * @param end what the turn has taken of its program's budget
 	 * @param text its text
 	 */
-	record Help(LedgerEntry.Settled end, KeptTurn text) implements PeerMessage {
+	record Help(LedgerEntry.Settled end, StoredTurn text) implements PeerMessage {
 
 	}
 
@@ -67,7 +67,7 @@
 	 *
 	 * @param turns the turns of the chain that the relay knows
 	 */
-	record Places(List<PlacedTurn> turns) implements PeerMessage {
+	record Places(List<TurnLocation> turns) implements PeerMessage {
 
 		/**
 		 * Creates a message.
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
@@ -9,12 +9,12 @@
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
-import io.lentilslip.core.relay.KeptTurn;
+import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.core.relay.Member;
-import io.lentilslip.core.relay.PlacedTurn;
+import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.PromptPart;
-import io.lentilslip.core.relay.TextPlace;
+import io.lentilslip.core.relay.TextLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.core.relay.UpstreamLoad;
 import io.lentilslip.wire.generated.RelayProtocol;
@@ -225,12 +225,15 @@
 		}
 	}
 
-	private static RelayProtocol.PlacedTurn message(PlacedTurn turn) {
-		return RelayProtocol.PlacedTurn.newBuilder().setRequest(turn.request()).setPlace(message(turn.place())).build();
+	private static RelayProtocol.PlacedTurn message(TurnLocation turn) {
+		return RelayProtocol.PlacedTurn.newBuilder()
+			.setRequest(turn.request())
+			.setPlace(message(turn.location()))
+			.build();
 	}
 
-	private static PlacedTurn placed(RelayProtocol.PlacedTurn message) {
-		return new PlacedTurn(message.getRequest(), place(message.getPlace()));
+	private static TurnLocation placed(RelayProtocol.PlacedTurn message) {
+		return new TurnLocation(message.getRequest(), place(message.getPlace()));
 	}
 
 	private static RelayProtocol.UpstreamLoad message(UpstreamLoad load) {
@@ -262,7 +265,7 @@
 		return RelayProtocol.KeptText.newBuilder().setRequest(turn.request()).setText(message(turn.text())).build();
 	}
 
-	private static RelayProtocol.TurnText message(KeptTurn text) {
+	private static RelayProtocol.TurnText message(StoredTurn text) {
 		return RelayProtocol.TurnText.newBuilder()
 			.setPrevious(text.previous().orElse(""))
 			.setInput(ByteString.copyFrom(text.input()))
@@ -274,8 +277,8 @@
 		return new TurnText(message.getRequest(), text(message.getText()));
 	}
 
-	private static KeptTurn text(RelayProtocol.TurnText message) {
-		return new KeptTurn(named(message.getPrevious()), message.getInput().toByteArray(),
+	private static StoredTurn text(RelayProtocol.TurnText message) {
+		return new StoredTurn(named(message.getPrevious()), message.getInput().toByteArray(),
 				message.getOutput().toByteArray());
 	}
 
@@ -354,24 +357,24 @@
 	}
 
 	private static LedgerEntry settled(String request, RelayProtocol.Settlement message) {
-		Optional<TextPlace> place = Optional.of(message)
+		Optional<TextLocation> place = Optional.of(message)
 			.filter(RelayProtocol.Settlement::hasPlace)
 			.map((settlement) -> place(settlement.getPlace()));
 		return new LedgerEntry.Settled(request, message.getProgram(), message.getTokens(), place);
 	}
 
-	private static RelayProtocol.TextPlace message(TextPlace place) {
+	private static RelayProtocol.TextPlace message(TextLocation place) {
 		return RelayProtocol.TextPlace.newBuilder()
 			.setPrevious(place.previous().orElse(""))
 			.setBytes(place.bytes())
-			.setPart(place.part())
-			.setFrom(place.from())
-			.setHolder(place.holder().orElse(""))
+			.setPart(place.partition())
+			.setFrom(place.minOffset())
+			.setHolder(place.origin().orElse(""))
 			.build();
 	}
 
-	private static TextPlace place(RelayProtocol.TextPlace message) {
-		return new TextPlace(named(message.getPrevious()), message.getBytes(), message.getPart(), message.getFrom(),
+	private static TextLocation place(RelayProtocol.TextPlace message) {
+		return new TextLocation(named(message.getPrevious()), message.getBytes(), message.getPart(), message.getFrom(),
 				named(message.getHolder()));
 	}
 
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
@@ -8,12 +8,12 @@
 import io.lentilslip.core.quota.PermitReply;
 import io.lentilslip.core.quota.PermitRequest;
 import io.lentilslip.core.quota.Quota;
-import io.lentilslip.core.relay.KeptTurn;
+import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.core.relay.Member;
-import io.lentilslip.core.relay.PlacedTurn;
+import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.PromptPart;
-import io.lentilslip.core.relay.TextPlace;
+import io.lentilslip.core.relay.TextLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.core.relay.UpstreamLoad;
 import net.jqwik.api.ForAll;
@@ -36,14 +36,14 @@
 	void settlementsAreReadAsWritten(@ForAll int bytes, @ForAll int part, @ForAll long from, @ForAll boolean first) {
 		Optional<String> previous = first ? Optional.empty() : Optional.of("before");
 		LedgerEntry entry = new LedgerEntry.Settled("r", "p", 9,
-				Optional.of(new TextPlace(previous, bytes, part, from)));
+				Optional.of(new TextLocation(previous, bytes, part, from)));
 		assertThat(RelayCodec.decodeEntry(RelayCodec.encode(entry)).entry().get()).isEqualTo(entry);
 	}
 
 	@Property(tries = 200)
 	void textsAreReadAsWritten(@ForAll byte[] input, @ForAll byte[] output, @ForAll boolean first) {
 		Optional<String> previous = first ? Optional.empty() : Optional.of("before");
-		TurnText turn = new TurnText("r", new KeptTurn(previous, input, output));
+		TurnText turn = new TurnText("r", new StoredTurn(previous, input, output));
 		assertThat(RelayCodec.decodeText(RelayCodec.encode(turn)).get()).usingRecursiveComparison().isEqualTo(turn);
 		PeerMessage help = new PeerMessage.Help(new LedgerEntry.Settled("r", "p", 9, Optional.empty()), turn.text());
 		for (PeerMessage message : List.of(new PeerMessage.Texts(List.of(turn)), help)) {
@@ -122,8 +122,8 @@
 				new PeerMessage.Heartbeat(), new PeerMessage.Question("r", "p", 588, 1L << 41, true),
 				new PeerMessage.Taken("r", 1L << 40, 40, true, List.of(new UpstreamLoad(-7, 3, 250))),
 				new PeerMessage.Unsure("r"), new PeerMessage.Sync(), new PeerMessage.PlacesWanted("t"),
-				new PeerMessage.Places(List.of(new PlacedTurn("t",
-						new TextPlace(Optional.of("s"), 9, 5, 1L << 40, Optional.of("10.0.0.1:7"))))),
+				new PeerMessage.Places(List.of(new TurnLocation("t",
+						new TextLocation(Optional.of("s"), 9, 5, 1L << 40, Optional.of("10.0.0.1:7"))))),
 				new PeerMessage.Place("r", true), new PeerMessage.Told());
 		for (PeerMessage message : messages) {
 			assertThat(RelayCodec.decodePeerMessage(RelayCodec.encode(message)).get()).isEqualTo(message);
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
@@ -8,12 +8,12 @@
 import java.util.Random;
 import java.util.Set;
 
-import io.lentilslip.core.relay.KeptTurn;
+import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.core.relay.Member;
-import io.lentilslip.core.relay.PlacedTurn;
+import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.PromptPart;
-import io.lentilslip.core.relay.TextPlace;
+import io.lentilslip.core.relay.TextLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.core.relay.UpstreamLoad;
 import org.junit.jupiter.api.Test;
@@ -30,7 +30,7 @@
 
 	private static final long SEED = Long.getLong("lentilslip.fuzz.seed", 20273);
 
-	private static final TextPlace PLACE = new TextPlace(Optional.of("t0"), 900, 7, 1L << 33,
+	private static final TextLocation PLACE = new TextLocation(Optional.of("t0"), 900, 7, 1L << 33,
 			Optional.of("10.0.0.1:7380"));
 
 	private static final LedgerEntry RESERVED = new LedgerEntry.Reserved("t1", "p", 588, "e1@17",
@@ -38,7 +38,7 @@
 
 	private static final LedgerEntry.Settled SETTLED = new LedgerEntry.Settled("t1", "p", 90, Optional.of(PLACE));
 
-	private static final KeptTurn TEXT = new KeptTurn(Optional.of("t0"), "in;".getBytes(), "out;".getBytes());
+	private static final StoredTurn TEXT = new StoredTurn(Optional.of("t0"), "in;".getBytes(), "out;".getBytes());
 
 	// A relay of another version, a spoilt record or a stranger sends bytes that are
 	// nearly a
@@ -69,7 +69,7 @@
 				new PeerMessage.Question("t1", "p", 588, 1L << 40, false),
 				new PeerMessage.Taken("t1", 1200, 40, true, List.of(new UpstreamLoad(-7, 3, 250))),
 				new PeerMessage.Unsure("t1"), new PeerMessage.Sync(), new PeerMessage.PlacesWanted("t1"),
-				new PeerMessage.Places(List.of(new PlacedTurn("t1", PLACE))), new PeerMessage.Place("t1", true),
+				new PeerMessage.Places(List.of(new TurnLocation("t1", PLACE))), new PeerMessage.Place("t1", true),
 				new PeerMessage.Told(), new PeerMessage.Heartbeat())
 			.forEach((message) -> valid.add(RelayCodec.encode(message)));
 		List.of(RESERVED, SETTLED, new LedgerEntry.Blamed("t1", -3, "e1@17"))
