--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
@@ -407,7 +407,7 @@
 		this.state.emit(new RelayEffect.SendUsage(asked.peer(), asked.request(),
 				this.state.tokens.taken(asked.program()), this.state.unlogged.tokens(asked.program()), log,
 				log ? List.of() : this.state.unlogged.of(asked.program()),
-				this.state.upstreams.newestLoads(asked.now())));
+				this.state.upstreams.recentLoads(asked.now())));
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeEnds.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeEnds.java
@@ -139,7 +139,7 @@
 
 	void stopAttempt(Exchange exchange) {
 		this.state.emit(new RelayEffect.CancelAttempt(exchange.number(), exchange.attempt()));
-		this.state.upstreams.ended(exchange.id());
+		this.state.upstreams.requestEnded(exchange.id());
 	}
 
 	void orderLost(Exchange exchange) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
@@ -125,9 +125,9 @@
 	private void reservedElsewhere(LedgerEntry.Reserved reserved) {
 		this.state.tokens.reserve(reserved.program(), reserved.request(), reserved.tokens());
 		if (this.state.tokens.open(reserved.program(), reserved.request())) {
-			this.state.upstreams.ofLife(reserved.upstream()).ifPresent((known) -> {
-				this.state.upstreams.began(reserved.request(), known, this.state.now);
-				known.read(reserved.prompt(), this.state.memory(known.upstream()));
+			this.state.upstreams.findIncarnation(reserved.upstream()).ifPresent((known) -> {
+				this.state.upstreams.requestStarted(reserved.request(), known, this.state.now);
+				known.addToCache(reserved.prompt(), this.state.memory(known.upstream()));
 			});
 		}
 	}
@@ -135,7 +135,7 @@
 	private void settledElsewhere(LedgerEntry.Settled settled, Optional<String> teller) {
 		this.state.tokens.settle(settled.program(), settled.request(), settled.tokens());
 		settled.text().ifPresent((place) -> this.state.turns.recordLocation(settled.request(), place, teller));
-		this.state.upstreams.ended(settled.request());
+		this.state.upstreams.requestEnded(settled.request());
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
@@ -85,7 +85,7 @@
 			case RelayEvent.ReservationRequested asked -> this.budgets.asked(asked);
 			case RelayEvent.UsageReceived told -> this.ledger.takenTold(told);
 			case RelayEvent.UsageUnavailable unsure -> this.ledger.takenUnsure(unsure);
-			case RelayEvent.LoadsReceived told -> this.state.upstreams.told(told.loads(), event.now());
+			case RelayEvent.LoadsReceived told -> this.state.upstreams.mergeLoads(told.loads(), event.now());
 			case RelayEvent.MembershipUpdated read -> {
 				if (this.state.keepers.list(read.members())) {
 					this.quotas.relaysChanged();
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
@@ -10,7 +10,7 @@
 import io.lentilslip.core.notice.NoticeCode;
 import io.lentilslip.core.notice.NoticeField;
 import io.lentilslip.core.relay.UpstreamChoice.Weighed;
-import io.lentilslip.core.relay.Upstreams.Known;
+import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
  * The notices of a relay, each with the fields that lead from a request to what was
@@ -29,7 +29,7 @@
 	}
 
 	static Notice listed(Upstream upstream) {
-		if (upstream.leaving()) {
+		if (upstream.draining()) {
 			return notice(NoticeCode.UPSTREAM_LEAVING, field(FieldName.VM, upstream.id()),
 					field(FieldName.ZONE, upstream.zone()), field(FieldName.REASON, "listed"));
 		}
@@ -114,7 +114,7 @@
 	}
 
 	private static String describe(Weighed weighed, long now) {
-		Known known = weighed.candidate();
+		UpstreamState known = weighed.candidate();
 		String age = known.reportAge(now).stream().mapToObj(Long::toString).findFirst().orElse(NONE);
 		return known.upstream().id() + " cost=" + Math.round(weighed.cost()) + " load=" + weighed.load() + " unread="
 				+ weighed.unread() + " age=" + age;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
@@ -16,7 +16,7 @@
 import io.lentilslip.core.quota.QuotaTolerance;
 import io.lentilslip.core.relay.RelayEvent.Connectivity;
 import io.lentilslip.core.relay.RelayEvent.TimerKind;
-import io.lentilslip.core.relay.Upstreams.Known;
+import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
  * What a relay knows, and what is to be done about the event at hand. The rules read and
@@ -263,8 +263,8 @@
 		return Optional.ofNullable(this.exchanges.get(event.exchange()));
 	}
 
-	Optional<Known> known(Exchange exchange) {
-		return exchange.upstream().flatMap((upstream) -> this.upstreams.ofLife(upstream.life()));
+	Optional<UpstreamState> known(Exchange exchange) {
+		return exchange.upstream().flatMap((upstream) -> this.upstreams.findIncarnation(upstream.incarnationId()));
 	}
 
 	Optional<RouteTable.Engine> engine(String service) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
@@ -7,7 +7,7 @@
 import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import io.lentilslip.core.relay.RequestHead.Turn;
 import io.lentilslip.core.relay.UpstreamChoice.Weighed;
-import io.lentilslip.core.relay.Upstreams.Known;
+import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
  * What becomes of a caller's request up to its sending: route, chain, budget and
@@ -39,7 +39,7 @@
 	}
 
 	void asked(RelayEvent.RequestReceived asked) {
-		if (this.state.table.isEmpty() || !this.state.upstreams.listed()) {
+		if (this.state.table.isEmpty() || !this.state.upstreams.initialized()) {
 			boolean turn = asked.head().turn().isPresent();
 			this.ends.refuseUnknown(asked, Refusal.NOT_READY,
 					Optional.of(turn ? RelaySettings.COME_BACK_WHEN_READ : RelaySettings.COME_BACK_LATER));
@@ -167,14 +167,14 @@
 		}
 		exchange.mayRun();
 		this.ends.stopAttempt(exchange);
-		this.state.known(exchange).ifPresent((known) -> known.failed(this.state.now));
+		this.state.known(exchange).ifPresent((known) -> known.recordFailure(this.state.now));
 		this.state.tell(RelayNotices.silent(exchange, this.state.now));
 		send(exchange, next);
 	}
 
 	private boolean free(Weighed weighed) {
-		Known known = weighed.candidate();
-		return !known.avoided(this.state.now) && weighed.load() < known.places();
+		UpstreamState known = weighed.candidate();
+		return !known.isEjected(this.state.now) && weighed.load() < known.slots();
 	}
 
 	private List<Weighed> weigh(Exchange exchange) {
@@ -182,8 +182,8 @@
 		boolean engine = this.state.engine(service).isPresent();
 		boolean warm = exchange.route().warm() && !engine;
 		Optional<String> object = exchange.head().affinityKey().filter((name) -> warm);
-		return this.state.choice.weigh(this.state.upstreams.taking(service), exchange.tried(), exchange.head().prompt(),
-				engine, object, this.state.now);
+		return this.state.choice.weigh(this.state.upstreams.available(service), exchange.tried(),
+				exchange.head().prompt(), engine, object, this.state.now);
 	}
 
 	private String service(Route route) {
@@ -202,13 +202,13 @@
 	}
 
 	private void send(Exchange exchange, List<Weighed> weighed) {
-		Known known = weighed.getFirst().candidate();
+		UpstreamState known = weighed.getFirst().candidate();
 		Upstream upstream = known.upstream();
 		exchange.sentTo(upstream, this.state.now);
 		this.state.tell(RelayNotices.placed(exchange, weighed, this.state));
-		this.state.upstreams.sent(exchange.id(), known, this.state.now);
+		this.state.upstreams.requestSent(exchange.id(), known, this.state.now);
 		List<PromptPart> prompt = exchange.head().prompt();
-		known.read(prompt, this.state.memory(upstream));
+		known.addToCache(prompt, this.state.memory(upstream));
 		exchange.head().turn().ifPresent((turn) -> reserve(exchange, turn, upstream, prompt));
 		if (exchange.route().repeatable() && exchange.watch()) {
 			this.state.silence.watch(exchange);
@@ -221,8 +221,8 @@
 	private void reserve(Exchange exchange, Turn turn, Upstream upstream, List<PromptPart> prompt) {
 		exchange.reserve();
 		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
-		this.state.write(new LedgerEntry.Reserved(exchange.id(), turn.program(), turn.maxTokens(), upstream.life(),
-				prompt, false));
+		this.state.write(new LedgerEntry.Reserved(exchange.id(), turn.program(), turn.maxTokens(),
+				upstream.incarnationId(), prompt, false));
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
@@ -6,7 +6,7 @@
 import io.lentilslip.core.measurement.Measurement.RouteRequestEnded.Outcome;
 import io.lentilslip.core.relay.Exchange.Phase;
 import io.lentilslip.core.relay.RelayEvent.FailureCause;
-import io.lentilslip.core.relay.Upstreams.Known;
+import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
  * What becomes of an attempt at an upstream: passed on, sent again, or given up. Used by
@@ -46,8 +46,8 @@
 
 	private void answered(Exchange exchange, RelayEvent.ResponseReceived answered) {
 		ResponseHead head = answered.head();
-		Optional<Known> known = this.state.known(exchange);
-		this.state.upstreams.ended(exchange.id());
+		Optional<UpstreamState> known = this.state.known(exchange);
+		this.state.upstreams.requestEnded(exchange.id());
 		takeLoad(exchange, head);
 		if (head.notRun()) {
 			if (head.misdirected()) {
@@ -61,7 +61,7 @@
 			failed(exchange, FailureCause.UNREADABLE);
 			return;
 		}
-		known.ifPresent(Known::worked);
+		known.ifPresent(UpstreamState::recordSuccess);
 		this.state.silence.ended(exchange);
 		this.ends.settle(exchange, Optional.empty());
 		if (exchange.opened()) {
@@ -81,7 +81,7 @@
 	 * @param exchange the exchange
 	 */
 	private void misdirected(Exchange exchange) {
-		this.state.known(exchange).ifPresent((known) -> known.failed(this.state.now));
+		this.state.known(exchange).ifPresent((known) -> known.recordFailure(this.state.now));
 		this.state.tell(RelayNotices.misdirected(exchange, this.state.now));
 		exchange.notSent();
 	}
@@ -89,7 +89,7 @@
 	private void takeLoad(Exchange exchange, ResponseHead head) {
 		this.state.known(exchange)
 			.ifPresent((known) -> head.load()
-				.ifPresent((load) -> this.state.upstreams.reported(known, load.requests(), this.state.now)));
+				.ifPresent((load) -> this.state.upstreams.loadReported(known, load.requests(), this.state.now)));
 	}
 
 	private void streamOpened(Exchange exchange, RelayEvent.StreamOpened opened) {
@@ -121,8 +121,8 @@
 	}
 
 	private void streamEnded(Exchange exchange) {
-		this.state.upstreams.ended(exchange.id());
-		this.state.known(exchange).ifPresent(Known::worked);
+		this.state.upstreams.requestEnded(exchange.id());
+		this.state.known(exchange).ifPresent(UpstreamState::recordSuccess);
 		if (!exchange.route().keepsTurns() || exchange.head().turn().isEmpty()) {
 			this.ends.settle(exchange, Optional.empty());
 			this.ends.endStream(exchange);
@@ -146,8 +146,8 @@
 	}
 
 	private void failed(Exchange exchange, FailureCause cause) {
-		this.state.upstreams.ended(exchange.id());
-		this.state.known(exchange).ifPresent((upstream) -> upstream.failed(this.state.now));
+		this.state.upstreams.requestEnded(exchange.id());
+		this.state.known(exchange).ifPresent((upstream) -> upstream.recordFailure(this.state.now));
 		this.state.tell(RelayNotices.attemptFailed(exchange, cause, this.state.now));
 		if (!cause.mayHaveRun()) {
 			exchange.notSent();
@@ -164,7 +164,7 @@
 		if (cause != FailureCause.BROKEN || exchange.upstream().isEmpty()) {
 			return;
 		}
-		String upstream = exchange.upstream().get().life();
+		String upstream = exchange.upstream().get().incarnationId();
 		this.state.blames.add(exchange.digest(), upstream);
 		this.state.emit(new RelayEffect.AppendEntry(new LedgerEntry.Blamed(exchange.id(), exchange.digest(), upstream),
 				List.copyOf(this.state.linked)));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 import io.lentilslip.core.relay.RelayEvent.Connectivity;
-import io.lentilslip.core.relay.Upstreams.Known;
+import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
  * What a relay makes of the site's state: routes, upstreams, and whether it can serve.
@@ -32,7 +32,7 @@
 		if (!this.state.complete && this.state.caughtUp) {
 			lookWhetherComplete();
 		}
-		boolean now = this.state.table.isPresent() && this.state.upstreams.listed() && this.state.caughtUp
+		boolean now = this.state.table.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
 				&& this.state.knowsRelays() && this.state.reach != Connectivity.NOTHING && this.state.textEnd >= 0;
 		if (now != this.state.ready) {
 			this.state.ready = now;
@@ -70,7 +70,7 @@
 	}
 
 	void listed(Upstream upstream) {
-		Optional<Upstream> before = this.state.upstreams.find(upstream.id()).map(Known::upstream);
+		Optional<Upstream> before = this.state.upstreams.find(upstream.id()).map(UpstreamState::upstream);
 		if (!this.state.upstreams.put(upstream)) {
 			tellUnusable(upstream.id(), EntryProblem.EARLIER_LIFE);
 			return;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Upstream.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Upstream.java
@@ -13,33 +13,33 @@
  * @param port its port
  * @param zone its availability zone
  * @param slots the requests that it runs at once
- * @param leaving whether it takes no new work
- * @param born when this life began, in milliseconds of the upstream's own clock of the
- * day; empty if it does not say
+ * @param draining whether it takes no new work
+ * @param startedAt when this life began, in milliseconds of the upstream's own clock of
+ * the day; empty if it does not say
  */
-public record Upstream(String id, String service, String host, int port, String zone, int slots, boolean leaving,
-		OptionalLong born) {
+public record Upstream(String id, String service, String host, int port, String zone, int slots, boolean draining,
+		OptionalLong startedAt) {
 
 	/**
 	 * Returns what names this life among all lives of all upstreams.
 	 * @return the id, with the beginning of the life where it is known
 	 */
-	public String life() {
-		return this.born.isPresent() ? this.id + "@" + this.born.getAsLong() : this.id;
+	public String incarnationId() {
+		return this.startedAt.isPresent() ? this.id + "@" + this.startedAt.getAsLong() : this.id;
 	}
 
 	/**
 	 * Returns whether this may follow what is known of the same id: it is the same life,
 	 * or a later one. A claim without a beginning follows only one without. Beginnings of
 	 * one id are compared with each other alone, so a clock that is off does no harm.
-	 * @param known what is known
+	 * @param current what is known
 	 * @return whether it may
 	 */
-	boolean follows(Upstream known) {
-		if (known.born.isEmpty()) {
+	boolean supersedes(Upstream current) {
+		if (current.startedAt.isEmpty()) {
 			return true;
 		}
-		return this.born.isPresent() && this.born.getAsLong() >= known.born.getAsLong();
+		return this.startedAt.isPresent() && this.startedAt.getAsLong() >= current.startedAt.getAsLong();
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamChoice.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamChoice.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 
-import io.lentilslip.core.relay.Upstreams.Known;
+import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
  * Chooses the upstream that is expected to be done with a request first: by what it has
@@ -78,7 +78,7 @@
 	 * @param now when
 	 * @return the best ones, the best first; empty if there is none to choose
 	 */
-	List<Weighed> weigh(List<Known> candidates, Set<String> excluded, List<PromptPart> prompt, boolean engine,
+	List<Weighed> weigh(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt, boolean engine,
 			long now) {
 		return weigh(candidates, excluded, prompt, engine, Optional.empty(), now);
 	}
@@ -93,36 +93,36 @@
 	 * @param now when
 	 * @return the best ones, the best first; empty if there is none to choose
 	 */
-	List<Weighed> weigh(List<Known> candidates, Set<String> excluded, List<PromptPart> prompt, boolean engine,
+	List<Weighed> weigh(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt, boolean engine,
 			Optional<String> object, long now) {
-		Optional<Known> home = object.flatMap((name) -> home(candidates, name));
+		Optional<UpstreamState> home = object.flatMap((name) -> home(candidates, name));
 		List<Weighed> best = new ArrayList<>(KEPT + 1);
-		for (Known candidate : draw(candidates, excluded, prompt, home, now)) {
+		for (UpstreamState candidate : draw(candidates, excluded, prompt, home, now)) {
 			insert(best, weigh(candidate, prompt, engine, home.isPresent() && home.get() == candidate, now));
 		}
 		return best;
 	}
 
-	private Set<Known> draw(List<Known> candidates, Set<String> excluded, List<PromptPart> prompt, Optional<Known> home,
-			long now) {
-		List<Known> allowed = new ArrayList<>(candidates.size());
-		for (Known candidate : candidates) {
+	private Set<UpstreamState> draw(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt,
+			Optional<UpstreamState> home, long now) {
+		List<UpstreamState> allowed = new ArrayList<>(candidates.size());
+		for (UpstreamState candidate : candidates) {
 			if (!excluded.contains(candidate.upstream().id())) {
 				allowed.add(candidate);
 			}
 		}
-		List<Known> well = allowed.stream().filter((candidate) -> !candidate.avoided(now)).toList();
-		List<Known> from = well.isEmpty() ? allowed : well;
+		List<UpstreamState> well = allowed.stream().filter((candidate) -> !candidate.isEjected(now)).toList();
+		List<UpstreamState> from = well.isEmpty() ? allowed : well;
 		if (from.size() <= DRAWN) {
 			return new LinkedHashSet<>(allowed);
 		}
-		Set<Known> drawn = new LinkedHashSet<>();
+		Set<UpstreamState> drawn = new LinkedHashSet<>();
 		while (drawn.size() < DRAWN) {
 			drawn.add(from.get(this.random.nextInt(from.size())));
 		}
 		// The upstreams that know most of the prompt may be worth a queue.
 		from.stream()
-			.min(Comparator.<Known>comparingLong((candidate) -> candidate.uncached(prompt))
+			.min(Comparator.<UpstreamState>comparingLong((candidate) -> candidate.uncachedTokens(prompt))
 				.thenComparingInt((candidate) -> candidate.load(now)))
 			.ifPresent(drawn::add);
 		home.filter(from::contains).ifPresent(drawn::add);
@@ -131,11 +131,11 @@
 
 	// All relays come to the same upstream without telling each other. An upstream that
 	// comes or goes moves only the objects that lead to it.
-	private static Optional<Known> home(List<Known> candidates, String object) {
-		Optional<Known> home = Optional.empty();
+	private static Optional<UpstreamState> home(List<UpstreamState> candidates, String object) {
+		Optional<UpstreamState> home = Optional.empty();
 		int highest = Integer.MIN_VALUE;
-		for (Known candidate : candidates) {
-			long seed = ((long) object.hashCode() << Integer.SIZE) ^ candidate.upstream().life().hashCode();
+		for (UpstreamState candidate : candidates) {
+			long seed = ((long) object.hashCode() << Integer.SIZE) ^ candidate.upstream().incarnationId().hashCode();
 			int score = new SplittableRandom(seed).nextInt();
 			if (home.isEmpty() || score > highest) {
 				home = Optional.of(candidate);
@@ -158,22 +158,22 @@
 		}
 	}
 
-	private Weighed weigh(Known candidate, List<PromptPart> prompt, boolean engine, boolean home, long now) {
+	private Weighed weigh(UpstreamState candidate, List<PromptPart> prompt, boolean engine, boolean home, long now) {
 		int load = candidate.load(now);
-		long unread = candidate.uncached(prompt);
+		long unread = candidate.uncachedTokens(prompt);
 		double cost = this.random.nextDouble();
-		cost += engine ? engineCost(candidate, load, unread) : (MS_AT_FULL_SERVICE * load / candidate.places());
+		cost += engine ? engineCost(candidate, load, unread) : (MS_AT_FULL_SERVICE * load / candidate.slots());
 		cost += candidate.upstream().zone().equals(this.zone) ? 0 : MS_OF_OTHER_ZONE;
 		cost -= home ? MS_OF_KNOWN_OBJECT : 0;
-		cost += candidate.avoided(now) ? MS_OF_AVOIDED : 0;
+		cost += candidate.isEjected(now) ? MS_OF_AVOIDED : 0;
 		return new Weighed(candidate, load, unread, cost);
 	}
 
 	// While an engine reads a prompt, all that runs there waits: what is read again costs
 	// each of them as much as the request itself. Counted for the request alone, a
 	// program would leave the engine that knows it for one that seems a little less busy.
-	private static double engineCost(Known candidate, int load, long unread) {
-		int runs = Math.min(load, candidate.places());
+	private static double engineCost(UpstreamState candidate, int load, long unread) {
+		int runs = Math.min(load, candidate.slots());
 		return unread / TOKENS_PER_MS * (1 + runs) + MS_PER_RUN * load;
 	}
 
@@ -185,7 +185,7 @@
 	 * @param unread the tokens of the prompt that it is believed not to have cached
 	 * @param cost the cost in milliseconds
 	 */
-	record Weighed(Known candidate, int load, long unread, double cost) {
+	record Weighed(UpstreamState candidate, int load, long unread, double cost) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Upstreams.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Upstreams.java
@@ -21,61 +21,61 @@
 	 * How long a run that nobody settled counts as load. Its relay died; callers do not
 	 * wait longer than this.
 	 */
-	private static final long RUN_LIFE_MS = 5_000;
+	private static final long RUN_EXPIRY_MS = 5_000;
 
 	/**
 	 * How long an upstream's own count of its load is believed: about the time in which a
 	 * plain service's queue turns over.
 	 */
-	private static final long REPORT_LIFE_MS = 300;
+	private static final long REPORT_MAX_AGE_MS = 300;
 
 	/**
 	 * How many counts are passed on at once: enough for news of each upstream to reach
 	 * all relays within a few messages, few enough for a message to stay in one packet.
 	 */
-	private static final int PASSED_ON = 16;
+	private static final int MAX_SHARED_LOADS = 16;
 
 	/**
 	 * How many lives are remembered by the order of their counts.
 	 */
-	private static final int COUNTED = 4096;
+	private static final int MAX_REPORTING = 4096;
 
-	private static final long FIRST_AVOIDANCE_MS = 500;
+	private static final long INITIAL_EJECTION_MS = 500;
 
-	private static final long LONGEST_AVOIDANCE_MS = 4_000;
+	private static final long MAX_EJECTION_MS = 4_000;
 
 	/**
 	 * How many requests are known to run, above what all relays of a site run at once.
 	 * Ends that never come would let them grow without it.
 	 */
-	private static final int RUNNING_BOUND = 50_000;
+	private static final int MAX_RUNNING = 50_000;
 
-	private final Map<String, Known> known = new HashMap<>();
+	private final Map<String, UpstreamState> byId = new HashMap<>();
 
-	private final Map<String, Known> lives = new HashMap<>();
+	private final Map<String, UpstreamState> byIncarnation = new HashMap<>();
 
-	private final Map<String, Known> running = new LinkedHashMap<>();
+	private final Map<String, UpstreamState> running = new LinkedHashMap<>();
 
-	private final Map<Integer, Known> byHash = new HashMap<>();
+	private final Map<Integer, UpstreamState> byIncarnationHash = new HashMap<>();
 
 	/**
 	 * The upstreams that told their load, the one that did so last at the end.
 	 */
-	private final LinkedHashMap<Integer, Known> counted = new LinkedHashMap<>() {
+	private final LinkedHashMap<Integer, UpstreamState> byReportTime = new LinkedHashMap<>() {
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<Integer, Known> eldest) {
-			return size() > COUNTED;
+		protected boolean removeEldestEntry(Map.Entry<Integer, UpstreamState> eldest) {
+			return size() > MAX_REPORTING;
 		}
 	};
 
-	private boolean listed;
+	private boolean initialized;
 
 	void replace(List<Upstream> upstreams) {
 		Set<String> ids = new HashSet<>();
 		upstreams.forEach((upstream) -> ids.add(upstream.id()));
-		Set.copyOf(this.known.keySet()).stream().filter((id) -> !ids.contains(id)).forEach(this::remove);
+		Set.copyOf(this.byId.keySet()).stream().filter((id) -> !ids.contains(id)).forEach(this::remove);
 		upstreams.forEach(this::put);
-		this.listed = true;
+		this.initialized = true;
 	}
 
 	/**
@@ -85,28 +85,28 @@
 	 * @return whether it was taken: a claim of an earlier life changes nothing
 	 */
 	boolean put(Upstream upstream) {
-		Known before = this.known.get(upstream.id());
-		if (before != null && !upstream.follows(before.upstream)) {
+		UpstreamState before = this.byId.get(upstream.id());
+		if (before != null && !upstream.supersedes(before.upstream)) {
 			return false;
 		}
-		boolean sameLife = before != null && before.upstream.life().equals(upstream.life());
+		boolean sameLife = before != null && before.upstream.incarnationId().equals(upstream.incarnationId());
 		if (!sameLife) {
 			remove(upstream.id());
 		}
-		Known now = sameLife ? before : new Known();
+		UpstreamState now = sameLife ? before : new UpstreamState();
 		now.upstream = upstream;
-		this.known.put(upstream.id(), now);
-		this.lives.put(upstream.life(), now);
-		this.byHash.put(upstream.life().hashCode(), now);
+		this.byId.put(upstream.id(), now);
+		this.byIncarnation.put(upstream.incarnationId(), now);
+		this.byIncarnationHash.put(upstream.incarnationId().hashCode(), now);
 		return true;
 	}
 
 	void remove(String id) {
-		Known gone = this.known.remove(id);
+		UpstreamState gone = this.byId.remove(id);
 		if (gone != null) {
-			this.lives.remove(gone.upstream.life());
-			this.byHash.remove(gone.upstream.life().hashCode());
-			this.counted.remove(gone.upstream.life().hashCode());
+			this.byIncarnation.remove(gone.upstream.incarnationId());
+			this.byIncarnationHash.remove(gone.upstream.incarnationId().hashCode());
+			this.byReportTime.remove(gone.upstream.incarnationId().hashCode());
 		}
 	}
 
@@ -116,12 +116,12 @@
 	 * @param upstream the upstream
 	 * @param now when it began
 	 */
-	void began(String request, Known upstream, long now) {
+	void requestStarted(String request, UpstreamState upstream, long now) {
 		if (this.running.get(request) == upstream) {
 			return;
 		}
-		runs(request, upstream);
-		upstream.began(request, now);
+		addRun(request, upstream);
+		upstream.requestStarted(request, now);
 	}
 
 	/**
@@ -130,16 +130,16 @@
 	 * @param upstream the upstream
 	 * @param now when
 	 */
-	void sent(String request, Known upstream, long now) {
-		runs(request, upstream);
-		upstream.sent(request, now);
+	void requestSent(String request, UpstreamState upstream, long now) {
+		addRun(request, upstream);
+		upstream.requestSent(request, now);
 	}
 
-	private void runs(String request, Known upstream) {
-		ended(request);
+	private void addRun(String request, UpstreamState upstream) {
+		requestEnded(request);
 		this.running.put(request, upstream);
-		if (this.running.size() > RUNNING_BOUND) {
-			ended(this.running.keySet().iterator().next());
+		if (this.running.size() > MAX_RUNNING) {
+			requestEnded(this.running.keySet().iterator().next());
 		}
 	}
 
@@ -147,10 +147,10 @@
 	 * Notes that a request has ended wherever it ran.
 	 * @param request the request
 	 */
-	void ended(String request) {
-		Known upstream = this.running.remove(request);
+	void requestEnded(String request) {
+		UpstreamState upstream = this.running.remove(request);
 		if (upstream != null) {
-			upstream.ended(request);
+			upstream.requestEnded(request);
 		}
 	}
 
@@ -160,11 +160,11 @@
 	 * @param requests the requests that run or wait there
 	 * @param at when it counted
 	 */
-	void reported(Known upstream, int requests, long at) {
+	void loadReported(UpstreamState upstream, int requests, long at) {
 		if (upstream.reported(requests, at)) {
-			int life = upstream.upstream.life().hashCode();
-			this.counted.remove(life);
-			this.counted.put(life, upstream);
+			int life = upstream.upstream.incarnationId().hashCode();
+			this.byReportTime.remove(life);
+			this.byReportTime.put(life, upstream);
 		}
 	}
 
@@ -174,11 +174,11 @@
 	 * @param loads the counts
 	 * @param now when
 	 */
-	void told(List<UpstreamLoad> loads, long now) {
+	void mergeLoads(List<UpstreamLoad> loads, long now) {
 		for (UpstreamLoad load : loads) {
-			Known upstream = this.byHash.get(load.life());
+			UpstreamState upstream = this.byIncarnationHash.get(load.incarnationHash());
 			if (upstream != null) {
-				reported(upstream, load.requests(), now - load.age());
+				loadReported(upstream, load.requests(), now - load.ageMillis());
 			}
 		}
 	}
@@ -188,26 +188,26 @@
 	 * @param now when
 	 * @return the counts that are still believed, a bounded number
 	 */
-	List<UpstreamLoad> newestLoads(long now) {
+	List<UpstreamLoad> recentLoads(long now) {
 		List<UpstreamLoad> newest = new ArrayList<>();
-		for (Known next : this.counted.sequencedValues().reversed()) {
+		for (UpstreamState next : this.byReportTime.sequencedValues().reversed()) {
 			long age = now - next.reportedAt;
-			if (newest.size() == PASSED_ON) {
+			if (newest.size() == MAX_SHARED_LOADS) {
 				break;
 			}
-			if (age < REPORT_LIFE_MS) {
-				newest.add(new UpstreamLoad(next.upstream.life().hashCode(), next.reported, (int) age));
+			if (age < REPORT_MAX_AGE_MS) {
+				newest.add(new UpstreamLoad(next.upstream.incarnationId().hashCode(), next.reported, (int) age));
 			}
 		}
 		return newest;
 	}
 
-	boolean listed() {
-		return this.listed;
+	boolean initialized() {
+		return this.initialized;
 	}
 
-	Optional<Known> find(String id) {
-		return Optional.ofNullable(this.known.get(id));
+	Optional<UpstreamState> find(String id) {
+		return Optional.ofNullable(this.byId.get(id));
 	}
 
 	/**
@@ -215,8 +215,8 @@
 	 * @param life the name of the life
 	 * @return the belief, or empty if that life is over or not known
 	 */
-	Optional<Known> ofLife(String life) {
-		return Optional.ofNullable(this.lives.get(life));
+	Optional<UpstreamState> findIncarnation(String life) {
+		return Optional.ofNullable(this.byIncarnation.get(life));
 	}
 
 	/**
@@ -224,10 +224,10 @@
 	 * @param service the service
 	 * @return the upstreams
 	 */
-	List<Known> taking(String service) {
-		List<Known> taking = new ArrayList<>();
-		for (Known candidate : this.known.values()) {
-			if (candidate.upstream.service().equals(service) && !candidate.upstream.leaving()) {
+	List<UpstreamState> available(String service) {
+		List<UpstreamState> taking = new ArrayList<>();
+		for (UpstreamState candidate : this.byId.values()) {
+			if (candidate.upstream.service().equals(service) && !candidate.upstream.draining()) {
 				taking.add(candidate);
 			}
 		}
@@ -237,7 +237,7 @@
 	/**
 	 * What is believed of one upstream. Used by one thread.
 	 */
-	static final class Known {
+	static final class UpstreamState {
 
 		private Upstream upstream;
 
@@ -251,27 +251,27 @@
 
 		private long reportedAt = Long.MIN_VALUE / 2;
 
-		private long avoidedUntil;
+		private long ejectedUntil;
 
-		private long avoidance = FIRST_AVOIDANCE_MS;
+		private long ejectionMillis = INITIAL_EJECTION_MS;
 
 		Upstream upstream() {
 			return this.upstream;
 		}
 
-		int places() {
+		int slots() {
 			return Math.max(1, this.upstream.slots());
 		}
 
-		void began(String request, long now) {
+		void requestStarted(String request, long now) {
 			this.runs.put(request, new Run(now, false));
 		}
 
-		void sent(String request, long now) {
+		void requestSent(String request, long now) {
 			this.runs.put(request, new Run(now, true));
 		}
 
-		void ended(String request) {
+		void requestEnded(String request) {
 			this.runs.remove(request);
 		}
 
@@ -293,18 +293,18 @@
 			return (this.reportedAt >= 0) ? OptionalLong.of(now - this.reportedAt) : OptionalLong.empty();
 		}
 
-		void failed(long now) {
-			this.avoidedUntil = now + this.avoidance;
-			this.avoidance = Math.min(2 * this.avoidance, LONGEST_AVOIDANCE_MS);
+		void recordFailure(long now) {
+			this.ejectedUntil = now + this.ejectionMillis;
+			this.ejectionMillis = Math.min(2 * this.ejectionMillis, MAX_EJECTION_MS);
 		}
 
-		void worked() {
-			this.avoidedUntil = 0;
-			this.avoidance = FIRST_AVOIDANCE_MS;
+		void recordSuccess() {
+			this.ejectedUntil = 0;
+			this.ejectionMillis = INITIAL_EJECTION_MS;
 		}
 
-		boolean avoided(long now) {
-			return now < this.avoidedUntil;
+		boolean isEjected(long now) {
+			return now < this.ejectedUntil;
 		}
 
 		/**
@@ -315,15 +315,15 @@
 		 * @return the number
 		 */
 		int load(long now) {
-			this.runs.values().removeIf((run) -> now - run.since() > RUN_LIFE_MS);
-			if (now - this.reportedAt >= REPORT_LIFE_MS) {
+			this.runs.values().removeIf((run) -> now - run.startedAt() > RUN_EXPIRY_MS);
+			if (now - this.reportedAt >= REPORT_MAX_AGE_MS) {
 				return this.runs.size();
 			}
 			int own = 0;
 			int since = 0;
 			for (Run run : this.runs.values()) {
-				own += run.own() ? 1 : 0;
-				since += (run.own() && run.since() > this.reportedAt) ? 1 : 0;
+				own += run.local() ? 1 : 0;
+				since += (run.local() && run.startedAt() > this.reportedAt) ? 1 : 0;
 			}
 			return Math.max(own, this.reported + since);
 		}
@@ -333,7 +333,7 @@
 		 * @param prompt the parts, in order
 		 * @param capacity the tokens that the cache holds
 		 */
-		void read(List<PromptPart> prompt, long capacity) {
+		void addToCache(List<PromptPart> prompt, long capacity) {
 			for (PromptPart part : prompt) {
 				Integer before = this.cache.put(part.id(), part.tokens());
 				this.cachedTokens += part.tokens() - ((before != null) ? before : 0);
@@ -349,7 +349,7 @@
 		 * @param prompt the parts, in order
 		 * @return the tokens
 		 */
-		long uncached(List<PromptPart> prompt) {
+		long uncachedTokens(List<PromptPart> prompt) {
 			long tokens = 0;
 			boolean missing = false;
 			for (PromptPart part : prompt) {
@@ -365,7 +365,7 @@
 		 * @param since when it began
 		 * @param own whether this relay sent it
 		 */
-		private record Run(long since, boolean own) {
+		private record Run(long startedAt, boolean local) {
 
 		}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
@@ -190,7 +190,7 @@
 		for (String id : List.of("s1", "s2")) {
 			Upstream gone = RelayFixture.upstream(id, RelayFixture.SHOP);
 			relay.on(new RelayEvent.UpstreamUpdated(2, new Upstream(id, gone.service(), gone.host(), gone.port(),
-					gone.zone(), gone.slots(), true, gone.born())));
+					gone.zone(), gone.slots(), true, gone.startedAt())));
 		}
 		for (int i = 0; i < 10; i++) {
 			assertThat(sends(relay.ask("r" + i, "look")).getFirst().upstream().id()).isEqualTo("s3");
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UpstreamChoiceTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UpstreamChoiceTests.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-import io.lentilslip.core.relay.Upstreams.Known;
+import io.lentilslip.core.relay.Upstreams.UpstreamState;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -36,15 +36,15 @@
 
 	@Test
 	void upstreamThatHoldsThePromptIsChosen() {
-		known("b").read(PROMPT, 100_000);
+		known("b").addToCache(PROMPT, 100_000);
 		assertThat(chosen(true)).isEqualTo("b");
 	}
 
 	@Test
 	void loadedUpstreamIsLeftForAnotherThoughItHoldsThePrompt() {
-		known("b").read(PROMPT, 100_000);
+		known("b").addToCache(PROMPT, 100_000);
 		for (int i = 0; i < 7; i++) {
-			known("b").began("r" + i, NOW);
+			known("b").requestStarted("r" + i, NOW);
 		}
 		assertThat(chosen(true)).isEqualTo("a");
 	}
@@ -60,11 +60,11 @@
 	void conversationStaysWithItsEngineWhileAnotherSeemsALittleLessBusy() {
 		List<PromptPart> session = List.of(new PromptPart(1, 3000), new PromptPart(2, 400));
 		Upstreams engines = engines(2);
-		Known knows = engines.find("engine-0").orElseThrow();
-		knows.read(session.subList(0, 1), 1_000_000);
-		engines.reported(knows, 30, NOW);
-		engines.reported(engines.find("engine-1").orElseThrow(), 26, NOW);
-		assertThat(this.choice.weigh(engines.taking("s"), Set.of(), session, true, NOW).getFirst().candidate())
+		UpstreamState knows = engines.find("engine-0").orElseThrow();
+		knows.addToCache(session.subList(0, 1), 1_000_000);
+		engines.loadReported(knows, 30, NOW);
+		engines.loadReported(engines.find("engine-1").orElseThrow(), 26, NOW);
+		assertThat(this.choice.weigh(engines.available("s"), Set.of(), session, true, NOW).getFirst().candidate())
 			.isSameAs(knows);
 	}
 
@@ -79,8 +79,8 @@
 	void conversationsAreReadOnceInABurst() {
 		Upstreams engines = engines(6);
 		SplittableRandom random = new SplittableRandom(7);
-		Deque<Known> running = new ArrayDeque<>();
-		Map<Known, Integer> load = new HashMap<>();
+		Deque<UpstreamState> running = new ArrayDeque<>();
+		Map<UpstreamState, Integer> load = new HashMap<>();
 		List<List<PromptPart>> conversations = new ArrayList<>();
 		for (int i = 0; i < 60; i++) {
 			conversations.add(new ArrayList<>());
@@ -91,15 +91,15 @@
 			List<PromptPart> conversation = conversations.get(turn % 60);
 			conversation.add(new PromptPart(turn, 1000));
 			input += 1000;
-			for (Known engine : engines.taking("s")) {
+			for (UpstreamState engine : engines.available("s")) {
 				int off = random.nextInt(-4, 5);
-				engines.reported(engine, Math.max(0, load.getOrDefault(engine, 0) + off), NOW + turn);
+				engines.loadReported(engine, Math.max(0, load.getOrDefault(engine, 0) + off), NOW + turn);
 			}
-			Known chosen = this.choice.weigh(engines.taking("s"), Set.of(), conversation, true, NOW + turn)
+			UpstreamState chosen = this.choice.weigh(engines.available("s"), Set.of(), conversation, true, NOW + turn)
 				.getFirst()
 				.candidate();
-			read += chosen.uncached(conversation);
-			chosen.read(conversation, 1_000_000);
+			read += chosen.uncachedTokens(conversation);
+			chosen.addToCache(conversation, 1_000_000);
 			load.merge(chosen, 1, Integer::sum);
 			running.add(chosen);
 			if (running.size() > 180) {
@@ -120,34 +120,34 @@
 
 	@Test
 	void partBehindAMissingPartDoesNotCount() {
-		known("b").read(List.of(PROMPT.getLast()), 100_000);
-		assertThat(known("b").uncached(PROMPT)).isEqualTo(12_400);
+		known("b").addToCache(List.of(PROMPT.getLast()), 100_000);
+		assertThat(known("b").uncachedTokens(PROMPT)).isEqualTo(12_400);
 	}
 
 	@Test
 	void leastRecentlyReadPartsYieldBeyondTheMemory() {
-		known("a").read(PROMPT, 12_000);
-		assertThat(known("a").uncached(PROMPT)).isEqualTo(12_400);
+		known("a").addToCache(PROMPT, 12_000);
+		assertThat(known("a").uncachedTokens(PROMPT)).isEqualTo(12_400);
 	}
 
 	@Test
 	void upstreamThatFailedIsUsedOnlyIfAllHave() {
-		known("a").failed(NOW);
+		known("a").recordFailure(NOW);
 		assertThat(chosen(false)).isEqualTo("b");
-		known("b").failed(NOW);
+		known("b").recordFailure(NOW);
 		assertThat(chosen(false)).isNotEmpty();
 	}
 
 	@Test
 	void runsThatNobodySettlesStopCounting() {
-		known("a").began("r", NOW);
+		known("a").requestStarted("r", NOW);
 		assertThat(known("a").load(NOW)).isEqualTo(1);
 		assertThat(known("a").load(NOW + 6_000)).isZero();
 	}
 
 	@Test
 	void excludedUpstreamsAreNotChosen() {
-		assertThat(this.choice.weigh(this.upstreams.taking("s"), Set.of("a", "b"), List.of(), false, NOW)).isEmpty();
+		assertThat(this.choice.weigh(this.upstreams.available("s"), Set.of("a", "b"), List.of(), false, NOW)).isEmpty();
 	}
 
 	@Test
@@ -157,10 +157,10 @@
 		}
 		for (int i = 0; i < 4; i++) {
 			for (String id : List.of("a", "b", "c", "d").subList(0, 4 - i)) {
-				known(id).began(id + i, NOW);
+				known(id).requestStarted(id + i, NOW);
 			}
 		}
-		assertThat(this.choice.weigh(this.upstreams.taking("s"), Set.of(), List.of(), false, NOW))
+		assertThat(this.choice.weigh(this.upstreams.available("s"), Set.of(), List.of(), false, NOW))
 			.extracting((weighed) -> weighed.candidate().upstream().id())
 			.containsExactly("e", "d", "c");
 	}
@@ -175,7 +175,7 @@
 		}
 		assertThat(chosen).hasSize(1);
 		String home = chosen.iterator().next();
-		known(home).began("r1", NOW);
+		known(home).requestStarted("r1", NOW);
 		assertThat(chosenFor("tank-7", this.choice)).isNotEqualTo(home);
 	}
 
@@ -189,19 +189,19 @@
 	}
 
 	private String chosenFor(String object, UpstreamChoice by) {
-		return by.weigh(this.upstreams.taking("s"), Set.of(), List.of(), false, Optional.of(object), NOW)
+		return by.weigh(this.upstreams.available("s"), Set.of(), List.of(), false, Optional.of(object), NOW)
 			.getFirst()
 			.candidate()
 			.upstream()
 			.id();
 	}
 
-	private Known known(String id) {
+	private UpstreamState known(String id) {
 		return this.upstreams.find(id).orElseThrow();
 	}
 
 	private String chosen(boolean engine) {
-		return this.choice.weigh(this.upstreams.taking("s"), Set.of(), PROMPT, engine, NOW)
+		return this.choice.weigh(this.upstreams.available("s"), Set.of(), PROMPT, engine, NOW)
 			.getFirst()
 			.candidate()
 			.upstream()
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UpstreamsTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UpstreamsTests.java
@@ -19,23 +19,23 @@
 	@Test
 	void nothingIsBelievedOfANewLifeThatWasOfTheOneBefore() {
 		this.upstreams.put(RelayFixture.born("a", "s", 10));
-		Upstreams.Known before = this.upstreams.find("a").orElseThrow();
-		before.read(PROMPT, 1000);
-		before.failed(5);
-		this.upstreams.began("r", before, 5);
+		Upstreams.UpstreamState before = this.upstreams.find("a").orElseThrow();
+		before.addToCache(PROMPT, 1000);
+		before.recordFailure(5);
+		this.upstreams.requestStarted("r", before, 5);
 		this.upstreams.put(RelayFixture.born("a", "s", 11));
-		Upstreams.Known now = this.upstreams.find("a").orElseThrow();
-		assertThat(now.uncached(PROMPT)).isEqualTo(500);
+		Upstreams.UpstreamState now = this.upstreams.find("a").orElseThrow();
+		assertThat(now.uncachedTokens(PROMPT)).isEqualTo(500);
 		assertThat(now.load(5)).isZero();
-		assertThat(now.avoided(6)).isFalse();
+		assertThat(now.isEjected(6)).isFalse();
 	}
 
 	@Test
 	void beliefOfALifeStaysWhileItOnlyChangesItsState() {
 		this.upstreams.put(RelayFixture.born("a", "s", 10));
-		this.upstreams.find("a").orElseThrow().read(PROMPT, 1000);
+		this.upstreams.find("a").orElseThrow().addToCache(PROMPT, 1000);
 		this.upstreams.put(RelayFixture.born("a", "s", 10));
-		assertThat(this.upstreams.find("a").orElseThrow().uncached(PROMPT)).isZero();
+		assertThat(this.upstreams.find("a").orElseThrow().uncachedTokens(PROMPT)).isZero();
 	}
 
 	// What the earlier life wrote is read late, or comes without its beginning. Taken,
@@ -54,54 +54,54 @@
 	// it some too, of which the log tells late; the count that includes them goes first.
 	@Test
 	void loadIsWhatTheUpstreamCountedWithWhatWasSentSince() {
-		Upstreams.Known engine = listed("a");
-		this.upstreams.began("other", engine, 0);
-		this.upstreams.sent("before", engine, 5);
-		this.upstreams.reported(engine, 7, 10);
-		this.upstreams.sent("r1", engine, 20);
-		this.upstreams.sent("r2", engine, 30);
+		Upstreams.UpstreamState engine = listed("a");
+		this.upstreams.requestStarted("other", engine, 0);
+		this.upstreams.requestSent("before", engine, 5);
+		this.upstreams.loadReported(engine, 7, 10);
+		this.upstreams.requestSent("r1", engine, 20);
+		this.upstreams.requestSent("r2", engine, 30);
 		assertThat(engine.load(40)).isEqualTo(9);
 		assertThat(engine.load(400)).isEqualTo(4);
-		this.upstreams.ended("r1");
+		this.upstreams.requestEnded("r1");
 		assertThat(engine.load(40)).isEqualTo(8);
 	}
 
 	@Test
 	void countsOfLoadArePassedOnWithTheirAgeUntilTheyAreOld() {
-		this.upstreams.reported(listed("a"), 7, 100);
-		this.upstreams.reported(listed("b"), 3, 250);
-		List<UpstreamLoad> passed = this.upstreams.newestLoads(300);
+		this.upstreams.loadReported(listed("a"), 7, 100);
+		this.upstreams.loadReported(listed("b"), 3, 250);
+		List<UpstreamLoad> passed = this.upstreams.recentLoads(300);
 		assertThat(passed).containsExactly(new UpstreamLoad("b".hashCode(), 3, 50),
 				new UpstreamLoad("a".hashCode(), 7, 200));
-		assertThat(this.upstreams.newestLoads(450)).containsExactly(new UpstreamLoad("b".hashCode(), 3, 200));
+		assertThat(this.upstreams.recentLoads(450)).containsExactly(new UpstreamLoad("b".hashCode(), 3, 200));
 		Upstreams other = new Upstreams();
 		other.put(RelayFixture.upstream("b", "s"));
-		other.told(passed, 1_000);
+		other.mergeLoads(passed, 1_000);
 		assertThat(other.find("b").orElseThrow().load(1_000)).isEqualTo(3);
-		assertThat(other.newestLoads(1_010)).containsExactly(new UpstreamLoad("b".hashCode(), 3, 60));
+		assertThat(other.recentLoads(1_010)).containsExactly(new UpstreamLoad("b".hashCode(), 3, 60));
 	}
 
 	// What two relays say of an engine arrives in another order than the engine said it.
 	@Test
 	void olderCountChangesNothing() {
-		Upstreams.Known engine = listed("a");
-		this.upstreams.reported(engine, 7, 100);
-		this.upstreams.told(List.of(new UpstreamLoad("a".hashCode(), 1, 30)), 120);
+		Upstreams.UpstreamState engine = listed("a");
+		this.upstreams.loadReported(engine, 7, 100);
+		this.upstreams.mergeLoads(List.of(new UpstreamLoad("a".hashCode(), 1, 30)), 120);
 		assertThat(engine.load(120)).isEqualTo(7);
 	}
 
 	@Test
 	void boundedNumberOfCountsIsPassedOn() {
 		for (int i = 0; i < 100; i++) {
-			this.upstreams.reported(listed("engine-" + i), i, 100 + i);
+			this.upstreams.loadReported(listed("engine-" + i), i, 100 + i);
 		}
-		assertThat(this.upstreams.newestLoads(200)).hasSize(16)
+		assertThat(this.upstreams.recentLoads(200)).hasSize(16)
 			.first()
 			.extracting(UpstreamLoad::requests)
 			.isEqualTo(99);
 	}
 
-	private Upstreams.Known listed(String id) {
+	private Upstreams.UpstreamState listed(String id) {
 		this.upstreams.put(RelayFixture.upstream(id, "s"));
 		return this.upstreams.find(id).orElseThrow();
 	}
@@ -110,10 +110,10 @@
 	void earlierLifeIsNotFoundByItsName() {
 		this.upstreams.put(RelayFixture.born("a", "s", 10));
 		this.upstreams.put(RelayFixture.born("a", "s", 11));
-		assertThat(this.upstreams.ofLife("a@10")).isEmpty();
-		assertThat(this.upstreams.ofLife("a@11")).isPresent();
+		assertThat(this.upstreams.findIncarnation("a@10")).isEmpty();
+		assertThat(this.upstreams.findIncarnation("a@11")).isPresent();
 		this.upstreams.remove("a");
-		assertThat(this.upstreams.ofLife("a@11")).isEmpty();
+		assertThat(this.upstreams.findIncarnation("a@11")).isEmpty();
 	}
 
 }
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamClient.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamClient.java
@@ -103,7 +103,7 @@
 
 	private UpstreamPool pool(Upstream upstream) {
 		UpstreamPool known = this.pools.get(upstream.id());
-		if (known != null && known.life().equals(upstream.life())) {
+		if (known != null && known.life().equals(upstream.incarnationId())) {
 			return known;
 		}
 		forget(upstream.id());
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamPool.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamPool.java
@@ -57,7 +57,7 @@
 
 	UpstreamPool(EventLoop loop, Upstream upstream, Dialect dialect, Timers timers) {
 		this.loop = loop;
-		this.life = upstream.life();
+		this.life = upstream.incarnationId();
 		this.address = new InetSocketAddress(upstream.host(), upstream.port());
 		this.dialect = dialect;
 		this.timers = timers;
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
@@ -238,9 +238,9 @@
 
 	private static RelayProtocol.UpstreamLoad message(UpstreamLoad load) {
 		return RelayProtocol.UpstreamLoad.newBuilder()
-			.setLife(load.life())
+			.setLife(load.incarnationHash())
 			.setRequests(load.requests())
-			.setAge(load.age())
+			.setAge(load.ageMillis())
 			.build();
 	}
 
