--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
@@ -31,9 +31,9 @@
 
 	private final RelayState state;
 
-	private final ExchangeEnds ends;
+	private final ExchangeCompletion ends;
 
-	BudgetRules(RelayState state, ExchangeEnds ends) {
+	BudgetRules(RelayState state, ExchangeCompletion ends) {
 		this.state = state;
 		this.ends = ends;
 	}
@@ -68,7 +68,7 @@
 		if (this.state.reach != Connectivity.LOG) {
 			return withoutLog(turn.maxTokens(), budget);
 		}
-		return this.state.complete ? budget + turn.maxTokens() : budget;
+		return this.state.ledgerComplete ? budget + turn.maxTokens() : budget;
 	}
 
 	private static long withoutLog(int most, long budget) {
@@ -77,7 +77,7 @@
 
 	// What programs may have been given that neither the log nor this relay knows of.
 	private long missed(int most, long budget) {
-		return this.state.complete ? 0 : withoutLog(most, budget) - most;
+		return this.state.ledgerComplete ? 0 : withoutLog(most, budget) - most;
 	}
 
 	/**
@@ -87,7 +87,7 @@
 	 * @return whether the budget holds the turn, or empty if that is not decided yet
 	 */
 	Optional<Boolean> contend(Exchange exchange) {
-		exchange.become(Phase.WAITING_FOR_ORDER);
+		exchange.transitionTo(Phase.WAITING_FOR_BUDGET);
 		if (this.state.reach == Connectivity.NOTHING) {
 			// Refused at once, the caller has time for a relay that can know.
 			this.ends.giveUp(exchange, Refusal.LOG_LOST);
@@ -111,7 +111,7 @@
 		Poll poll = new Poll(exchange.number(), exchange.id(), keepers);
 		hold(exchange, turn, poll);
 		if (keepers.contains(this.state.name)) {
-			if (this.state.sure()) {
+			if (this.state.upToDate()) {
 				poll.answered(this.state.name, this.state.tokens.taken(turn.program()),
 						this.state.unlogged.tokens(turn.program()));
 			}
@@ -129,9 +129,9 @@
 	}
 
 	private void hold(Exchange exchange, Turn turn, Poll poll) {
-		exchange.reserve();
+		exchange.markReserved();
 		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
-		this.state.note(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), false));
+		this.state.recordUnlogged(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), false));
 		this.state.polls.put(exchange.id(), poll);
 	}
 
@@ -176,7 +176,7 @@
 				contendInLog(exchange);
 			}
 			case RELAYS -> askRelays(exchange);
-			case NOTHING -> this.ends.orderLost(exchange);
+			case NOTHING -> this.ends.budgetUndecided(exchange);
 		}
 	}
 
@@ -201,7 +201,7 @@
 		Poll poll = Optional.ofNullable(this.state.polls.get(exchange.id()))
 			.orElseGet(() -> new Poll(exchange.number(), exchange.id(), List.of()));
 		poll.askAll(this.state.name);
-		exchange.askAll();
+		exchange.markReservedOnAll();
 		hold(exchange, turn, poll);
 		this.state.write(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), false));
 		this.state.emit(new RelayEffect.RequestReservation(List.of(), exchange.id(), turn.program(), turn.maxTokens(),
@@ -221,7 +221,7 @@
 	 * @param exchange the exchange
 	 */
 	void orderDue(Exchange exchange) {
-		if (exchange.phase() != Phase.WAITING_FOR_ORDER) {
+		if (exchange.phase() != Phase.WAITING_FOR_BUDGET) {
 			return;
 		}
 		Poll poll = this.state.polls.get(exchange.id());
@@ -243,7 +243,7 @@
 			remind(exchange, poll, RelaySettings.ORDER_WAIT);
 			return;
 		}
-		this.ends.orderLost(exchange);
+		this.ends.budgetUndecided(exchange);
 	}
 
 	/**
@@ -257,7 +257,7 @@
 		Optional<Poll> poll = Optional.ofNullable(this.state.polls.get(exchange.id()));
 		boolean held = holds(exchange.id(), turn.program(), turn.maxTokens(), turn.budget().orElseThrow());
 		boolean sure = poll.isEmpty() || sure(poll.get(), turn);
-		exchange.reserve();
+		exchange.markReserved();
 		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
 		decided(exchange, Decider.LOG, held && sure);
 		if (held && sure) {
@@ -377,7 +377,7 @@
 			// The ordinary case, which the placing of the turn tells.
 			return;
 		}
-		this.state.tell(RelayNotices.decided(exchange, by, (poll != null) ? poll.answers() : 0, held, this.state));
+		this.state.report(RelayNotices.decided(exchange, by, (poll != null) ? poll.answers() : 0, held, this.state));
 	}
 
 	/**
@@ -388,7 +388,7 @@
 	 */
 	void asked(RelayEvent.ReservationRequested asked) {
 		if (asked.throughLog()) {
-			if (this.state.sure()) {
+			if (this.state.upToDate()) {
 				this.state.placing.put(asked.request(), asked);
 				this.state
 					.write(new Reserved(asked.request(), asked.program(), asked.maxTokens(), "", List.of(), true));
@@ -399,7 +399,7 @@
 		this.state.unlogged.told(
 				new Reserved(asked.request(), asked.program(), asked.maxTokens(), "", List.of(), false), asked.peer(),
 				asked.now());
-		if (!this.state.sure()) {
+		if (!this.state.upToDate()) {
 			this.state.emit(new RelayEffect.SendUsageUnavailable(asked.peer(), asked.request()));
 			return;
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
@@ -13,7 +13,7 @@
  */
 final class Exchange {
 
-	private final RelayEvent.RequestReceived asked;
+	private final RelayEvent.RequestReceived request;
 
 	private final Route route;
 
@@ -23,9 +23,9 @@
 
 	private final String id;
 
-	private final long due;
+	private final long deadline;
 
-	private final Set<String> tried = new HashSet<>();
+	private final Set<String> triedUpstreams = new HashSet<>();
 
 	private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
@@ -35,15 +35,15 @@
 
 	private int attempt;
 
-	private int sends;
+	private int sendCount;
 
 	private Optional<Upstream> upstream = Optional.empty();
 
 	private OptionalLong lastEvent;
 
-	private boolean opened;
+	private boolean streamOpened;
 
-	private int events;
+	private int eventCount;
 
 	private boolean mayHaveRun;
 
@@ -51,24 +51,24 @@
 
 	private long firstEventAt;
 
-	private long heardAt;
+	private long lastActivityAt;
 
-	private long lookAt;
+	private long nextSilenceCheck;
 
 	private boolean watched;
 
-	private boolean graced;
+	private boolean graceGranted;
 
-	private boolean bringing;
+	private boolean fetchingTexts;
 
-	private boolean extended;
+	private boolean waitExtended;
 
-	private boolean askedAll;
+	private boolean reservedOnAll;
 
 	private boolean permitted;
 
 	Exchange(RelayEvent.RequestReceived asked, Route route, CallerIdentity caller) {
-		this.asked = asked;
+		this.request = asked;
 		this.route = route;
 		this.caller = caller;
 		this.head = team().map(asked.head()::scopedTo).orElse(asked.head());
@@ -76,15 +76,15 @@
 		this.lastEvent = route.resumable() ? asked.head().lastEvent() : OptionalLong.empty();
 		Duration patience = asked.head().callerTimeout().orElse(route.timeout());
 		Duration longest = (patience.compareTo(route.timeout()) < 0) ? patience : route.timeout();
-		this.due = asked.now() + longest.toMillis();
+		this.deadline = asked.now() + longest.toMillis();
 	}
 
 	long number() {
-		return this.asked.exchange();
+		return this.request.exchange();
 	}
 
-	RelayEvent.RequestReceived asked() {
-		return this.asked;
+	RelayEvent.RequestReceived request() {
+		return this.request;
 	}
 
 	RequestHead head() {
@@ -105,7 +105,7 @@
 	 * @return the digest
 	 */
 	long digest() {
-		return this.asked.digest() ^ team().map((team) -> (long) team.name().hashCode() << Integer.SIZE).orElse(0L);
+		return this.request.digest() ^ team().map((team) -> (long) team.name().hashCode() << Integer.SIZE).orElse(0L);
 	}
 
 	CallerIdentity caller() {
@@ -123,7 +123,7 @@
 	/**
 	 * Notes that the quota of the team holds the request.
 	 */
-	void permit() {
+	void markPermitted() {
 		this.permitted = true;
 	}
 
@@ -135,23 +135,23 @@
 		return this.route;
 	}
 
-	long due() {
-		return this.due;
+	long deadline() {
+		return this.deadline;
 	}
 
-	Duration left(long now) {
-		return Duration.ofMillis(Math.max(0, this.due - now));
+	Duration remaining(long now) {
+		return Duration.ofMillis(Math.max(0, this.deadline - now));
 	}
 
-	Set<String> tried() {
-		return this.tried;
+	Set<String> triedUpstreams() {
+		return this.triedUpstreams;
 	}
 
 	Phase phase() {
 		return this.phase;
 	}
 
-	void become(Phase next) {
+	void transitionTo(Phase next) {
 		this.phase = next;
 	}
 
@@ -159,7 +159,7 @@
 		return this.chain;
 	}
 
-	void found(byte[] found) {
+	void setChain(byte[] found) {
 		this.chain = found;
 	}
 
@@ -175,20 +175,20 @@
 	 * Returns to how many upstreams the request went out.
 	 * @return the number
 	 */
-	int sends() {
-		return this.sends;
+	int sendCount() {
+		return this.sendCount;
 	}
 
-	void notSent() {
-		this.sends--;
+	void markNotSent() {
+		this.sendCount--;
 	}
 
-	void sentTo(Upstream next, long now) {
-		this.heardAt = now;
-		this.graced = false;
+	void recordSend(Upstream next, long now) {
+		this.lastActivityAt = now;
+		this.graceGranted = false;
 		this.attempt++;
-		this.sends++;
-		this.tried.add(next.id());
+		this.sendCount++;
+		this.triedUpstreams.add(next.id());
 		this.upstream = Optional.of(next);
 		this.phase = Phase.RUNNING;
 	}
@@ -197,21 +197,21 @@
 	 * Returns whether the texts of the turns before are being brought.
 	 * @return whether they are
 	 */
-	boolean bringing() {
-		return this.bringing;
+	boolean fetchingTexts() {
+		return this.fetchingTexts;
 	}
 
-	void bring() {
-		this.bringing = true;
+	void markFetchingTexts() {
+		this.fetchingTexts = true;
 	}
 
 	/**
 	 * Notes that the request is waited for longer than usual.
 	 * @return whether it was not before
 	 */
-	boolean extend() {
-		boolean first = !this.extended;
-		this.extended = true;
+	boolean extendWait() {
+		boolean first = !this.waitExtended;
+		this.waitExtended = true;
 		return first;
 	}
 
@@ -219,32 +219,32 @@
 	 * Returns whether all relays hold the turn back, and not its keepers alone.
 	 * @return whether they do
 	 */
-	boolean askedAll() {
-		return this.askedAll;
+	boolean reservedOnAll() {
+		return this.reservedOnAll;
 	}
 
-	void askAll() {
-		this.askedAll = true;
+	void markReservedOnAll() {
+		this.reservedOnAll = true;
 	}
 
 	OptionalLong lastEvent() {
 		return this.lastEvent;
 	}
 
-	boolean opened() {
-		return this.opened;
+	boolean streamOpened() {
+		return this.streamOpened;
 	}
 
-	void open() {
-		this.opened = true;
+	void markStreamOpened() {
+		this.streamOpened = true;
 	}
 
-	int events() {
-		return this.events;
+	int eventCount() {
+		return this.eventCount;
 	}
 
-	Optional<Duration> firstEvent() {
-		return (this.events > 0) ? Optional.of(Duration.ofMillis(this.firstEventAt - this.asked.now()))
+	Optional<Duration> timeToFirstEvent() {
+		return (this.eventCount > 0) ? Optional.of(Duration.ofMillis(this.firstEventAt - this.request.now()))
 				: Optional.empty();
 	}
 
@@ -252,15 +252,15 @@
 	 * Returns when the upstream was last heard of, or the request sent to it.
 	 * @return milliseconds of a steady clock
 	 */
-	long heardAt() {
-		return this.heardAt;
+	long lastActivityAt() {
+		return this.lastActivityAt;
 	}
 
 	/**
 	 * Notes that the silence of the upstream is watched from now on.
 	 * @return whether it was not before
 	 */
-	boolean watch() {
+	boolean markWatched() {
 		boolean first = !this.watched;
 		this.watched = true;
 		return first;
@@ -270,12 +270,12 @@
 	 * Returns when the silence of the upstream is to be looked at next.
 	 * @return milliseconds of a steady clock
 	 */
-	long lookAt() {
-		return this.lookAt;
+	long nextSilenceCheck() {
+		return this.nextSilenceCheck;
 	}
 
-	void lookAt(long next) {
-		this.lookAt = next;
+	void nextSilenceCheck(long next) {
+		this.nextSilenceCheck = next;
 	}
 
 	/**
@@ -283,26 +283,26 @@
 	 * was late itself.
 	 * @return whether it was not before
 	 */
-	boolean grace() {
-		boolean first = !this.graced;
-		this.graced = true;
+	boolean grantGrace() {
+		boolean first = !this.graceGranted;
+		this.graceGranted = true;
 		return first;
 	}
 
-	boolean expects(long number) {
+	boolean expectsEvent(long number) {
 		return this.lastEvent.isEmpty() || number == this.lastEvent.getAsLong() + 1;
 	}
 
-	boolean has(long number) {
+	boolean hasEvent(long number) {
 		return this.lastEvent.isPresent() && number <= this.lastEvent.getAsLong();
 	}
 
-	void passed(RelayEvent.StreamEventReceived event) {
-		if (this.events == 0) {
+	void recordEvent(RelayEvent.StreamEventReceived event) {
+		if (this.eventCount == 0) {
 			this.firstEventAt = event.now();
 		}
-		this.events++;
-		this.heardAt = event.now();
+		this.eventCount++;
+		this.lastActivityAt = event.now();
 		this.lastEvent = OptionalLong.of(event.number());
 		if (this.route.keepsTurns()) {
 			this.output.writeBytes(event.data());
@@ -318,7 +318,7 @@
 		return this.mayHaveRun;
 	}
 
-	void mayRun() {
+	void markMayHaveRun() {
 		this.mayHaveRun = true;
 	}
 
@@ -326,7 +326,7 @@
 		return this.reserved;
 	}
 
-	void reserve() {
+	void markReserved() {
 		this.reserved = true;
 	}
 
@@ -348,7 +348,7 @@
 		/**
 		 * For the log to tell whether the program's budget holds the turn.
 		 */
-		WAITING_FOR_ORDER,
+		WAITING_FOR_BUDGET,
 
 		/**
 		 * For an upstream's answer.
@@ -358,7 +358,7 @@
 		/**
 		 * For the log to hold the turn, before its end is passed on.
 		 */
-		ENDING
+		STORING
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeEnds.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeCompletion.java
@@ -14,72 +14,72 @@
  * How exchanges end: each is told, counted, settled and forgotten in one place. Used by
  * one thread.
  */
-final class ExchangeEnds {
+final class ExchangeCompletion {
 
 	private final RelayState state;
 
-	private Consumer<Exchange> whenForgotten = (exchange) -> {
+	private Consumer<Exchange> onRemoved = (exchange) -> {
 	};
 
-	ExchangeEnds(RelayState state) {
+	ExchangeCompletion(RelayState state) {
 		this.state = state;
 	}
 
-	void refuseUnknown(RelayEvent.RequestReceived asked, Refusal refusal, Optional<Duration> comeBack) {
-		this.state.tell(RelayNotices.refused(asked.head(), refusal));
+	void refuseWithoutExchange(RelayEvent.RequestReceived asked, Refusal refusal, Optional<Duration> comeBack) {
+		this.state.report(RelayNotices.refused(asked.head(), refusal));
 		this.state.emit(new RelayEffect.Refuse(asked.exchange(), refusal, comeBack));
 	}
 
 	void refuse(Exchange exchange, Refusal refusal, Optional<Duration> comeBack) {
-		this.state.tell(RelayNotices.refused(exchange, refusal, this.state));
-		measure(exchange, Outcome.REFUSED);
+		this.state.report(RelayNotices.refused(exchange, refusal, this.state));
+		recordOutcome(exchange, Outcome.REFUSED);
 		close(exchange, new RelayEffect.Refuse(exchange.number(), refusal, comeBack));
 	}
 
-	void breakOff(Exchange exchange, Refusal reason) {
-		this.state.tell(RelayNotices.brokenOff(exchange, reason, this.state.now));
-		measure(exchange, Outcome.BROKEN_OFF);
+	void abort(Exchange exchange, Refusal reason) {
+		this.state.report(RelayNotices.brokenOff(exchange, reason, this.state.now));
+		recordOutcome(exchange, Outcome.BROKEN_OFF);
 		close(exchange, new RelayEffect.AbortConnection(exchange.number()));
 	}
 
 	void endStream(Exchange exchange) {
-		this.state.tell(RelayNotices.answered(exchange, ResponseHead.SUCCESS, this.state.now));
-		measure(exchange, Outcome.ANSWERED);
+		this.state.report(RelayNotices.answered(exchange, ResponseHead.SUCCESS, this.state.now));
+		recordOutcome(exchange, Outcome.ANSWERED);
 		close(exchange, new RelayEffect.EndStream(exchange.number()));
 	}
 
-	void measure(Exchange exchange, Outcome outcome) {
-		Duration latency = Duration.ofMillis(this.state.now - exchange.asked().now());
-		this.state.emit(new RelayEffect.RecordMeasurement(
-				new Measurement.RouteRequestEnded(exchange.route().name(), outcome, latency, exchange.firstEvent())));
+	void recordOutcome(Exchange exchange, Outcome outcome) {
+		Duration latency = Duration.ofMillis(this.state.now - exchange.request().now());
+		this.state.emit(new RelayEffect.RecordMeasurement(new Measurement.RouteRequestEnded(exchange.route().name(),
+				outcome, latency, exchange.timeToFirstEvent())));
 	}
 
 	void close(Exchange exchange, RelayEffect last) {
 		this.state.emit(last);
-		forget(exchange);
+		remove(exchange);
 	}
 
 	/**
 	 * Sets what takes each exchange that has ended.
 	 * @param taker takes it
 	 */
-	void whenForgotten(Consumer<Exchange> taker) {
-		this.whenForgotten = taker;
+	void onRemoved(Consumer<Exchange> taker) {
+		this.onRemoved = taker;
 	}
 
-	private void forget(Exchange exchange) {
-		this.whenForgotten.accept(exchange);
+	private void remove(Exchange exchange) {
+		this.onRemoved.accept(exchange);
 		this.state.exchanges.remove(exchange.number());
-		this.state.waiting.remove(exchange.number());
-		this.state.ending.remove(exchange.id());
+		this.state.awaitingChain.remove(exchange.number());
+		this.state.pendingTurns.remove(exchange.id());
 		this.state.contending.remove(exchange.id());
 		this.state.polls.remove(exchange.id());
 	}
 
 	void giveUp(Exchange exchange, Refusal refusal) {
 		settle(exchange, Optional.empty());
-		if (exchange.opened()) {
-			breakOff(exchange, refusal);
+		if (exchange.streamOpened()) {
+			abort(exchange, refusal);
 			return;
 		}
 		boolean worthAnother = refusal.verdict() == Verdict.NOT_RUN;
@@ -93,7 +93,7 @@
 		LedgerEntry.Settled settled = settlement(exchange, text);
 		this.state.tokens.settle(settled.program(), settled.request(), settled.tokens());
 		this.state.write(settled,
-				exchange.askedAll() ? this.state.others() : this.state.otherKeepers(settled.program()));
+				exchange.reservedOnAll() ? this.state.otherRelays() : this.state.otherKeepers(settled.program()));
 	}
 
 	/**
@@ -107,47 +107,47 @@
 		int perEvent = this.state.engine(exchange.upstream().map(Upstream::service).orElse(""))
 			.map(RouteTable.Engine::tokensPerEvent)
 			.orElse(1);
-		return new LedgerEntry.Settled(exchange.id(), turn.program(), exchange.events() * perEvent, text);
+		return new LedgerEntry.Settled(exchange.id(), turn.program(), exchange.eventCount() * perEvent, text);
 	}
 
-	void callerLeft(Exchange exchange) {
-		if (exchange.phase() == Phase.WAITING_FOR_ORDER) {
-			exchange.reserve();
+	void callerDisconnected(Exchange exchange) {
+		if (exchange.phase() == Phase.WAITING_FOR_BUDGET) {
+			exchange.markReserved();
 			settle(exchange, Optional.empty());
 		}
 		if (exchange.phase() == Phase.RUNNING) {
-			stopAttempt(exchange);
+			cancelAttempt(exchange);
 			settle(exchange, Optional.empty());
 		}
-		this.state.tell(RelayNotices.callerLeft(exchange, this.state.now));
-		measure(exchange, Outcome.CALLER_LEFT);
-		forget(exchange);
+		this.state.report(RelayNotices.callerLeft(exchange, this.state.now));
+		recordOutcome(exchange, Outcome.CALLER_LEFT);
+		remove(exchange);
 	}
 
-	void due(Exchange exchange) {
+	void deadlineExceeded(Exchange exchange) {
 		switch (exchange.phase()) {
 			case WAITING_FOR_PERMIT -> refuse(exchange, Refusal.QUOTA_UNKNOWN, Optional.of(RelaySettings.COME_BACK));
-			case WAITING_FOR_CHAIN -> chainDue(exchange);
-			case WAITING_FOR_ORDER -> orderLost(exchange);
+			case WAITING_FOR_CHAIN -> chainTimedOut(exchange);
+			case WAITING_FOR_BUDGET -> budgetUndecided(exchange);
 			case RUNNING -> {
-				stopAttempt(exchange);
+				cancelAttempt(exchange);
 				giveUp(exchange, Refusal.NO_ANSWER_IN_TIME);
 			}
-			case ENDING -> breakOff(exchange, Refusal.NOT_STORED_IN_TIME);
+			case STORING -> abort(exchange, Refusal.NOT_STORED_IN_TIME);
 		}
 	}
 
-	void stopAttempt(Exchange exchange) {
+	void cancelAttempt(Exchange exchange) {
 		this.state.emit(new RelayEffect.CancelAttempt(exchange.number(), exchange.attempt()));
 		this.state.upstreams.requestEnded(exchange.id());
 	}
 
-	void orderLost(Exchange exchange) {
-		exchange.reserve();
+	void budgetUndecided(Exchange exchange) {
+		exchange.markReserved();
 		giveUp(exchange, Refusal.LOG_LOST);
 	}
 
-	void chainDue(Exchange exchange) {
+	void chainTimedOut(Exchange exchange) {
 		if (exchange.phase() == Phase.WAITING_FOR_CHAIN) {
 			Refusal reason = this.state.stale ? Refusal.NOT_READY : Refusal.TURN_UNCERTAIN;
 			refuse(exchange, reason, Optional.of(RelaySettings.COME_BACK));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
@@ -15,11 +15,11 @@
 
 	private final BudgetRules budgets;
 
-	private final ExchangeEnds ends;
+	private final ExchangeCompletion ends;
 
 	private final DuplicateEntryCounter copies = new DuplicateEntryCounter();
 
-	LedgerRules(RelayState state, RequestRules requests, BudgetRules budgets, ExchangeEnds ends) {
+	LedgerRules(RelayState state, RequestRules requests, BudgetRules budgets, ExchangeCompletion ends) {
 		this.state = state;
 		this.requests = requests;
 		this.budgets = budgets;
@@ -75,14 +75,14 @@
 	}
 
 	void caughtUp(RelayEvent.CaughtUp event) {
-		this.state.tell(RelayNotices.caughtUp(event));
+		this.state.report(RelayNotices.caughtUp(event));
 		if (!this.state.caughtUp && event.idle().isPresent()) {
 			this.state.logWasRecent = event.idle().get().compareTo(RelaySettings.RECENT) < 0;
 		}
 		this.state.caughtUpAt = event.now();
 		this.state.caughtUp = true;
 		this.state.stale = false;
-		if (!this.state.complete && !this.state.logWasRecent) {
+		if (!this.state.ledgerComplete && !this.state.logWasRecent) {
 			this.state.emit(new RelayEffect.RequestSync());
 		}
 		this.requests.dispatchWaiting();
@@ -93,11 +93,11 @@
 			this.state.unlogged.logBack(this.state.now);
 		}
 		this.state.logReadAt = this.state.now;
-		List<LedgerEntry> overdue = this.state.unlogged.overdue(this.state.name, this.state.linked, this::holders,
+		List<LedgerEntry> overdue = this.state.unlogged.overdue(this.state.name, this.state.linkedPeers, this::holders,
 				this.state.now);
 		overdue.forEach(this.state::write);
 		if (!overdue.isEmpty()) {
-			this.state.tell(RelayNotices.adopted(overdue.size()));
+			this.state.report(RelayNotices.adopted(overdue.size()));
 		}
 	}
 
@@ -134,7 +134,7 @@
 
 	private void settledElsewhere(LedgerEntry.Settled settled, Optional<String> teller) {
 		this.state.tokens.settle(settled.program(), settled.request(), settled.tokens());
-		settled.text().ifPresent((place) -> this.state.turns.recordLocation(settled.request(), place, teller));
+		settled.text().ifPresent((place) -> this.state.turnCache.recordLocation(settled.request(), place, teller));
 		this.state.upstreams.requestEnded(settled.request());
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -52,7 +52,7 @@
 
 	private final RelayState state;
 
-	private final ExchangeEnds ends;
+	private final ExchangeCompletion ends;
 
 	private final Consumer<Exchange> admitted;
 
@@ -77,7 +77,7 @@
 	 * @param ends how exchanges end
 	 * @param admitted takes each exchange that had to wait and is admitted
 	 */
-	QuotaRules(RelayState state, ExchangeEnds ends, Consumer<Exchange> admitted) {
+	QuotaRules(RelayState state, ExchangeCompletion ends, Consumer<Exchange> admitted) {
 		this.state = state;
 		this.ends = ends;
 		this.admitted = admitted;
@@ -94,7 +94,7 @@
 		if (team.isEmpty()) {
 			return true;
 		}
-		if (!this.state.knowsRelays()) {
+		if (!this.state.membershipKnown()) {
 			this.ends.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.COME_BACK_WHEN_READ));
 			return false;
 		}
@@ -103,10 +103,10 @@
 		// that begin.
 		if (queue.permits.spend(this.state.now)) {
 			exchange.head().program().ifPresent((program) -> queue.permits.admit(program.hashCode()));
-			exchange.permit();
+			exchange.markPermitted();
 			return true;
 		}
-		exchange.become(Phase.WAITING_FOR_PERMIT);
+		exchange.transitionTo(Phase.WAITING_FOR_PERMIT);
 		queue.waiting.put(exchange.number(), exchange);
 		this.state.remind(exchange, ANSWER_WAIT, TimerKind.PERMIT);
 		askIfFree(queue);
@@ -177,8 +177,8 @@
 	}
 
 	private void admitted(Exchange exchange) {
-		exchange.permit();
-		exchange.become(Phase.WAITING_FOR_CHAIN);
+		exchange.markPermitted();
+		exchange.transitionTo(Phase.WAITING_FOR_CHAIN);
 		this.admitted.accept(exchange);
 	}
 
@@ -302,7 +302,7 @@
 			admitted(exchange);
 			return;
 		}
-		long held = this.state.now - exchange.asked().now();
+		long held = this.state.now - exchange.request().now();
 		long most = exchange.route().target().toMillis() / HOLD_PART;
 		if (held + ANSWER_WAIT.toMillis() / 2 > most) {
 			refuse(queue, exchange, Refusal.QUOTA_SPENT, wait);
@@ -322,7 +322,7 @@
 
 	private void refuse(TeamQueue queue, Exchange exchange, Refusal refusal, Duration wait) {
 		queue.waiting.remove(exchange.number());
-		this.state.tell(RelayNotices.quotaRefused(exchange, refusal, counting(queue.team).getFirst(),
+		this.state.report(RelayNotices.quotaRefused(exchange, refusal, counting(queue.team).getFirst(),
 				queue.waiting.size(), wait, this.state));
 		this.ends.refuse(exchange, refusal, Optional.of(wait));
 	}
@@ -359,7 +359,7 @@
 			return;
 		}
 		queue.waiting.remove(exchange.number());
-		boolean sent = exchange.phase() == Phase.RUNNING || exchange.phase() == Phase.ENDING;
+		boolean sent = exchange.phase() == Phase.RUNNING || exchange.phase() == Phase.STORING;
 		if (exchange.permitted() && !sent) {
 			queue.permits.putBack(this.state.now);
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
@@ -28,7 +28,7 @@
 
 	private final QuotaRules quotas;
 
-	private final ExchangeEnds ends;
+	private final ExchangeCompletion ends;
 
 	/**
 	 * Creates a relay that knows nothing yet.
@@ -36,7 +36,7 @@
 	 */
 	public Relay(RelaySettings settings) {
 		this.state = new RelayState(settings);
-		this.ends = new ExchangeEnds(this.state);
+		this.ends = new ExchangeCompletion(this.state);
 		this.budgets = new BudgetRules(this.state, this.ends);
 		this.site = new SiteRules(this.state, this.budgets);
 		this.texts = new TextRules(this.state, this.ends);
@@ -54,9 +54,9 @@
 	public List<RelayEffect> handle(RelayEvent event) {
 		this.state.now = event.now();
 		switch (event) {
-			case RelayEvent.RequestReceived asked -> this.requests.asked(asked);
-			case RelayEvent.AttemptEvent attempt -> this.answers.ofAttempt(attempt);
-			case RelayEvent.CallerDisconnected left -> this.state.find(left).ifPresent(this.ends::callerLeft);
+			case RelayEvent.RequestReceived asked -> this.requests.requestReceived(asked);
+			case RelayEvent.AttemptEvent attempt -> this.answers.attemptEvent(attempt);
+			case RelayEvent.CallerDisconnected left -> this.state.find(left).ifPresent(this.ends::callerDisconnected);
 			case RelayEvent.TimerFired reminded ->
 				this.state.find(reminded).ifPresent((exchange) -> reminded(exchange, reminded.timer()));
 			case RelayEvent.EntriesReceived read -> this.ledger.entriesRead(read);
@@ -67,15 +67,15 @@
 			case RelayEvent.CaughtUp caughtUp -> this.ledger.caughtUp(caughtUp);
 			case RelayEvent.SettlementsStored stored -> stored.requests().forEach(this.texts::entryStored);
 			case RelayEvent.TextsStored stored -> this.texts.textsStored(stored);
-			case RelayEvent.TurnWritesAcknowledged helped -> helped.requests().forEach(this.texts::end);
-			case RelayEvent.TextLocationsRequested asked -> this.texts.placesAsked(asked);
+			case RelayEvent.TurnWritesAcknowledged helped -> helped.requests().forEach(this.texts::endStream);
+			case RelayEvent.TextLocationsRequested asked -> this.texts.locationsRequested(asked);
 			case RelayEvent.TextLocationsReceived told -> {
-				this.texts.placesTold(told);
+				this.texts.locationsReceived(told);
 				this.requests.dispatchWaiting();
 			}
-			case RelayEvent.TextsRequested asked -> this.texts.asked(asked);
+			case RelayEvent.TextsRequested asked -> this.texts.textsRequested(asked);
 			case RelayEvent.TextsReceived told -> {
-				this.texts.told(told);
+				this.texts.textsReceived(told);
 				this.requests.dispatchWaiting();
 			}
 			case RelayEvent.TextRead read -> {
@@ -99,7 +99,7 @@
 			case RelayEvent.SyncCompleted told -> this.site.told(told.peer(), told.otherRelays());
 			case RelayEvent.ListenerStarted opened -> this.state.name = opened.name();
 			case RelayEvent.PeerDisconnected lost -> this.site.lost(lost.peer());
-			case RelayEvent.TurnWriteRequested asked -> this.texts.helpAsked(asked);
+			case RelayEvent.TurnWriteRequested asked -> this.texts.storeForPeer(asked);
 			case RelayEvent.ConnectivityChanged changed -> this.site.reachChanged(changed.connectivity());
 			case RelayEvent.RouteTableUpdated read -> this.site.tableRead(read.table());
 			case RelayEvent.UpstreamsReplaced read -> this.state.upstreams.replace(read.upstreams());
@@ -108,7 +108,7 @@
 			case RelayEvent.UpstreamRemoved gone -> this.site.gone(gone.id());
 		}
 		this.site.updateReadiness();
-		return this.state.take();
+		return this.state.drainEffects();
 	}
 
 	/**
@@ -121,12 +121,12 @@
 
 	private void reminded(Exchange exchange, RelayEvent.TimerKind reminder) {
 		switch (reminder) {
-			case DEADLINE -> this.ends.due(exchange);
-			case CHAIN_LOOKUP -> this.texts.chainDue(exchange);
-			case TEXT_FETCH -> this.texts.textsDue(exchange);
+			case DEADLINE -> this.ends.deadlineExceeded(exchange);
+			case CHAIN_LOOKUP -> this.texts.chainTimedOut(exchange);
+			case TEXT_FETCH -> this.texts.textsTimedOut(exchange);
 			case BUDGET_DECISION -> this.budgets.orderDue(exchange);
-			case LOG_WRITE -> this.texts.storeDue(exchange);
-			case UPSTREAM_IDLE -> this.answers.silenceDue(exchange);
+			case LOG_WRITE -> this.texts.storeTimedOut(exchange);
+			case UPSTREAM_IDLE -> this.answers.checkSilence(exchange);
 			case PERMIT -> this.quotas.due(exchange);
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
@@ -95,7 +95,7 @@
 	private static Notice attemptFailed(Exchange exchange, String reason, long now) {
 		return notice(NoticeCode.ATTEMPT_FAILED, request(exchange), upstream(exchange), attempt(exchange),
 				field(FieldName.REASON, reason), events(exchange),
-				field(FieldName.MILLISECONDS, now - exchange.heardAt()));
+				field(FieldName.MILLISECONDS, now - exchange.lastActivityAt()));
 	}
 
 	/**
@@ -197,7 +197,7 @@
 	}
 
 	private static NoticeField events(Exchange exchange) {
-		return field(FieldName.COUNT, exchange.events());
+		return field(FieldName.COUNT, exchange.eventCount());
 	}
 
 	// What the relay believes to be spent or held back of the budget that follows.
@@ -212,7 +212,7 @@
 	}
 
 	private static NoticeField taken(Exchange exchange, long now) {
-		return field(FieldName.MILLISECONDS, now - exchange.asked().now());
+		return field(FieldName.MILLISECONDS, now - exchange.request().now());
 	}
 
 	private static Notice notice(NoticeCode code, NoticeField... fields) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
@@ -29,11 +29,11 @@
 	 */
 	static final long NEVER = Long.MIN_VALUE / 2;
 
-	final int inputBytes;
+	final int maxInputBytes;
 
 	final ProgramTokens tokens;
 
-	final TurnCache turns;
+	final TurnCache turnCache;
 
 	final Blames blames = new Blames();
 
@@ -60,7 +60,7 @@
 	/**
 	 * The turns of this relay whose end waits for the log, by request.
 	 */
-	final Map<String, TextRules.Ending> ending = new LinkedHashMap<>();
+	final Map<String, TextRules.PendingTurn> pendingTurns = new LinkedHashMap<>();
 
 	/**
 	 * The exchanges that wait for their place in the log, by request.
@@ -87,15 +87,15 @@
 	 * The exchanges that wait for the text of the turns before, or for the log to be read
 	 * after a sleep, by number.
 	 */
-	final Map<Long, Exchange> waiting = new LinkedHashMap<>();
+	final Map<Long, Exchange> awaitingChain = new LinkedHashMap<>();
 
 	/**
 	 * The turns that are written for other relays, by request. Bounded: the oldest are
 	 * given up, and their relays ask again.
 	 */
-	final Map<String, TextRules.Helping> helping = new LinkedHashMap<>() {
+	final Map<String, TextRules.PeerTurn> peerTurns = new LinkedHashMap<>() {
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<String, TextRules.Helping> eldest) {
+		protected boolean removeEldestEntry(Map.Entry<String, TextRules.PeerTurn> eldest) {
 			return size() > RelaySettings.HELPING;
 		}
 	};
@@ -103,17 +103,17 @@
 	/**
 	 * The turns whose texts are being read from the log. Each reading ends, found or not.
 	 */
-	final Set<String> reading = new HashSet<>();
+	final Set<String> pendingReads = new HashSet<>();
 
 	/**
 	 * The relays that this one is linked to.
 	 */
-	final Set<String> linked = new HashSet<>();
+	final Set<String> linkedPeers = new HashSet<>();
 
 	/**
 	 * The partition to which this relay writes texts.
 	 */
-	final int textPart;
+	final int textPartition;
 
 	/**
 	 * How far quotas may be passed.
@@ -123,7 +123,7 @@
 	/**
 	 * Where that partition ended when it was last heard of; negative before that.
 	 */
-	long textEnd = -1;
+	long textEndOffset = -1;
 
 	/**
 	 * When the log was last slow to store texts of this relay.
@@ -151,7 +151,7 @@
 	/**
 	 * Whether all is known here that programs were given, also without the log.
 	 */
-	boolean complete;
+	boolean ledgerComplete;
 
 	Connectivity reach = Connectivity.LOG;
 
@@ -164,12 +164,12 @@
 	private List<RelayEffect> effects = new ArrayList<>();
 
 	RelayState(RelaySettings settings) {
-		this.inputBytes = settings.inputBytes();
-		this.textPart = settings.textPart();
+		this.maxInputBytes = settings.inputBytes();
+		this.textPartition = settings.textPart();
 		this.tolerance = settings.tolerance();
 		this.tokens = new ProgramTokens(settings.programs());
-		this.turns = new TurnCache(settings.turnBytes());
-		this.complete = settings.first();
+		this.turnCache = new TurnCache(settings.turnBytes());
+		this.ledgerComplete = settings.first();
 		this.random = new SplittableRandom(settings.seed());
 		this.unlogged = new UnloggedEntries(this.random.nextLong(RelaySettings.ADOPTION_SPREAD.toMillis()));
 		this.choice = new UpstreamChoice(settings.zone(), this.random);
@@ -193,17 +193,17 @@
 	 * @param entry the entry
 	 * @param program the program
 	 */
-	void writeAndTell(LedgerEntry entry, String program) {
+	void writeAndReplicate(LedgerEntry entry, String program) {
 		write(entry, otherKeepers(program));
 	}
 
 	/**
 	 * Writes an entry, and tells it to some relays.
 	 * @param entry the entry
-	 * @param tell the relays
+	 * @param report the relays
 	 */
 	void write(LedgerEntry entry, List<String> tell) {
-		note(entry);
+		recordUnlogged(entry);
 		emit(new RelayEffect.AppendEntry(entry, tell));
 	}
 
@@ -212,7 +212,7 @@
 	 * there on.
 	 * @param entry the entry
 	 */
-	void note(LedgerEntry entry) {
+	void recordUnlogged(LedgerEntry entry) {
 		if (!(entry instanceof LedgerEntry.Reserved reserved) || !reserved.contending()) {
 			this.unlogged.told(entry, this.name, this.now);
 		}
@@ -222,7 +222,7 @@
 		return withoutOwn(this.keepers.of(program));
 	}
 
-	List<String> others() {
+	List<String> otherRelays() {
 		return withoutOwn(this.keepers.all());
 	}
 
@@ -236,7 +236,7 @@
 	 * together.
 	 * @return whether it is
 	 */
-	boolean knowsRelays() {
+	boolean membershipKnown() {
 		return this.keepers.known() || this.name.isEmpty();
 	}
 
@@ -245,15 +245,15 @@
 	 * it was told.
 	 * @return whether it does
 	 */
-	boolean sure() {
-		return this.caughtUp && !this.stale && this.complete;
+	boolean upToDate() {
+		return this.caughtUp && !this.stale && this.ledgerComplete;
 	}
 
-	void tell(Notice notice) {
+	void report(Notice notice) {
 		emit(new RelayEffect.WriteNotice(notice));
 	}
 
-	List<RelayEffect> take() {
+	List<RelayEffect> drainEffects() {
 		List<RelayEffect> taken = this.effects;
 		this.effects = new ArrayList<>();
 		return taken;
@@ -263,7 +263,7 @@
 		return Optional.ofNullable(this.exchanges.get(event.exchange()));
 	}
 
-	Optional<UpstreamState> known(Exchange exchange) {
+	Optional<UpstreamState> upstreamOf(Exchange exchange) {
 		return exchange.upstream().flatMap((upstream) -> this.upstreams.findIncarnation(upstream.incarnationId()));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
@@ -21,27 +21,27 @@
 
 	private final TextRules texts;
 
-	private final ExchangeEnds ends;
+	private final ExchangeCompletion ends;
 
 	private final QuotaRules quotas;
 
-	RequestRules(RelayState state, BudgetRules budgets, TextRules texts, ExchangeEnds ends) {
+	RequestRules(RelayState state, BudgetRules budgets, TextRules texts, ExchangeCompletion ends) {
 		this.state = state;
 		this.budgets = budgets;
 		this.texts = texts;
 		this.ends = ends;
 		this.quotas = new QuotaRules(state, ends, this::admitted);
-		ends.whenForgotten(this.quotas::ended);
+		ends.onRemoved(this.quotas::ended);
 	}
 
 	QuotaRules quotas() {
 		return this.quotas;
 	}
 
-	void asked(RelayEvent.RequestReceived asked) {
+	void requestReceived(RelayEvent.RequestReceived asked) {
 		if (this.state.table.isEmpty() || !this.state.upstreams.initialized()) {
 			boolean turn = asked.head().turn().isPresent();
-			this.ends.refuseUnknown(asked, Refusal.NOT_READY,
+			this.ends.refuseWithoutExchange(asked, Refusal.NOT_READY,
 					Optional.of(turn ? RelaySettings.COME_BACK_WHEN_READ : RelaySettings.COME_BACK_LATER));
 			return;
 		}
@@ -49,11 +49,11 @@
 		Optional<Route> route = table.find(asked.head().host(), asked.head().path());
 		Optional<CallerIdentity> caller = table.identify(route, asked.head().origin().key());
 		if (caller.isEmpty()) {
-			this.ends.refuseUnknown(asked, Refusal.KEY_UNKNOWN, Optional.empty());
+			this.ends.refuseWithoutExchange(asked, Refusal.KEY_UNKNOWN, Optional.empty());
 			return;
 		}
 		if (route.isEmpty()) {
-			this.ends.refuseUnknown(asked, Refusal.NO_ROUTE, Optional.empty());
+			this.ends.refuseWithoutExchange(asked, Refusal.NO_ROUTE, Optional.empty());
 			return;
 		}
 		Exchange exchange = new Exchange(asked, route.get(), caller.get());
@@ -62,39 +62,39 @@
 			this.ends.refuse(exchange, Refusal.BLAMED, Optional.empty());
 			return;
 		}
-		this.state.remind(exchange, exchange.left(this.state.now), TimerKind.DEADLINE);
-		if ((exchange.head().turn().isPresent() && refusedTurn(exchange)) || !this.quotas.admit(exchange)) {
+		this.state.remind(exchange, exchange.remaining(this.state.now), TimerKind.DEADLINE);
+		if ((exchange.head().turn().isPresent() && refuseTurn(exchange)) || !this.quotas.admit(exchange)) {
 			return;
 		}
 		admitted(exchange);
 	}
 
 	private void admitted(Exchange exchange) {
-		boolean waits = this.state.stale || !this.texts.find(exchange);
+		boolean waits = this.state.stale || !this.texts.resolveChain(exchange);
 		if (exchange.head().turn().isEmpty() || !waits) {
 			dispatch(exchange);
 			return;
 		}
-		this.state.waiting.put(exchange.number(), exchange);
-		if (!exchange.bringing()) {
-			this.texts.lookForChain(exchange);
+		this.state.awaitingChain.put(exchange.number(), exchange);
+		if (!exchange.fetchingTexts()) {
+			this.texts.requestLocations(exchange);
 		}
 		this.state.remind(exchange, exchange.route().target().dividedBy(RelaySettings.CHAIN_WAIT_PART),
 				TimerKind.CHAIN_LOOKUP);
 	}
 
-	private boolean refusedTurn(Exchange exchange) {
+	private boolean refuseTurn(Exchange exchange) {
 		// A turn that no record can hold would run and never end: its end waits for the
 		// log, and the entries behind it would wait with it.
-		if (exchange.route().keepsTurns() && exchange.asked().body().length > this.state.inputBytes) {
+		if (exchange.route().keepsTurns() && exchange.request().body().length > this.state.maxInputBytes) {
 			this.ends.refuse(exchange, Refusal.TOO_LONG, Optional.empty());
 			return true;
 		}
 		// Where a text stands is told before it is written. Told by a relay that does
 		// not know the end of its partition, others would look for it from the first
 		// record on, and give up before they find it.
-		boolean placeUnknown = exchange.route().keepsTurns() && this.state.textEnd < 0;
-		if (!this.state.caughtUp || !this.state.knowsRelays() || placeUnknown) {
+		boolean placeUnknown = exchange.route().keepsTurns() && this.state.textEndOffset < 0;
+		if (!this.state.caughtUp || !this.state.membershipKnown() || placeUnknown) {
 			this.ends.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.COME_BACK_WHEN_READ));
 			return true;
 		}
@@ -115,15 +115,15 @@
 		if (this.state.stale) {
 			return;
 		}
-		for (Exchange exchange : List.copyOf(this.state.waiting.values())) {
-			if (this.texts.find(exchange)) {
+		for (Exchange exchange : List.copyOf(this.state.awaitingChain.values())) {
+			if (this.texts.resolveChain(exchange)) {
 				dispatch(exchange);
 			}
 		}
 	}
 
 	void dispatch(Exchange exchange) {
-		this.state.waiting.remove(exchange.number());
+		this.state.awaitingChain.remove(exchange.number());
 		if (!exchange.reserved()) {
 			switch (this.budgets.admission(exchange)) {
 				case REFUSED -> {
@@ -159,16 +159,16 @@
 	 * requests that may run twice.
 	 * @param exchange the exchange
 	 */
-	void leaveSilent(Exchange exchange) {
+	void replaceSilentUpstream(Exchange exchange) {
 		List<Weighed> next = weigh(exchange).stream().filter(this::free).toList();
 		boolean blamed = this.state.blames.stopped(exchange.digest());
-		if (next.isEmpty() || blamed || exchange.sends() >= exchange.route().attempts()) {
+		if (next.isEmpty() || blamed || exchange.sendCount() >= exchange.route().attempts()) {
 			return;
 		}
-		exchange.mayRun();
-		this.ends.stopAttempt(exchange);
-		this.state.known(exchange).ifPresent((known) -> known.recordFailure(this.state.now));
-		this.state.tell(RelayNotices.silent(exchange, this.state.now));
+		exchange.markMayHaveRun();
+		this.ends.cancelAttempt(exchange);
+		this.state.upstreamOf(exchange).ifPresent((known) -> known.recordFailure(this.state.now));
+		this.state.report(RelayNotices.silent(exchange, this.state.now));
 		send(exchange, next);
 	}
 
@@ -182,7 +182,7 @@
 		boolean engine = this.state.engine(service).isPresent();
 		boolean warm = exchange.route().warm() && !engine;
 		Optional<String> object = exchange.head().affinityKey().filter((name) -> warm);
-		return this.state.choice.weigh(this.state.upstreams.available(service), exchange.tried(),
+		return this.state.choice.weigh(this.state.upstreams.available(service), exchange.triedUpstreams(),
 				exchange.head().prompt(), engine, object, this.state.now);
 	}
 
@@ -204,22 +204,22 @@
 	private void send(Exchange exchange, List<Weighed> weighed) {
 		UpstreamState known = weighed.getFirst().candidate();
 		Upstream upstream = known.upstream();
-		exchange.sentTo(upstream, this.state.now);
-		this.state.tell(RelayNotices.placed(exchange, weighed, this.state));
+		exchange.recordSend(upstream, this.state.now);
+		this.state.report(RelayNotices.placed(exchange, weighed, this.state));
 		this.state.upstreams.requestSent(exchange.id(), known, this.state.now);
 		List<PromptPart> prompt = exchange.head().prompt();
 		known.addToCache(prompt, this.state.memory(upstream));
 		exchange.head().turn().ifPresent((turn) -> reserve(exchange, turn, upstream, prompt));
-		if (exchange.route().repeatable() && exchange.watch()) {
+		if (exchange.route().repeatable() && exchange.markWatched()) {
 			this.state.silence.watch(exchange);
 		}
 		boolean stream = exchange.route().repeatability() == Repeatability.STREAM;
 		this.state.emit(new RelayEffect.SendRequest(exchange.number(), exchange.attempt(), upstream, exchange.chain(),
-				exchange.left(this.state.now), exchange.lastEvent(), stream, exchange.caller()));
+				exchange.remaining(this.state.now), exchange.lastEvent(), stream, exchange.caller()));
 	}
 
 	private void reserve(Exchange exchange, Turn turn, Upstream upstream, List<PromptPart> prompt) {
-		exchange.reserve();
+		exchange.markReserved();
 		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
 		this.state.write(new LedgerEntry.Reserved(exchange.id(), turn.program(), turn.maxTokens(),
 				upstream.incarnationId(), prompt, false));
@@ -230,10 +230,11 @@
 	 * ends it otherwise.
 	 * @param exchange the exchange
 	 */
-	void again(Exchange exchange) {
+	void retry(Exchange exchange) {
 		boolean allowed = !exchange.mayHaveRun() || exchange.route().repeatable();
 		boolean blamed = this.state.blames.stopped(exchange.digest());
-		if (allowed && !blamed && exchange.sends() < exchange.route().attempts() && this.state.now < exchange.due()) {
+		if (allowed && !blamed && exchange.sendCount() < exchange.route().attempts()
+				&& this.state.now < exchange.deadline()) {
 			List<Weighed> next = weigh(exchange);
 			if (!next.isEmpty()) {
 				send(exchange, next);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
@@ -20,23 +20,23 @@
 
 	private final TextRules texts;
 
-	private final ExchangeEnds ends;
+	private final ExchangeCompletion ends;
 
-	ResponseRules(RelayState state, RequestRules requests, TextRules texts, ExchangeEnds ends) {
+	ResponseRules(RelayState state, RequestRules requests, TextRules texts, ExchangeCompletion ends) {
 		this.state = state;
 		this.requests = requests;
 		this.texts = texts;
 		this.ends = ends;
 	}
 
-	void ofAttempt(RelayEvent.AttemptEvent event) {
+	void attemptEvent(RelayEvent.AttemptEvent event) {
 		Optional<Exchange> found = this.state.find(event);
 		if (found.isEmpty() || found.get().attempt() != event.attempt() || found.get().phase() != Phase.RUNNING) {
 			return;
 		}
 		Exchange exchange = found.get();
 		switch (event) {
-			case RelayEvent.ResponseReceived answered -> answered(exchange, answered);
+			case RelayEvent.ResponseReceived answered -> responseReceived(exchange, answered);
 			case RelayEvent.StreamOpened opened -> streamOpened(exchange, opened);
 			case RelayEvent.StreamEventReceived arrived -> eventArrived(exchange, arrived);
 			case RelayEvent.StreamEnded ended -> streamEnded(exchange);
@@ -44,19 +44,19 @@
 		}
 	}
 
-	private void answered(Exchange exchange, RelayEvent.ResponseReceived answered) {
+	private void responseReceived(Exchange exchange, RelayEvent.ResponseReceived answered) {
 		ResponseHead head = answered.head();
-		Optional<UpstreamState> known = this.state.known(exchange);
+		Optional<UpstreamState> known = this.state.upstreamOf(exchange);
 		this.state.upstreams.requestEnded(exchange.id());
-		takeLoad(exchange, head);
+		recordLoad(exchange, head);
 		if (head.notRun()) {
 			if (head.misdirected()) {
 				misdirected(exchange);
 			}
-			this.requests.again(exchange);
+			this.requests.retry(exchange);
 			return;
 		}
-		exchange.mayRun();
+		exchange.markMayHaveRun();
 		if (head.successful() && !head.signed()) {
 			failed(exchange, FailureCause.UNREADABLE);
 			return;
@@ -64,12 +64,12 @@
 		known.ifPresent(UpstreamState::recordSuccess);
 		this.state.silence.ended(exchange);
 		this.ends.settle(exchange, Optional.empty());
-		if (exchange.opened()) {
-			this.ends.breakOff(exchange, Refusal.ANSWER_LOST);
+		if (exchange.streamOpened()) {
+			this.ends.abort(exchange, Refusal.ANSWER_LOST);
 			return;
 		}
-		this.state.tell(RelayNotices.answered(exchange, head.status(), this.state.now));
-		this.ends.measure(exchange, Outcome.ANSWERED);
+		this.state.report(RelayNotices.answered(exchange, head.status(), this.state.now));
+		this.ends.recordOutcome(exchange, Outcome.ANSWERED);
 		this.ends.close(exchange, new RelayEffect.SendResponse(exchange.number(), head, answered.body()));
 	}
 
@@ -81,83 +81,83 @@
 	 * @param exchange the exchange
 	 */
 	private void misdirected(Exchange exchange) {
-		this.state.known(exchange).ifPresent((known) -> known.recordFailure(this.state.now));
-		this.state.tell(RelayNotices.misdirected(exchange, this.state.now));
-		exchange.notSent();
+		this.state.upstreamOf(exchange).ifPresent((known) -> known.recordFailure(this.state.now));
+		this.state.report(RelayNotices.misdirected(exchange, this.state.now));
+		exchange.markNotSent();
 	}
 
-	private void takeLoad(Exchange exchange, ResponseHead head) {
-		this.state.known(exchange)
+	private void recordLoad(Exchange exchange, ResponseHead head) {
+		this.state.upstreamOf(exchange)
 			.ifPresent((known) -> head.load()
 				.ifPresent((load) -> this.state.upstreams.loadReported(known, load.requests(), this.state.now)));
 	}
 
 	private void streamOpened(Exchange exchange, RelayEvent.StreamOpened opened) {
-		exchange.mayRun();
-		takeLoad(exchange, opened.head());
+		exchange.markMayHaveRun();
+		recordLoad(exchange, opened.head());
 		if (!opened.head().signed()) {
 			failed(exchange, FailureCause.UNREADABLE);
 			return;
 		}
-		if (!exchange.opened()) {
-			exchange.open();
+		if (!exchange.streamOpened()) {
+			exchange.markStreamOpened();
 			this.state.emit(new RelayEffect.OpenStream(exchange.number(), opened.head()));
 		}
 	}
 
 	private void eventArrived(Exchange exchange, RelayEvent.StreamEventReceived event) {
-		if (exchange.has(event.number())) {
+		if (exchange.hasEvent(event.number())) {
 			return;
 		}
-		if (!exchange.expects(event.number())) {
+		if (!exchange.expectsEvent(event.number())) {
 			failed(exchange, FailureCause.UNREADABLE);
 			return;
 		}
-		if (exchange.events() == 0) {
+		if (exchange.eventCount() == 0) {
 			this.state.silence.ended(exchange);
 		}
-		exchange.passed(event);
+		exchange.recordEvent(event);
 		this.state.emit(new RelayEffect.ForwardStreamEvent(exchange.number(), event.raw()));
 	}
 
 	private void streamEnded(Exchange exchange) {
 		this.state.upstreams.requestEnded(exchange.id());
-		this.state.known(exchange).ifPresent(UpstreamState::recordSuccess);
+		this.state.upstreamOf(exchange).ifPresent(UpstreamState::recordSuccess);
 		if (!exchange.route().keepsTurns() || exchange.head().turn().isEmpty()) {
 			this.ends.settle(exchange, Optional.empty());
 			this.ends.endStream(exchange);
 			return;
 		}
-		this.texts.ended(exchange);
+		this.texts.streamEnded(exchange);
 	}
 
 	/**
 	 * Looks whether an upstream has been silent for too long.
 	 * @param exchange the exchange
 	 */
-	void silenceDue(Exchange exchange) {
+	void checkSilence(Exchange exchange) {
 		if (exchange.phase() != Phase.RUNNING) {
 			return;
 		}
 		if (this.state.silence.tooLong(exchange)) {
-			this.requests.leaveSilent(exchange);
+			this.requests.replaceSilentUpstream(exchange);
 			this.state.silence.watch(exchange);
 		}
 	}
 
 	private void failed(Exchange exchange, FailureCause cause) {
 		this.state.upstreams.requestEnded(exchange.id());
-		this.state.known(exchange).ifPresent((upstream) -> upstream.recordFailure(this.state.now));
-		this.state.tell(RelayNotices.attemptFailed(exchange, cause, this.state.now));
+		this.state.upstreamOf(exchange).ifPresent((upstream) -> upstream.recordFailure(this.state.now));
+		this.state.report(RelayNotices.attemptFailed(exchange, cause, this.state.now));
 		if (!cause.mayHaveRun()) {
-			exchange.notSent();
+			exchange.markNotSent();
 		}
 		else {
-			exchange.mayRun();
+			exchange.markMayHaveRun();
 			blame(exchange, cause);
 			this.state.emit(new RelayEffect.CancelAttempt(exchange.number(), exchange.attempt()));
 		}
-		this.requests.again(exchange);
+		this.requests.retry(exchange);
 	}
 
 	private void blame(Exchange exchange, FailureCause cause) {
@@ -167,7 +167,7 @@
 		String upstream = exchange.upstream().get().incarnationId();
 		this.state.blames.add(exchange.digest(), upstream);
 		this.state.emit(new RelayEffect.AppendEntry(new LedgerEntry.Blamed(exchange.id(), exchange.digest(), upstream),
-				List.copyOf(this.state.linked)));
+				List.copyOf(this.state.linkedPeers)));
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Silence.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Silence.java
@@ -48,7 +48,7 @@
 	 */
 	void ended(Exchange exchange) {
 		this.waits.computeIfAbsent(exchange.route().name(), (name) -> new Waits())
-			.took(this.state.now - exchange.heardAt());
+			.took(this.state.now - exchange.lastActivityAt());
 	}
 
 	/**
@@ -59,13 +59,13 @@
 	 */
 	boolean tooLong(Exchange exchange) {
 		long patience = patience(exchange.route());
-		long left = exchange.heardAt() + patience - this.state.now;
-		long late = this.state.now - exchange.lookAt();
+		long left = exchange.lastActivityAt() + patience - this.state.now;
+		long late = this.state.now - exchange.nextSilenceCheck();
 		if (left > 0) {
 			lookAgain(exchange, left);
 			return false;
 		}
-		if (late > ON_TIME_MS && exchange.grace()) {
+		if (late > ON_TIME_MS && exchange.grantGrace()) {
 			lookAgain(exchange, Math.min(late, patience));
 			return false;
 		}
@@ -81,7 +81,7 @@
 	}
 
 	private void lookAgain(Exchange exchange, long delay) {
-		exchange.lookAt(this.state.now + delay);
+		exchange.nextSilenceCheck(this.state.now + delay);
 		this.state.remind(exchange, Duration.ofMillis(delay), TimerKind.UPSTREAM_IDLE);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
@@ -29,11 +29,12 @@
 	}
 
 	void updateReadiness() {
-		if (!this.state.complete && this.state.caughtUp) {
+		if (!this.state.ledgerComplete && this.state.caughtUp) {
 			lookWhetherComplete();
 		}
 		boolean now = this.state.table.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
-				&& this.state.knowsRelays() && this.state.reach != Connectivity.NOTHING && this.state.textEnd >= 0;
+				&& this.state.membershipKnown() && this.state.reach != Connectivity.NOTHING
+				&& this.state.textEndOffset >= 0;
 		if (now != this.state.ready) {
 			this.state.ready = now;
 			this.state.emit(new RelayEffect.ReportReadiness(now));
@@ -66,7 +67,7 @@
 		}
 		this.state.table = Optional.of(read);
 		this.state.emit(new RelayEffect.ApplyLimits(read.limits()));
-		this.state.tell(RelayNotices.accepted(read));
+		this.state.report(RelayNotices.accepted(read));
 	}
 
 	void listed(Upstream upstream) {
@@ -76,7 +77,7 @@
 			return;
 		}
 		if (!before.equals(Optional.of(upstream))) {
-			this.state.tell(RelayNotices.listed(upstream));
+			this.state.report(RelayNotices.listed(upstream));
 		}
 	}
 
@@ -95,13 +96,13 @@
 
 	private void tellUnusable(String key, EntryProblem problem) {
 		if (this.problems.first(key, problem)) {
-			this.state.tell(RelayNotices.unusable(key, problem));
+			this.state.report(RelayNotices.unusable(key, problem));
 		}
 	}
 
 	void gone(String upstream) {
 		this.state.upstreams.remove(upstream);
-		this.state.tell(RelayNotices.gone(upstream));
+		this.state.report(RelayNotices.gone(upstream));
 	}
 
 	/**
@@ -111,7 +112,7 @@
 	 * @param slept for how long
 	 */
 	void woken(Duration slept) {
-		this.state.tell(RelayNotices.woken(slept));
+		this.state.report(RelayNotices.woken(slept));
 		if (this.state.caughtUp) {
 			this.state.stale = true;
 			this.state.emit(new RelayEffect.CatchUp());
@@ -124,7 +125,7 @@
 	 * @param peer the other relay
 	 */
 	void linked(String peer) {
-		this.state.linked.add(peer);
+		this.state.linkedPeers.add(peer);
 		tellUnlogged(peer);
 	}
 
@@ -141,7 +142,7 @@
 					.isPresent())
 				.toList();
 		}
-		this.state.emit(new RelayEffect.SendSync(peer, entries, this.state.complete));
+		this.state.emit(new RelayEffect.SendSync(peer, entries, this.state.ledgerComplete));
 	}
 
 	/**
@@ -149,7 +150,7 @@
 	 * @param peer the other relay
 	 */
 	void lost(String peer) {
-		this.state.linked.remove(peer);
+		this.state.linkedPeers.remove(peer);
 	}
 
 	/**
@@ -169,9 +170,9 @@
 	}
 
 	private void complete() {
-		if (!this.state.complete) {
-			this.state.complete = true;
-			this.state.tell(RelayNotices.complete(this.complete.size()));
+		if (!this.state.ledgerComplete) {
+			this.state.ledgerComplete = true;
+			this.state.report(RelayNotices.complete(this.complete.size()));
 		}
 	}
 
@@ -182,7 +183,7 @@
 	 */
 	void reachChanged(Connectivity reach) {
 		this.state.reach = reach;
-		this.state.tell(RelayNotices.reach(reach));
+		this.state.report(RelayNotices.reach(reach));
 		if (reach != Connectivity.LOG) {
 			List.copyOf(this.state.contending.values())
 				.forEach((number) -> this.budgets.orderDue(this.state.exchanges.get(number)));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -68,9 +68,9 @@
 
 	private final RelayState state;
 
-	private final ExchangeEnds ends;
+	private final ExchangeCompletion ends;
 
-	TextRules(RelayState state, ExchangeEnds ends) {
+	TextRules(RelayState state, ExchangeCompletion ends) {
 		this.state = state;
 		this.ends = ends;
 	}
@@ -81,14 +81,14 @@
 	 * then be found after the loss of all relays at once.
 	 * @param exchange the exchange
 	 */
-	void ended(Exchange exchange) {
+	void streamEnded(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		StoredTurn text = new StoredTurn(turn.previous(), exchange.asked().body(), exchange.output());
+		StoredTurn text = new StoredTurn(turn.previous(), exchange.request().body(), exchange.output());
 		TextLocation place = place(text, this.state.name);
-		exchange.become(Phase.ENDING);
-		this.state.turns.add(exchange.id(), text);
-		this.state.turns.recordLocation(exchange.id(), place, Optional.empty());
-		this.state.ending.put(exchange.id(), new Ending(exchange.number(), text));
+		exchange.transitionTo(Phase.STORING);
+		this.state.turnCache.add(exchange.id(), text);
+		this.state.turnCache.recordLocation(exchange.id(), place, Optional.empty());
+		this.state.pendingTurns.put(exchange.id(), new PendingTurn(exchange.number(), text));
 		this.state.emit(new RelayEffect.StoreText(exchange.id(), text));
 		this.ends.settle(exchange, Optional.of(place));
 		Duration pause = (this.state.reach == Connectivity.LOG) ? RelaySettings.ALONE : RelaySettings.TELLING;
@@ -96,7 +96,7 @@
 	}
 
 	private TextLocation place(StoredTurn text, String holder) {
-		return new TextLocation(text.previous(), text.size(), this.state.textPart, this.state.textEnd,
+		return new TextLocation(text.previous(), text.size(), this.state.textPartition, this.state.textEndOffset,
 				Optional.of(holder).filter((name) -> !name.isEmpty()));
 	}
 
@@ -105,12 +105,12 @@
 	 * @param stored which
 	 */
 	void textsStored(RelayEvent.TextsStored stored) {
-		this.state.textEnd = Math.max(this.state.textEnd, stored.endOffset());
+		this.state.textEndOffset = Math.max(this.state.textEndOffset, stored.endOffset());
 		boolean slow = stored.latency().compareTo(RelaySettings.ALONE) > 0;
 		this.state.logSlowAt = slow ? stored.now() : RelayState.NEVER;
 		for (String request : stored.requests()) {
-			storing(request).forEach((turn) -> turn.text = true);
-			endIfStored(request);
+			pendingStores(request).forEach((turn) -> turn.textStored = true);
+			finishIfStored(request);
 		}
 	}
 
@@ -119,26 +119,26 @@
 	 * @param request the turn
 	 */
 	void entryStored(String request) {
-		storing(request).forEach((turn) -> turn.entry = true);
-		endIfStored(request);
+		pendingStores(request).forEach((turn) -> turn.entryStored = true);
+		finishIfStored(request);
 	}
 
-	private Stream<Storing> storing(String request) {
+	private Stream<PendingStore> pendingStores(String request) {
 		return Stream
-			.of(Optional.ofNullable(this.state.ending.get(request)),
-					Optional.ofNullable(this.state.helping.get(request)))
+			.of(Optional.ofNullable(this.state.pendingTurns.get(request)),
+					Optional.ofNullable(this.state.peerTurns.get(request)))
 			.flatMap(Optional::stream);
 	}
 
-	private void endIfStored(String request) {
-		Helping helping = this.state.helping.get(request);
-		if (helping != null && helping.whole()) {
-			this.state.helping.remove(request);
+	private void finishIfStored(String request) {
+		PeerTurn helping = this.state.peerTurns.get(request);
+		if (helping != null && helping.complete()) {
+			this.state.peerTurns.remove(request);
 			this.state.emit(new RelayEffect.AcknowledgeTurnWrite(helping.peer, request));
 		}
-		Ending ending = this.state.ending.get(request);
-		if (ending != null && ending.whole()) {
-			end(request);
+		PendingTurn ending = this.state.pendingTurns.get(request);
+		if (ending != null && ending.complete()) {
+			endStream(request);
 		}
 	}
 
@@ -146,8 +146,8 @@
 	 * Passes on the end of a turn of this relay, which the log has now, whoever wrote it.
 	 * @param request the turn
 	 */
-	void end(String request) {
-		Ending ending = this.state.ending.get(request);
+	void endStream(String request) {
+		PendingTurn ending = this.state.pendingTurns.get(request);
 		if (ending != null) {
 			this.ends.endStream(this.state.exchanges.get(ending.exchange));
 		}
@@ -159,33 +159,33 @@
 	 * the loss of all relays at once must not lose a turn that its caller saw whole.
 	 * @param exchange the exchange
 	 */
-	void storeDue(Exchange exchange) {
-		Ending ending = this.state.ending.get(exchange.id());
-		if (exchange.phase() != Phase.ENDING || ending == null) {
+	void storeTimedOut(Exchange exchange) {
+		PendingTurn ending = this.state.pendingTurns.get(exchange.id());
+		if (exchange.phase() != Phase.STORING || ending == null) {
 			return;
 		}
 		this.state
-			.emit(new RelayEffect.RequestTurnWrite(this.ends.settlement(exchange, Optional.empty()), ending.kept));
+			.emit(new RelayEffect.RequestTurnWrite(this.ends.settlement(exchange, Optional.empty()), ending.turn));
 		this.state.remind(exchange, RelaySettings.ALONE.multipliedBy(HELP_PAUSES), TimerKind.LOG_WRITE);
 	}
 
 	/**
 	 * Writes a turn for another relay, unless the log is as slow here as it may be there:
 	 * a second and third copy of each turn would make it slower for all.
-	 * @param asked what is asked for
+	 * @param textsRequested what is asked for
 	 */
-	void helpAsked(RelayEvent.TurnWriteRequested asked) {
+	void storeForPeer(RelayEvent.TurnWriteRequested asked) {
 		String request = asked.settlement().request();
 		boolean slow = this.state.now - this.state.logSlowAt < SLOW_MS;
-		boolean able = this.state.reach == Connectivity.LOG && this.state.textEnd >= 0 && !slow;
-		if (!able || this.state.helping.containsKey(request)) {
+		boolean able = this.state.reach == Connectivity.LOG && this.state.textEndOffset >= 0 && !slow;
+		if (!able || this.state.peerTurns.containsKey(request)) {
 			return;
 		}
 		TextLocation place = place(asked.text(), asked.peer());
-		this.state.turns.recordLocation(request, place, Optional.of(asked.peer()));
-		this.state.helping.put(request, new Helping(asked.peer()));
+		this.state.turnCache.recordLocation(request, place, Optional.of(asked.peer()));
+		this.state.peerTurns.put(request, new PeerTurn(asked.peer()));
 		this.state.emit(new RelayEffect.StoreText(request, asked.text()));
-		this.state.writeAndTell(new LedgerEntry.Settled(request, asked.settlement().program(),
+		this.state.writeAndReplicate(new LedgerEntry.Settled(request, asked.settlement().program(),
 				asked.settlement().tokens(), Optional.of(place)), asked.settlement().program());
 	}
 
@@ -195,18 +195,18 @@
 	 * @param exchange the exchange of the turn
 	 * @return whether they are at hand
 	 */
-	boolean find(Exchange exchange) {
+	boolean resolveChain(Exchange exchange) {
 		Optional<String> previous = exchange.head().turn().flatMap(Turn::previous);
 		if (!exchange.route().keepsTurns() || previous.isEmpty()) {
 			return true;
 		}
-		return switch (this.state.turns.chain(previous.get())) {
+		return switch (this.state.turnCache.chain(previous.get())) {
 			case Chain.Complete whole -> {
-				exchange.found(whole.text());
+				exchange.setChain(whole.text());
 				yield true;
 			}
 			case Chain.Incomplete elsewhere -> {
-				bring(exchange, elsewhere);
+				fetchTexts(exchange, elsewhere);
 				yield false;
 			}
 			case Chain.Unknown ignored -> false;
@@ -219,7 +219,7 @@
 	 * out of reach, or slower than a turn can wait.
 	 * @param exchange the exchange of the turn that continues the chain
 	 */
-	void lookForChain(Exchange exchange) {
+	void requestLocations(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
 		List<String> keepers = this.state.otherKeepers(turn.program());
 		if (turn.previous().isPresent() && !keepers.isEmpty()) {
@@ -230,11 +230,11 @@
 		}
 	}
 
-	void placesAsked(RelayEvent.TextLocationsRequested asked) {
+	void locationsRequested(RelayEvent.TextLocationsRequested asked) {
 		List<TurnLocation> known = new ArrayList<>();
 		Optional<String> next = Optional.of(asked.request());
 		while (next.isPresent() && known.size() < LONGEST_CHAIN) {
-			List<TextLocation> places = this.state.turns.locations(next.get());
+			List<TextLocation> places = this.state.turnCache.locations(next.get());
 			if (places.isEmpty()) {
 				break;
 			}
@@ -246,19 +246,19 @@
 		}
 	}
 
-	void placesTold(RelayEvent.TextLocationsReceived told) {
+	void locationsReceived(RelayEvent.TextLocationsReceived told) {
 		told.turns()
-			.forEach((turn) -> this.state.turns.recordLocation(turn.request(), turn.location(),
+			.forEach((turn) -> this.state.turnCache.recordLocation(turn.request(), turn.location(),
 					Optional.of(told.peer())));
 	}
 
-	private void bring(Exchange exchange, Chain.Incomplete elsewhere) {
-		if (exchange.bringing()) {
+	private void fetchTexts(Exchange exchange, Chain.Incomplete elsewhere) {
+		if (exchange.fetchingTexts()) {
 			return;
 		}
-		exchange.bring();
-		Optional<String> holder = this.state.turns.origin(elsewhere.missing().getFirst())
-			.filter((relay) -> this.state.linked.contains(relay) || this.state.keepers.knows(relay));
+		exchange.markFetchingTexts();
+		Optional<String> holder = this.state.turnCache.origin(elsewhere.missing().getFirst())
+			.filter((relay) -> this.state.linkedPeers.contains(relay) || this.state.keepers.knows(relay));
 		if (holder.isEmpty()) {
 			read(exchange, elsewhere);
 			return;
@@ -270,14 +270,14 @@
 	private long bytes(Chain.Incomplete elsewhere) {
 		return elsewhere.missing()
 			.stream()
-			.mapToLong((turn) -> this.state.turns.locations(turn).getFirst().bytes())
+			.mapToLong((turn) -> this.state.turnCache.locations(turn).getFirst().bytes())
 			.sum();
 	}
 
 	private void read(Exchange exchange, Chain.Incomplete elsewhere) {
 		for (String request : elsewhere.missing()) {
-			if (this.state.reading.add(request)) {
-				this.state.emit(new RelayEffect.ReadText(request, this.state.turns.locations(request)));
+			if (this.state.pendingReads.add(request)) {
+				this.state.emit(new RelayEffect.ReadText(request, this.state.turnCache.locations(request)));
 			}
 		}
 		this.state.remind(exchange, READ_WAIT, TimerKind.TEXT_FETCH);
@@ -287,7 +287,7 @@
 	 * Reads from the log what the relay that ran a turn has not sent.
 	 * @param exchange the exchange that waits
 	 */
-	void textsDue(Exchange exchange) {
+	void textsTimedOut(Exchange exchange) {
 		if (exchange.phase() == Phase.WAITING_FOR_CHAIN && chain(exchange) instanceof Chain.Incomplete elsewhere) {
 			read(exchange, elsewhere);
 		}
@@ -298,30 +298,30 @@
 	 * waited for a while longer: refused, its caller would come for the same texts again.
 	 * @param exchange the exchange that waits
 	 */
-	void chainDue(Exchange exchange) {
+	void chainTimedOut(Exchange exchange) {
 		boolean exists = exchange.phase() == Phase.WAITING_FOR_CHAIN && !this.state.stale
 				&& chain(exchange) instanceof Chain.Incomplete;
-		if (exists && exchange.extend()) {
-			this.state.remind(exchange, exchange.left(this.state.now).dividedBy(TEXTS_WAIT_PART),
+		if (exists && exchange.extendWait()) {
+			this.state.remind(exchange, exchange.remaining(this.state.now).dividedBy(TEXTS_WAIT_PART),
 					TimerKind.CHAIN_LOOKUP);
 			return;
 		}
-		this.ends.chainDue(exchange);
+		this.ends.chainTimedOut(exchange);
 	}
 
 	private Chain chain(Exchange exchange) {
 		return exchange.head()
 			.turn()
 			.flatMap(Turn::previous)
-			.map(this.state.turns::chain)
+			.map(this.state.turnCache::chain)
 			.orElseGet(() -> new Chain.Complete(new byte[0]));
 	}
 
-	void asked(RelayEvent.TextsRequested asked) {
+	void textsRequested(RelayEvent.TextsRequested asked) {
 		List<TurnText> found = new ArrayList<>();
 		int bytes = 0;
 		for (String request : asked.requests()) {
-			Optional<StoredTurn> text = this.state.turns.text(request);
+			Optional<StoredTurn> text = this.state.turnCache.text(request);
 			text.ifPresent((known) -> found.add(new TurnText(request, known)));
 			bytes += text.map(StoredTurn::size).orElse(0);
 			if (bytes > MESSAGE_BYTES) {
@@ -335,26 +335,26 @@
 		}
 	}
 
-	void told(RelayEvent.TextsReceived told) {
-		told.texts().forEach((found) -> this.state.turns.add(found.request(), found.text()));
+	void textsReceived(RelayEvent.TextsReceived told) {
+		told.texts().forEach((found) -> this.state.turnCache.add(found.request(), found.text()));
 	}
 
 	void read(RelayEvent.TextRead read) {
-		this.state.reading.remove(read.request());
-		read.text().ifPresent((text) -> this.state.turns.add(read.request(), text));
+		this.state.pendingReads.remove(read.request());
+		read.text().ifPresent((text) -> this.state.turnCache.add(read.request(), text));
 	}
 
 	/**
 	 * What the log has of a turn. Used by one thread.
 	 */
-	private abstract static sealed class Storing {
+	private abstract static sealed class PendingStore {
 
-		private boolean text;
+		private boolean textStored;
 
-		private boolean entry;
+		private boolean entryStored;
 
-		boolean whole() {
-			return this.text && this.entry;
+		boolean complete() {
+			return this.textStored && this.entryStored;
 		}
 
 	}
@@ -362,15 +362,15 @@
 	/**
 	 * A turn that this relay ran. Used by one thread.
 	 */
-	static final class Ending extends Storing {
+	static final class PendingTurn extends PendingStore {
 
 		private final long exchange;
 
-		private final StoredTurn kept;
+		private final StoredTurn turn;
 
-		Ending(long exchange, StoredTurn kept) {
+		PendingTurn(long exchange, StoredTurn kept) {
 			this.exchange = exchange;
-			this.kept = kept;
+			this.turn = kept;
 		}
 
 	}
@@ -378,11 +378,11 @@
 	/**
 	 * A turn that this relay writes for another one. Used by one thread.
 	 */
-	static final class Helping extends Storing {
+	static final class PeerTurn extends PendingStore {
 
 		private final String peer;
 
-		Helping(String peer) {
+		PeerTurn(String peer) {
 			this.peer = peer;
 		}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/BudgetProperties.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/BudgetProperties.java
@@ -72,7 +72,7 @@
 			for (int i = 0; i < size; i++) {
 				RelayFixture relay = this.relays.get(this.random.nextInt(this.relays.size()));
 				this.turns++;
-				List<RelayEffect> effects = relay.askTurn("t" + this.turns, "draft",
+				List<RelayEffect> effects = relay.sendTurn("t" + this.turns, "draft",
 						RelayFixture.turn("p", this.budget, MOST, null));
 				told.computeIfAbsent(relay, (key) -> new ArrayList<>()).addAll(RelayFixture.written(effects));
 				take(relay, effects);
@@ -112,14 +112,14 @@
 
 		private void take(RelayFixture relay, List<RelayEffect> effects) {
 			this.unwritten.get(relay).addAll(RelayFixture.written(effects));
-			RelayFixture.of(effects, RelayEffect.SendRequest.class)
+			RelayFixture.ofType(effects, RelayEffect.SendRequest.class)
 				.forEach((send) -> this.running.add(new Running(relay, send)));
 		}
 
 		private void tell(RelayFixture from, List<LedgerEntry> entries) {
 			for (RelayFixture relay : this.relays) {
 				if (relay != from) {
-					take(relay, relay.told(entries.toArray(new LedgerEntry[0])));
+					take(relay, relay.readFromPeer(entries.toArray(new LedgerEntry[0])));
 				}
 			}
 		}
@@ -129,19 +129,19 @@
 			int attempt = turn.send().attempt();
 			RelayFixture relay = turn.relay();
 			List<RelayEffect> effects = new ArrayList<>(
-					relay.on(new RelayEvent.StreamOpened(relay.now(), exchange, attempt, RelayFixture.SIGNED)));
+					relay.handle(new RelayEvent.StreamOpened(relay.now(), exchange, attempt, RelayFixture.SIGNED)));
 			int events = this.random.nextInt(MOST / RelayFixture.TOKENS_PER_EVENT + 1);
 			for (int i = 1; i <= events; i++) {
 				byte[] data = { 'x' };
-				effects.addAll(
-						relay.on(new RelayEvent.StreamEventReceived(relay.now(), exchange, attempt, i, data, data)));
+				effects.addAll(relay
+					.handle(new RelayEvent.StreamEventReceived(relay.now(), exchange, attempt, i, data, data)));
 			}
-			this.given += (long) RelayFixture.of(effects, RelayEffect.ForwardStreamEvent.class).size()
+			this.given += (long) RelayFixture.ofType(effects, RelayEffect.ForwardStreamEvent.class).size()
 					* RelayFixture.TOKENS_PER_EVENT;
 			boolean leaves = this.random.nextInt(4) == 0;
 			RelayEvent last = leaves ? new RelayEvent.CallerDisconnected(relay.now(), exchange)
 					: new RelayEvent.StreamEnded(relay.now(), exchange, attempt);
-			effects.addAll(relay.on(last));
+			effects.addAll(relay.handle(last));
 			take(relay, effects);
 			tell(relay, RelayFixture.written(effects));
 		}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/DuplicateEntryCounterTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/DuplicateEntryCounterTests.java
@@ -14,7 +14,7 @@
 
 	@Test
 	void copiesAreTakenOnceByTheirKind() {
-		LedgerEntry settled = RelayFixture.kept("t", null);
+		LedgerEntry settled = RelayFixture.settledTurn("t", null);
 		this.copies.add(settled);
 		this.copies.add(settled);
 		this.copies.add(new LedgerEntry.Reserved("t", "p", 7, "", List.of(), false));
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
@@ -26,7 +26,7 @@
 	@Test
 	void entryOfARelayThatIsLostIsWrittenByAllWhoWereToldOfIt() {
 		List<RelayFixture> relays = told();
-		relays.forEach((relay) -> relay.on(new RelayEvent.PeerDisconnected(relay.now(), "teller")));
+		relays.forEach((relay) -> relay.handle(new RelayEvent.PeerDisconnected(relay.now(), "teller")));
 		assertThat(written(relays, 4_500)).isEqualTo(RELAYS);
 	}
 
@@ -34,15 +34,15 @@
 		List<RelayFixture> relays = new ArrayList<>();
 		for (int seed = 0; seed < RELAYS; seed++) {
 			RelayFixture relay = RelayFixture.ready(seed);
-			relay.on(new RelayEvent.ListenerStarted(relay.now(), "relay" + seed));
-			relay.on(new RelayEvent.PeerConnected(relay.now(), "teller"));
+			relay.handle(new RelayEvent.ListenerStarted(relay.now(), "relay" + seed));
+			relay.handle(new RelayEvent.PeerConnected(relay.now(), "teller"));
 			for (int peer = 0; peer < RELAYS; peer++) {
 				if (peer != seed) {
-					relay.on(new RelayEvent.PeerConnected(relay.now(), "relay" + peer));
+					relay.handle(new RelayEvent.PeerConnected(relay.now(), "relay" + peer));
 				}
 			}
 			relay.readFromLog();
-			relay.told(RelayFixture.kept("t1", null));
+			relay.readFromPeer(RelayFixture.settledTurn("t1", null));
 			relays.add(relay);
 		}
 		return relays;
@@ -52,7 +52,7 @@
 		int written = 0;
 		for (RelayFixture relay : relays) {
 			for (long passed = 0; passed < milliseconds; passed += 500) {
-				relay.pass(500);
+				relay.advance(500);
 				written += RelayFixture.written(relay.readFromLog()).size();
 			}
 		}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
@@ -24,10 +24,10 @@
 	QuotaRulesTests() {
 		RouteTable plain = RelayFixture.table();
 		Team red = new Team("red", OptionalInt.empty(), Optional.of(new Quota(10, 10)));
-		this.relay.on(new RelayEvent.RouteTableUpdated(this.relay.now(), new RouteTable(2, plain.routes(),
+		this.relay.handle(new RelayEvent.RouteTableUpdated(this.relay.now(), new RouteTable(2, plain.routes(),
 				plain.services(), plain.limits(), Optional.of(new Teams(Map.of(KeyDigest.of("key"), red))))));
-		this.relay.on(new RelayEvent.ListenerStarted(this.relay.now(), "own"));
-		this.relay.on(new RelayEvent.MembershipUpdated(this.relay.now(),
+		this.relay.handle(new RelayEvent.ListenerStarted(this.relay.now(), "own"));
+		this.relay.handle(new RelayEvent.MembershipUpdated(this.relay.now(),
 				List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
 		this.relay.all.clear();
 	}
@@ -45,8 +45,8 @@
 		PermitRequest second = requested().getLast();
 		assertThat(second.beginning()).hasSize(3);
 		List<RelayEffect> granted = grant(second, 0, true, true, false);
-		assertThat(RelayFixture.of(granted, RelayEffect.SendRequest.class)).hasSize(2);
-		assertThat(RelayFixture.of(granted, RelayEffect.Refuse.class)).singleElement()
+		assertThat(RelayFixture.ofType(granted, RelayEffect.SendRequest.class)).hasSize(2);
+		assertThat(RelayFixture.ofType(granted, RelayEffect.Refuse.class)).singleElement()
 			.isEqualTo(new RelayEffect.Refuse(this.relay.exchange(), Refusal.QUOTA_SPENT, Optional.of(LATER)));
 	}
 
@@ -55,16 +55,16 @@
 	@Test
 	void nextRelayIsAskedWhereTheFirstDoesNotAnswer() {
 		ask("r1", "p");
-		this.relay.pass(60);
+		this.relay.advance(60);
 		this.relay.remind(TimerKind.PERMIT);
-		assertThat(RelayFixture.of(this.relay.all, RelayEffect.RequestPermits.class))
+		assertThat(RelayFixture.ofType(this.relay.all, RelayEffect.RequestPermits.class))
 			.extracting(RelayEffect.RequestPermits::peer)
 			.doesNotHaveDuplicates()
 			.hasSize(2);
-		this.relay.pass(60);
+		this.relay.advance(60);
 		this.relay.remind(TimerKind.PERMIT);
-		this.relay.pass(60);
-		assertThat(RelayFixture.of(this.relay.remind(TimerKind.PERMIT), RelayEffect.Refuse.class)).singleElement()
+		this.relay.advance(60);
+		assertThat(RelayFixture.ofType(this.relay.remind(TimerKind.PERMIT), RelayEffect.Refuse.class)).singleElement()
 			.extracting(RelayEffect.Refuse::refusal)
 			.isEqualTo(Refusal.QUOTA_UNKNOWN);
 	}
@@ -72,31 +72,31 @@
 	// No upstream takes a request, and its team pays for it all the same.
 	@Test
 	void permitOfARequestThatWasNotSentIsSpentOnTheNext() {
-		this.relay.on(new RelayEvent.UpstreamsReplaced(this.relay.now(), List.of()));
+		this.relay.handle(new RelayEvent.UpstreamsReplaced(this.relay.now(), List.of()));
 		ask("r1", "p");
 		grant(requested().getFirst(), 0, true);
-		this.relay.on(new RelayEvent.UpstreamsReplaced(this.relay.now(),
+		this.relay.handle(new RelayEvent.UpstreamsReplaced(this.relay.now(),
 				List.of(RelayFixture.upstream("s1", RelayFixture.SHOP))));
-		assertThat(RelayFixture.of(ask("r2", "p"), RelayEffect.SendRequest.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(ask("r2", "p"), RelayEffect.SendRequest.class)).hasSize(1);
 		assertThat(requested()).hasSize(1);
 	}
 
 	private List<RelayEffect> ask(String id, String program) {
-		return this.relay.ask(new RequestHead(id, "host", "/look/x", Optional.of(Duration.ofSeconds(3)),
+		return this.relay.sendRequest(new RequestHead(id, "host", "/look/x", Optional.of(Duration.ofSeconds(3)),
 				Optional.empty(), List.of(), 0, OptionalLong.empty(), Optional.empty(),
 				new RequestHead.Origin(Optional.of(program), Optional.of(KeyDigest.of("key")))), "body");
 	}
 
 	private List<PermitRequest> requested() {
-		return RelayFixture.of(this.relay.all, RelayEffect.RequestPermits.class)
+		return RelayFixture.ofType(this.relay.all, RelayEffect.RequestPermits.class)
 			.stream()
 			.map(RelayEffect.RequestPermits::request)
 			.toList();
 	}
 
 	private List<RelayEffect> grant(PermitRequest request, int permits, Boolean... admitted) {
-		String peer = RelayFixture.of(this.relay.all, RelayEffect.RequestPermits.class).getFirst().peer();
-		return this.relay.on(new RelayEvent.PermitsGranted(this.relay.now(), peer,
+		String peer = RelayFixture.ofType(this.relay.all, RelayEffect.RequestPermits.class).getFirst().peer();
+		return this.relay.handle(new RelayEvent.PermitsGranted(this.relay.now(), peer,
 				new PermitReply("red", request.number(), permits, List.of(admitted), LATER)));
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
@@ -31,7 +31,7 @@
 
 	static final ResponseHead FULL = new ResponseHead(503, List.of(), true, false, Optional.empty());
 
-	static final int PART = 3;
+	static final int TEXT_PARTITION = 3;
 
 	private static final long SEED = 7;
 
@@ -46,8 +46,8 @@
 	private boolean caughtUp;
 
 	private RelayFixture(boolean first, long seed) {
-		this.relay = new Relay(
-				new RelaySettings("zone-a", 100, seed, 1_000_000, 1000, 1000, PART, first, QuotaTolerance.standard()));
+		this.relay = new Relay(new RelaySettings("zone-a", 100, seed, 1_000_000, 1000, 1000, TEXT_PARTITION, first,
+				QuotaTolerance.standard()));
 	}
 
 	/**
@@ -64,9 +64,9 @@
 	 * @return the relay
 	 */
 	static RelayFixture ready(long seed) {
-		RelayFixture fixture = listing(true, seed);
-		fixture.on(caughtUp(fixture.now));
-		fixture.on(textsEnd(fixture.now));
+		RelayFixture fixture = configured(true, seed);
+		fixture.handle(caughtUp(fixture.now));
+		fixture.handle(textOffsetKnown(fixture.now));
 		fixture.all.clear();
 		return fixture;
 	}
@@ -75,9 +75,9 @@
 	 * Returns a relay that is ready but for the end of its partition of the texts.
 	 * @return the relay
 	 */
-	static RelayFixture beforeTexts() {
-		RelayFixture fixture = listing(true, SEED);
-		fixture.on(caughtUp(fixture.now));
+	static RelayFixture beforeTextOffset() {
+		RelayFixture fixture = configured(true, SEED);
+		fixture.handle(caughtUp(fixture.now));
 		return fixture;
 	}
 
@@ -85,10 +85,10 @@
 	 * Returns a relay that is ready, after the loss of all relays.
 	 * @return the relay
 	 */
-	static RelayFixture readyAfterLoss() {
-		RelayFixture fixture = afterLoss();
-		fixture.on(caughtUp(fixture.now));
-		fixture.on(textsEnd(fixture.now));
+	static RelayFixture readyAfterRestart() {
+		RelayFixture fixture = afterRestart();
+		fixture.handle(caughtUp(fixture.now));
+		fixture.handle(textOffsetKnown(fixture.now));
 		fixture.all.clear();
 		return fixture;
 	}
@@ -97,15 +97,15 @@
 	 * Returns a relay that has started again and not read the log yet.
 	 * @return the relay
 	 */
-	static RelayFixture afterLoss() {
-		return listing(false, SEED);
+	static RelayFixture afterRestart() {
+		return configured(false, SEED);
 	}
 
-	private static RelayFixture listing(boolean first, long seed) {
+	private static RelayFixture configured(boolean first, long seed) {
 		RelayFixture fixture = new RelayFixture(first, seed);
-		fixture.on(new RelayEvent.RouteTableUpdated(fixture.now, table()));
-		fixture.on(new RelayEvent.UpstreamsReplaced(fixture.now, List.of(upstream("e1", ENGINE), upstream("e2", ENGINE),
-				upstream("s1", SHOP), upstream("s2", SHOP), upstream("s3", SHOP))));
+		fixture.handle(new RelayEvent.RouteTableUpdated(fixture.now, table()));
+		fixture.handle(new RelayEvent.UpstreamsReplaced(fixture.now, List.of(upstream("e1", ENGINE),
+				upstream("e2", ENGINE), upstream("s1", SHOP), upstream("s2", SHOP), upstream("s3", SHOP))));
 		return fixture;
 	}
 
@@ -113,11 +113,11 @@
 		return new RelayEvent.CaughtUp(now, 7, Duration.ofMillis(30), Optional.empty());
 	}
 
-	static RelayEvent textsEnd(long now) {
+	static RelayEvent textOffsetKnown(long now) {
 		return new RelayEvent.TextsStored(now, Set.of(), 0, Duration.ZERO);
 	}
 
-	static RelayFixture fresh() {
+	static RelayFixture unconfigured() {
 		return new RelayFixture(true, SEED);
 	}
 
@@ -143,7 +143,7 @@
 		return new Upstream(id, service, "10.0.0.1", 80, "zone-a", 6, false, OptionalLong.empty());
 	}
 
-	static Upstream born(String id, String service, long born) {
+	static Upstream withStartTime(String id, String service, long born) {
 		return new Upstream(id, service, "10.0.0.1", 80, "zone-a", 6, false, OptionalLong.of(born));
 	}
 
@@ -160,7 +160,7 @@
 		return this.caughtUp;
 	}
 
-	List<RelayEffect> on(RelayEvent event) {
+	List<RelayEffect> handle(RelayEvent event) {
 		this.caughtUp = this.caughtUp || event instanceof RelayEvent.CaughtUp;
 		List<RelayEffect> effects = this.relay.handle(event);
 		this.all.addAll(effects);
@@ -171,21 +171,21 @@
 		return this.now;
 	}
 
-	void pass(long milliseconds) {
+	void advance(long milliseconds) {
 		this.now += milliseconds;
 	}
 
-	List<RelayEffect> ask(String id, String route) {
-		return ask(head(id, route, Optional.empty()), "body");
+	List<RelayEffect> sendRequest(String id, String route) {
+		return sendRequest(head(id, route, Optional.empty()), "body");
 	}
 
-	List<RelayEffect> askTurn(String id, String route, RequestHead.Turn turn) {
-		return ask(head(id, route, Optional.of(turn)), "input of " + id + ";");
+	List<RelayEffect> sendTurn(String id, String route, RequestHead.Turn turn) {
+		return sendRequest(head(id, route, Optional.of(turn)), "input of " + id + ";");
 	}
 
-	List<RelayEffect> ask(RequestHead head, String body) {
+	List<RelayEffect> sendRequest(RequestHead head, String body) {
 		this.exchange++;
-		return on(
+		return handle(
 				new RelayEvent.RequestReceived(this.now, this.exchange, head, body.getBytes(), head.path().hashCode()));
 	}
 
@@ -193,63 +193,63 @@
 		return this.exchange;
 	}
 
-	List<RelayEffect> answer(int attempt, ResponseHead head) {
-		return on(new RelayEvent.ResponseReceived(this.now, this.exchange, attempt, head, "answer".getBytes()));
+	List<RelayEffect> respond(int attempt, ResponseHead head) {
+		return handle(new RelayEvent.ResponseReceived(this.now, this.exchange, attempt, head, "answer".getBytes()));
 	}
 
 	List<RelayEffect> open(int attempt) {
-		return on(new RelayEvent.StreamOpened(this.now, this.exchange, attempt, SIGNED));
+		return handle(new RelayEvent.StreamOpened(this.now, this.exchange, attempt, SIGNED));
 	}
 
 	List<RelayEffect> event(int attempt, long number) {
 		byte[] data = ("piece " + number).getBytes();
-		return on(new RelayEvent.StreamEventReceived(this.now, this.exchange, attempt, number, data, data));
+		return handle(new RelayEvent.StreamEventReceived(this.now, this.exchange, attempt, number, data, data));
 	}
 
 	List<RelayEffect> end(int attempt) {
-		return on(new RelayEvent.StreamEnded(this.now, this.exchange, attempt));
+		return handle(new RelayEvent.StreamEnded(this.now, this.exchange, attempt));
 	}
 
 	List<RelayEffect> fail(int attempt, RelayEvent.FailureCause cause) {
-		return on(new RelayEvent.AttemptFailed(this.now, this.exchange, attempt, cause));
+		return handle(new RelayEvent.AttemptFailed(this.now, this.exchange, attempt, cause));
 	}
 
 	List<RelayEffect> remind(RelayEvent.TimerKind reminder) {
-		return on(new RelayEvent.TimerFired(this.now, this.exchange, reminder));
+		return handle(new RelayEvent.TimerFired(this.now, this.exchange, reminder));
 	}
 
 	List<RelayEffect> readFromLog(LedgerEntry... entries) {
-		return on(new RelayEvent.EntriesReceived(this.now, List.of(entries), Optional.empty()));
+		return handle(new RelayEvent.EntriesReceived(this.now, List.of(entries), Optional.empty()));
 	}
 
-	List<RelayEffect> told(LedgerEntry... entries) {
-		return on(new RelayEvent.EntriesReceived(this.now, List.of(entries), Optional.of("teller")));
+	List<RelayEffect> readFromPeer(LedgerEntry... entries) {
+		return handle(new RelayEvent.EntriesReceived(this.now, List.of(entries), Optional.of("teller")));
 	}
 
-	static LedgerEntry.Settled kept(String request, String previous) {
-		return new LedgerEntry.Settled(request, "p", 10, Optional.of(place(previous)));
+	static LedgerEntry.Settled settledTurn(String request, String previous) {
+		return new LedgerEntry.Settled(request, "p", 10, Optional.of(location(previous)));
 	}
 
-	static TextLocation place(String previous) {
+	static TextLocation location(String previous) {
 		return new TextLocation(Optional.ofNullable(previous), 9, 5, 17);
 	}
 
-	static TurnText text(String request, String previous, String input, String output) {
+	static TurnText turnText(String request, String previous, String input, String output) {
 		return new TurnText(request,
 				new StoredTurn(Optional.ofNullable(previous), input.getBytes(), output.getBytes()));
 	}
 
 	List<RelayEffect> stored(String... requests) {
-		on(new RelayEvent.TextsStored(this.now, Set.of(requests), 20, Duration.ofMillis(8)));
-		return on(new RelayEvent.SettlementsStored(this.now, Set.of(requests)));
+		handle(new RelayEvent.TextsStored(this.now, Set.of(requests), 20, Duration.ofMillis(8)));
+		return handle(new RelayEvent.SettlementsStored(this.now, Set.of(requests)));
 	}
 
-	static <T extends RelayEffect> List<T> of(List<RelayEffect> effects, Class<T> type) {
+	static <T extends RelayEffect> List<T> ofType(List<RelayEffect> effects, Class<T> type) {
 		return effects.stream().filter(type::isInstance).map(type::cast).toList();
 	}
 
 	static List<LedgerEntry> written(List<RelayEffect> effects) {
-		return of(effects, RelayEffect.AppendEntry.class).stream().map(RelayEffect.AppendEntry::entry).toList();
+		return ofType(effects, RelayEffect.AppendEntry.class).stream().map(RelayEffect.AppendEntry::entry).toList();
 	}
 
 	static LedgerEntry.Settled settled(List<RelayEffect> effects) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelaySite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelaySite.java
@@ -87,8 +87,8 @@
 		for (int i = 0; i < this.members.size(); i++) {
 			all.add(new Member(Integer.toString(i), "zone-" + i % 3, 100));
 		}
-		life.relay.on(new RelayEvent.ListenerStarted(life.relay.now(), Integer.toString(life.index)));
-		life.relay.on(new RelayEvent.MembershipUpdated(life.relay.now(), all));
+		life.relay.handle(new RelayEvent.ListenerStarted(life.relay.now(), Integer.toString(life.index)));
+		life.relay.handle(new RelayEvent.MembershipUpdated(life.relay.now(), all));
 	}
 
 	/**
@@ -128,7 +128,7 @@
 
 	private void ask(Life member) {
 		this.turns++;
-		take(member, member.relay.askTurn("t" + this.turns, "draft",
+		take(member, member.relay.sendTurn("t" + this.turns, "draft",
 				RelayFixture.turn(this.program, this.budget, MOST, null)));
 	}
 
@@ -149,7 +149,7 @@
 		member.waiting.clear();
 		for (long exchange : due) {
 			take(member, member.relay
-				.on(new RelayEvent.TimerFired(member.relay.now(), exchange, RelayEvent.TimerKind.BUDGET_DECISION)));
+				.handle(new RelayEvent.TimerFired(member.relay.now(), exchange, RelayEvent.TimerKind.BUDGET_DECISION)));
 		}
 	}
 
@@ -181,7 +181,7 @@
 	}
 
 	private void reach(Life member, Connectivity reach) {
-		take(member, member.relay.on(new RelayEvent.ConnectivityChanged(member.relay.now(), reach)));
+		take(member, member.relay.handle(new RelayEvent.ConnectivityChanged(member.relay.now(), reach)));
 	}
 
 	void restart(int index) {
@@ -242,19 +242,19 @@
 
 	private void lose(int index) {
 		this.links.keySet().removeIf((link) -> link.from() == index || link.to() == index);
-		this.members.set(index, new Life(index, RelayFixture.afterLoss()));
+		this.members.set(index, new Life(index, RelayFixture.afterRestart()));
 		list(this.members.get(index));
 	}
 
 	private void link(Life from, Life to) {
-		take(from, from.relay.on(new RelayEvent.PeerConnected(from.relay.now(), Integer.toString(to.index))));
+		take(from, from.relay.handle(new RelayEvent.PeerConnected(from.relay.now(), Integer.toString(to.index))));
 	}
 
 	private void catchUp(Life member) {
 		read(member);
 		if (!member.caughtUp) {
 			member.caughtUp = true;
-			take(member, member.relay.on(RelayFixture.caughtUp(member.relay.now())));
+			take(member, member.relay.handle(RelayFixture.caughtUp(member.relay.now())));
 		}
 	}
 
@@ -324,21 +324,21 @@
 					}
 				}
 				case RelayEffect.RequestSync ignored -> toOthers(from, (to) -> take(to,
-						to.relay.on(new RelayEvent.SyncRequested(to.relay.now(), Integer.toString(from.index)))));
+						to.relay.handle(new RelayEvent.SyncRequested(to.relay.now(), Integer.toString(from.index)))));
 				case RelayEffect.SendUsageUnavailable tell -> send(from, Integer.parseInt(tell.peer()),
-						(to) -> take(to, to.relay.on(new RelayEvent.UsageUnavailable(to.relay.now(),
+						(to) -> take(to, to.relay.handle(new RelayEvent.UsageUnavailable(to.relay.now(),
 								Integer.toString(from.index), tell.request()))));
 				case RelayEffect.RequestLogReservation ask ->
 					send(from, Integer.parseInt(ask.peer()), (to) -> place(from, to, ask));
 				case RelayEffect.SendUsage tell -> send(from, Integer.parseInt(tell.peer()), (to) -> {
 					tell.entries().forEach((entry) -> tell(to, entry));
-					take(to, to.relay
-						.on(new RelayEvent.UsageReceived(to.relay.now(), Integer.toString(from.index), tell.request(),
-								tell.tokens(), tell.uncommitted(), tell.logReachable(), this.members.size() - 1)));
+					take(to, to.relay.handle(
+							new RelayEvent.UsageReceived(to.relay.now(), Integer.toString(from.index), tell.request(),
+									tell.tokens(), tell.uncommitted(), tell.logReachable(), this.members.size() - 1)));
 				});
 				case RelayEffect.SendLogDecision tell ->
 					send(from, Integer.parseInt(tell.peer()), (to) -> take(to, to.relay
-						.on(new RelayEvent.LogDecisionReceived(to.relay.now(), tell.request(), tell.admitted()))));
+						.handle(new RelayEvent.LogDecisionReceived(to.relay.now(), tell.request(), tell.admitted()))));
 				case RelayEffect.SendSync tell -> tellUnlogged(from, tell);
 				case RelayEffect.SendRequest send -> this.running.add(() -> run(from, send));
 				case RelayEffect.StartTimer remind -> {
@@ -353,12 +353,12 @@
 	}
 
 	private void ask(Life from, Life to, RelayEffect.RequestReservation ask) {
-		take(to, to.relay.on(new RelayEvent.ReservationRequested(to.relay.now(), Integer.toString(from.index),
+		take(to, to.relay.handle(new RelayEvent.ReservationRequested(to.relay.now(), Integer.toString(from.index),
 				ask.request(), ask.program(), ask.maxTokens(), ask.budget(), false)));
 	}
 
 	private void place(Life from, Life to, RelayEffect.RequestLogReservation ask) {
-		take(to, to.relay.on(new RelayEvent.ReservationRequested(to.relay.now(), Integer.toString(from.index),
+		take(to, to.relay.handle(new RelayEvent.ReservationRequested(to.relay.now(), Integer.toString(from.index),
 				ask.request(), ask.program(), ask.maxTokens(), ask.budget(), true)));
 	}
 
@@ -368,18 +368,18 @@
 		send(from, Integer.parseInt(tell.peer()), (to) -> {
 			entries.forEach((entry) -> tell(to, entry));
 			if (tell.complete()) {
-				take(to, to.relay.on(new RelayEvent.SyncCompleted(to.relay.now(), Integer.toString(from.index),
+				take(to, to.relay.handle(new RelayEvent.SyncCompleted(to.relay.now(), Integer.toString(from.index),
 						this.members.size() - 1)));
 			}
 		});
 	}
 
 	private void tell(Life to, LedgerEntry entry) {
-		take(to, to.relay.told(entry));
+		take(to, to.relay.readFromPeer(entry));
 	}
 
 	private void tell(Life from, Life to, LedgerEntry entry) {
-		take(to, to.relay.on(new RelayEvent.EntriesReceived(to.relay.now(), List.of(entry),
+		take(to, to.relay.handle(new RelayEvent.EntriesReceived(to.relay.now(), List.of(entry),
 				Optional.of(Integer.toString(from.index)))));
 	}
 
@@ -411,15 +411,15 @@
 		RelayFixture relay = at.relay;
 		long exchange = send.exchange();
 		List<RelayEffect> effects = new ArrayList<>(
-				relay.on(new RelayEvent.StreamOpened(relay.now(), exchange, send.attempt(), RelayFixture.SIGNED)));
+				relay.handle(new RelayEvent.StreamOpened(relay.now(), exchange, send.attempt(), RelayFixture.SIGNED)));
 		for (int i = 1; i <= MOST / RelayFixture.TOKENS_PER_EVENT; i++) {
 			byte[] data = { 'x' };
-			effects.addAll(
-					relay.on(new RelayEvent.StreamEventReceived(relay.now(), exchange, send.attempt(), i, data, data)));
+			effects.addAll(relay
+				.handle(new RelayEvent.StreamEventReceived(relay.now(), exchange, send.attempt(), i, data, data)));
 		}
-		this.given += (long) RelayFixture.of(effects, RelayEffect.ForwardStreamEvent.class).size()
+		this.given += (long) RelayFixture.ofType(effects, RelayEffect.ForwardStreamEvent.class).size()
 				* RelayFixture.TOKENS_PER_EVENT;
-		effects.addAll(relay.on(new RelayEvent.StreamEnded(relay.now(), exchange, send.attempt())));
+		effects.addAll(relay.handle(new RelayEvent.StreamEnded(relay.now(), exchange, send.attempt())));
 		take(at, effects);
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
@@ -22,22 +22,22 @@
 
 	@Test
 	void requestBeforeAnythingIsKnownIsRefusedAsNotRun() {
-		RelayFixture relay = RelayFixture.fresh();
-		List<RelayEffect> effects = relay.ask("r1", "look");
+		RelayFixture relay = RelayFixture.unconfigured();
+		List<RelayEffect> effects = relay.sendRequest("r1", "look");
 		assertThat(refusal(effects)).contains(Refusal.NOT_READY);
-		assertThat(RelayFixture.of(effects, RelayEffect.Refuse.class).getFirst().retryAfter()).isPresent();
+		assertThat(RelayFixture.ofType(effects, RelayEffect.Refuse.class).getFirst().retryAfter()).isPresent();
 	}
 
 	@Test
 	void readinessFollowsTableUpstreamsLogAndTexts() {
-		RelayFixture relay = RelayFixture.fresh();
-		relay.on(new RelayEvent.RouteTableUpdated(1, RelayFixture.table()));
-		relay.on(new RelayEvent.UpstreamsReplaced(1, List.of()));
-		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class)).isEmpty();
-		relay.on(RelayFixture.caughtUp(1));
-		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class)).isEmpty();
-		relay.on(RelayFixture.textsEnd(1));
-		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class))
+		RelayFixture relay = RelayFixture.unconfigured();
+		relay.handle(new RelayEvent.RouteTableUpdated(1, RelayFixture.table()));
+		relay.handle(new RelayEvent.UpstreamsReplaced(1, List.of()));
+		assertThat(RelayFixture.ofType(relay.all, RelayEffect.ReportReadiness.class)).isEmpty();
+		relay.handle(RelayFixture.caughtUp(1));
+		assertThat(RelayFixture.ofType(relay.all, RelayEffect.ReportReadiness.class)).isEmpty();
+		relay.handle(RelayFixture.textOffsetKnown(1));
+		assertThat(RelayFixture.ofType(relay.all, RelayEffect.ReportReadiness.class))
 			.containsExactly(new RelayEffect.ReportReadiness(true));
 	}
 
@@ -47,12 +47,12 @@
 	@Test
 	void relayThatDoesNotKnowTheOthersYetTakesNoTurns() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
-		RelayEffect.Refuse refused = refuse(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)));
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		RelayEffect.Refuse refused = refuse(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)));
 		assertThat(refused.refusal()).isEqualTo(Refusal.NOT_READY);
-		relay.on(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("own"))));
-		assertThat(sends(relay.askTurn("t2", "draft", RelayFixture.turn("p", 1000, 100, null)))).hasSize(1);
-		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class))
+		relay.handle(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("own"))));
+		assertThat(sends(relay.sendTurn("t2", "draft", RelayFixture.turn("p", 1000, 100, null)))).hasSize(1);
+		assertThat(RelayFixture.ofType(relay.all, RelayEffect.ReportReadiness.class))
 			.containsExactly(new RelayEffect.ReportReadiness(false), new RelayEffect.ReportReadiness(true));
 	}
 
@@ -61,9 +61,9 @@
 	// a few tries: told to come back when the log may be read, it does not waste them.
 	@Test
 	void callerOfATurnIsToldToComeBackWhenTheLogMayBeRead() {
-		RelayFixture relay = RelayFixture.fresh();
-		RelayEffect.Refuse turn = refuse(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)));
-		RelayEffect.Refuse call = refuse(relay.ask("r1", "look"));
+		RelayFixture relay = RelayFixture.unconfigured();
+		RelayEffect.Refuse turn = refuse(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)));
+		RelayEffect.Refuse call = refuse(relay.sendRequest("r1", "look"));
 		assertThat(turn.retryAfter()).contains(RelaySettings.COME_BACK_WHEN_READ);
 		assertThat(call.retryAfter()).contains(RelaySettings.COME_BACK_LATER);
 	}
@@ -71,7 +71,7 @@
 	@Test
 	void unknownRouteIsRefused() {
 		RelayFixture relay = RelayFixture.ready();
-		assertThat(refusal(relay.ask("r1", "nowhere"))).contains(Refusal.NO_ROUTE);
+		assertThat(refusal(relay.sendRequest("r1", "nowhere"))).contains(Refusal.NO_ROUTE);
 	}
 
 	@Test
@@ -79,8 +79,8 @@
 		RelayFixture relay = RelayFixture.ready();
 		RouteTable older = new RouteTable(0, List.of(), Map.of(), RouteTable.Limits.beforeFirstTable(),
 				Optional.empty());
-		assertThat(relay.on(new RelayEvent.RouteTableUpdated(1, older))).isEmpty();
-		assertThat(sends(relay.ask("r1", "look"))).hasSize(1);
+		assertThat(relay.handle(new RelayEvent.RouteTableUpdated(1, older))).isEmpty();
+		assertThat(sends(relay.sendRequest("r1", "look"))).hasSize(1);
 	}
 
 	// The caller's order ran, and its answer was lost on the way. Sent again, the order
@@ -88,17 +88,17 @@
 	@Test
 	void lostAnswerOfARequestThatRunsOnceIsNeitherRepeatedNorCalledNotRun() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "order");
+		relay.sendRequest("r1", "order");
 		List<RelayEffect> effects = relay.fail(1, FailureCause.BROKEN);
 		assertThat(sends(effects)).isEmpty();
 		assertThat(refusal(effects)).contains(Refusal.ANSWER_LOST);
-		assertThat(RelayFixture.of(effects, RelayEffect.Refuse.class).getFirst().retryAfter()).isEmpty();
+		assertThat(RelayFixture.ofType(effects, RelayEffect.Refuse.class).getFirst().retryAfter()).isEmpty();
 	}
 
 	@Test
 	void requestThatWasNotSentGoesToAnotherUpstream() {
 		RelayFixture relay = RelayFixture.ready();
-		String first = sends(relay.ask("r1", "order")).getFirst().upstream().id();
+		String first = sends(relay.sendRequest("r1", "order")).getFirst().upstream().id();
 		List<RelayEffect.SendRequest> again = sends(relay.fail(1, FailureCause.NOT_CONNECTED));
 		assertThat(again).hasSize(1);
 		assertThat(again.getFirst().upstream().id()).isNotEqualTo(first);
@@ -109,7 +109,8 @@
 	@Test
 	void sendingTellsItsCandidates() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect.WriteNotice> told = RelayFixture.of(relay.ask("r1", "look"), RelayEffect.WriteNotice.class);
+		List<RelayEffect.WriteNotice> told = RelayFixture.ofType(relay.sendRequest("r1", "look"),
+				RelayEffect.WriteNotice.class);
 		assertThat(told).singleElement().extracting(RelayEffect.WriteNotice::notice).satisfies((notice) -> {
 			assertThat(notice.code()).isEqualTo(NoticeCode.REQUEST_PLACED);
 			assertThat(notice.fields()).filteredOn((field) -> field.name() == FieldName.CANDIDATES)
@@ -122,9 +123,9 @@
 	@Test
 	void requestThatAnUpstreamDidNotRunGoesToAnotherWithinTheRoutesAttempts() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "order");
-		assertThat(sends(relay.answer(1, RelayFixture.FULL))).hasSize(1);
-		List<RelayEffect> effects = relay.answer(2, RelayFixture.FULL);
+		relay.sendRequest("r1", "order");
+		assertThat(sends(relay.respond(1, RelayFixture.FULL))).hasSize(1);
+		List<RelayEffect> effects = relay.respond(2, RelayFixture.FULL);
 		assertThat(sends(effects)).isEmpty();
 		assertThat(refusal(effects)).contains(Refusal.NO_UPSTREAM);
 	}
@@ -132,18 +133,18 @@
 	@Test
 	void idempotentRequestIsRepeatedAfterALostAnswer() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "look");
+		relay.sendRequest("r1", "look");
 		assertThat(sends(relay.fail(1, FailureCause.BROKEN))).hasSize(1);
-		List<RelayEffect> effects = relay.answer(2, RelayFixture.SIGNED);
-		assertThat(RelayFixture.of(effects, RelayEffect.SendResponse.class)).hasSize(1);
+		List<RelayEffect> effects = relay.respond(2, RelayFixture.SIGNED);
+		assertThat(RelayFixture.ofType(effects, RelayEffect.SendResponse.class)).hasSize(1);
 	}
 
 	@Test
 	void unsignedSuccessIsNotPassedOn() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "order");
-		List<RelayEffect> effects = relay.answer(1, RelayFixture.UNSIGNED);
-		assertThat(RelayFixture.of(effects, RelayEffect.SendResponse.class)).isEmpty();
+		relay.sendRequest("r1", "order");
+		List<RelayEffect> effects = relay.respond(1, RelayFixture.UNSIGNED);
+		assertThat(RelayFixture.ofType(effects, RelayEffect.SendResponse.class)).isEmpty();
 		assertThat(refusal(effects)).contains(Refusal.ANSWER_LOST);
 	}
 
@@ -152,9 +153,9 @@
 	@Test
 	void answerOfAnEarlierAttemptMeetsNothing() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "look");
+		relay.sendRequest("r1", "look");
 		relay.fail(1, FailureCause.BROKEN);
-		assertThat(relay.answer(1, RelayFixture.SIGNED)).isEmpty();
+		assertThat(relay.respond(1, RelayFixture.SIGNED)).isEmpty();
 	}
 
 	// An upstream crashed, and another one starts at its address while the list still has
@@ -165,23 +166,23 @@
 	@Test
 	void upstreamThatIsNoLongerAtItsAddressIsLeftAtOnce() {
 		RelayFixture relay = RelayFixture.ready();
-		String gone = sends(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null))).getFirst()
+		String gone = sends(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null))).getFirst()
 			.upstream()
 			.id();
-		List<RelayEffect> again = relay.answer(1, RelayFixture.MISDIRECTED);
+		List<RelayEffect> again = relay.respond(1, RelayFixture.MISDIRECTED);
 		assertThat(sends(again).getFirst().upstream().id()).isNotEqualTo(gone);
 		for (int i = 0; i < 5; i++) {
-			assertThat(sends(relay.ask("r" + i, "draft")).getFirst().upstream().id()).isNotEqualTo(gone);
+			assertThat(sends(relay.sendRequest("r" + i, "draft")).getFirst().upstream().id()).isNotEqualTo(gone);
 		}
 	}
 
 	@Test
 	void requestThatNobodyIsThereForDoesNotCountAsSent() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "order");
-		assertThat(sends(relay.answer(1, RelayFixture.MISDIRECTED))).hasSize(1);
-		assertThat(sends(relay.answer(2, RelayFixture.MISDIRECTED))).hasSize(1);
-		assertThat(refusal(relay.answer(3, RelayFixture.MISDIRECTED))).contains(Refusal.NO_UPSTREAM);
+		relay.sendRequest("r1", "order");
+		assertThat(sends(relay.respond(1, RelayFixture.MISDIRECTED))).hasSize(1);
+		assertThat(sends(relay.respond(2, RelayFixture.MISDIRECTED))).hasSize(1);
+		assertThat(refusal(relay.respond(3, RelayFixture.MISDIRECTED))).contains(Refusal.NO_UPSTREAM);
 	}
 
 	@Test
@@ -189,11 +190,11 @@
 		RelayFixture relay = RelayFixture.ready();
 		for (String id : List.of("s1", "s2")) {
 			Upstream gone = RelayFixture.upstream(id, RelayFixture.SHOP);
-			relay.on(new RelayEvent.UpstreamUpdated(2, new Upstream(id, gone.service(), gone.host(), gone.port(),
+			relay.handle(new RelayEvent.UpstreamUpdated(2, new Upstream(id, gone.service(), gone.host(), gone.port(),
 					gone.zone(), gone.slots(), true, gone.startedAt())));
 		}
 		for (int i = 0; i < 10; i++) {
-			assertThat(sends(relay.ask("r" + i, "look")).getFirst().upstream().id()).isEqualTo("s3");
+			assertThat(sends(relay.sendRequest("r" + i, "look")).getFirst().upstream().id()).isEqualTo("s3");
 		}
 	}
 
@@ -205,12 +206,12 @@
 		RelayFixture relay = RelayFixture.ready();
 		List<RelayEffect> effects = new ArrayList<>();
 		for (int i = 0; i < 1000; i++) {
-			effects.addAll(relay.on(new RelayEvent.UpstreamInvalid(relay.now(), "s1", EntryProblem.ADDRESS)));
-			effects.addAll(relay.on(new RelayEvent.UpstreamInvalid(relay.now(), "junk", EntryProblem.UNREADABLE)));
+			effects.addAll(relay.handle(new RelayEvent.UpstreamInvalid(relay.now(), "s1", EntryProblem.ADDRESS)));
+			effects.addAll(relay.handle(new RelayEvent.UpstreamInvalid(relay.now(), "junk", EntryProblem.UNREADABLE)));
 		}
 		assertThat(notices(effects, NoticeCode.UPSTREAM_UNUSABLE)).hasSize(2);
 		for (int i = 0; i < 10; i++) {
-			assertThat(sends(relay.ask("r" + i, "look")).getFirst().upstream().id()).isIn("s2", "s3");
+			assertThat(sends(relay.sendRequest("r" + i, "look")).getFirst().upstream().id()).isIn("s2", "s3");
 		}
 	}
 
@@ -220,32 +221,34 @@
 	void requestThatCrashedThreeLivesOfOneIdIsStopped() {
 		RelayFixture relay = RelayFixture.ready();
 		for (String other : List.of("s2", "s3")) {
-			relay.on(new RelayEvent.UpstreamRemoved(relay.now(), other));
+			relay.handle(new RelayEvent.UpstreamRemoved(relay.now(), other));
 		}
 		for (int life = 1; life <= 3; life++) {
-			relay.on(new RelayEvent.UpstreamUpdated(relay.now(), RelayFixture.born("s1", RelayFixture.SHOP, life)));
-			assertThat(sends(relay.ask("r" + life, "look"))).hasSize(1);
+			relay.handle(new RelayEvent.UpstreamUpdated(relay.now(),
+					RelayFixture.withStartTime("s1", RelayFixture.SHOP, life)));
+			assertThat(sends(relay.sendRequest("r" + life, "look"))).hasSize(1);
 			relay.fail(1, FailureCause.BROKEN);
 		}
-		relay.on(new RelayEvent.UpstreamUpdated(relay.now(), RelayFixture.born("s1", RelayFixture.SHOP, 4)));
-		assertThat(refusal(relay.ask("r4", "look"))).contains(Refusal.BLAMED);
+		relay.handle(
+				new RelayEvent.UpstreamUpdated(relay.now(), RelayFixture.withStartTime("s1", RelayFixture.SHOP, 4)));
+		assertThat(refusal(relay.sendRequest("r4", "look"))).contains(Refusal.BLAMED);
 	}
 
 	@Test
 	void callerThatLeavesCancelsItsRequest() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "order");
-		List<RelayEffect> effects = relay.on(new RelayEvent.CallerDisconnected(relay.now(), relay.exchange()));
-		assertThat(RelayFixture.of(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
-		assertThat(relay.answer(1, RelayFixture.SIGNED)).isEmpty();
+		relay.sendRequest("r1", "order");
+		List<RelayEffect> effects = relay.handle(new RelayEvent.CallerDisconnected(relay.now(), relay.exchange()));
+		assertThat(RelayFixture.ofType(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
+		assertThat(relay.respond(1, RelayFixture.SIGNED)).isEmpty();
 	}
 
 	@Test
 	void requestWithoutAnswerIsEndedWhenItIsDue() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "order");
+		relay.sendRequest("r1", "order");
 		List<RelayEffect> effects = relay.remind(TimerKind.DEADLINE);
-		assertThat(RelayFixture.of(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
 		assertThat(refusal(effects)).contains(Refusal.NO_ANSWER_IN_TIME);
 	}
 
@@ -256,10 +259,10 @@
 	void requestThatBreaksUpstreamsIsStoppedAndOthersAreNot() {
 		RelayFixture relay = RelayFixture.ready();
 		for (String upstream : List.of("e7", "e8", "e9")) {
-			relay.told(new LedgerEntry.Blamed("r0", "/draft/x".hashCode(), upstream));
+			relay.readFromPeer(new LedgerEntry.Blamed("r0", "/draft/x".hashCode(), upstream));
 		}
-		assertThat(refusal(relay.ask("r1", "draft"))).contains(Refusal.BLAMED);
-		assertThat(sends(relay.ask("r2", "look"))).hasSize(1);
+		assertThat(refusal(relay.sendRequest("r1", "draft"))).contains(Refusal.BLAMED);
+		assertThat(sends(relay.sendRequest("r2", "look"))).hasSize(1);
 	}
 
 	// While the log was down a relay told the others what it had given a program, and
@@ -269,14 +272,14 @@
 	void entryOfARelayThatDiedIsWrittenByTheOthers() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.readFromLog();
-		LedgerEntry turn = RelayFixture.kept("t1", null);
-		relay.told(turn);
-		relay.pass(9_000);
+		LedgerEntry turn = RelayFixture.settledTurn("t1", null);
+		relay.readFromPeer(turn);
+		relay.advance(9_000);
 		assertThat(RelayFixture.written(relay.readFromLog())).isEmpty();
-		relay.pass(1_000);
+		relay.advance(1_000);
 		relay.readFromLog();
 		for (int i = 0; i < 8; i++) {
-			relay.pass(500);
+			relay.advance(500);
 			relay.readFromLog();
 		}
 		assertThat(RelayFixture.written(relay.all)).containsExactly(turn);
@@ -285,11 +288,11 @@
 	@Test
 	void entryThatTheLogShowsIsNotWrittenAgain() {
 		RelayFixture relay = RelayFixture.ready();
-		LedgerEntry turn = RelayFixture.kept("t1", null);
-		relay.told(turn);
+		LedgerEntry turn = RelayFixture.settledTurn("t1", null);
+		relay.readFromPeer(turn);
 		relay.readFromLog(turn);
 		for (int i = 0; i < 12; i++) {
-			relay.pass(500);
+			relay.advance(500);
 			relay.readFromLog();
 		}
 		assertThat(RelayFixture.written(relay.all)).isEmpty();
@@ -298,15 +301,15 @@
 	@Test
 	void turnBeyondTheBudgetIsRefused() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.told(new LedgerEntry.Settled("t0", "p", 950, Optional.empty()));
-		assertThat(refusal(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null))))
+		relay.readFromPeer(new LedgerEntry.Settled("t0", "p", 950, Optional.empty()));
+		assertThat(refusal(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null))))
 			.contains(Refusal.BUDGET_SPENT);
 	}
 
 	@Test
 	void turnFarFromTheEndOfTheBudgetIsSentAtOnce() {
 		RelayFixture relay = RelayFixture.ready();
-		assertThat(sends(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)))).hasSize(1);
+		assertThat(sends(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)))).hasSize(1);
 	}
 
 	// Two sub-agents begin at two relays in the same millisecond, and the budget holds
@@ -315,18 +318,18 @@
 	@Test
 	void turnNearTheEndOfTheBudgetWaitsForItsPlaceInTheLog() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect> asked = relay.askTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
+		List<RelayEffect> asked = relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
 		assertThat(sends(asked)).isEmpty();
 		LedgerEntry own = RelayFixture.written(asked).getFirst();
 		LedgerEntry other = new LedgerEntry.Reserved("t2", "p", 100, "", List.of(), true);
-		assertThat(relay.told(other)).isEmpty();
+		assertThat(relay.readFromPeer(other)).isEmpty();
 		assertThat(sends(relay.readFromLog(own, other))).hasSize(1);
 	}
 
 	@Test
 	void laterOfTwoContendingTurnsIsRefusedAndCounted() {
 		RelayFixture relay = RelayFixture.ready();
-		LedgerEntry own = RelayFixture.written(relay.askTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null)))
+		LedgerEntry own = RelayFixture.written(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null)))
 			.getFirst();
 		LedgerEntry other = new LedgerEntry.Reserved("t2", "p", 100, "", List.of(), true);
 		List<RelayEffect> effects = relay.readFromLog(other, own);
@@ -340,30 +343,32 @@
 	// would be missing to programs that need it.
 	@Test
 	void relayThatStartsBehindARecentLogSoonMissesNothing() {
-		RelayFixture relay = RelayFixture.afterLoss();
-		relay.on(new RelayEvent.CaughtUp(relay.now(), 7, Duration.ofMillis(30), Optional.of(Duration.ofMillis(2900))));
+		RelayFixture relay = RelayFixture.afterRestart();
+		relay.handle(
+				new RelayEvent.CaughtUp(relay.now(), 7, Duration.ofMillis(30), Optional.of(Duration.ofMillis(2900))));
 		relay.readFromLog(new LedgerEntry.Settled("t0", "p", 310, Optional.empty()));
-		assertThat(refusal(relay.askTurn("t1", "draft", RelayFixture.turn("p", 600, 150, null))))
+		assertThat(refusal(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 600, 150, null))))
 			.contains(Refusal.BUDGET_SPENT);
-		relay.pass(2001);
+		relay.advance(2001);
 		relay.readFromLog();
-		assertThat(refusal(relay.askTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
+		assertThat(refusal(relay.sendTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
 	}
 
 	// All relays are lost in an outage. The log is read when it is back, and its newest
 	// entry is older than a loss alone can make it.
 	@Test
 	void relayThatStartsBehindAnOldLogKeepsHalfOfABudgetBack() {
-		RelayFixture relay = RelayFixture.afterLoss();
-		relay.on(new RelayEvent.CaughtUp(relay.now(), 7, Duration.ofMillis(30), Optional.of(Duration.ofSeconds(3))));
+		RelayFixture relay = RelayFixture.afterRestart();
+		relay
+			.handle(new RelayEvent.CaughtUp(relay.now(), 7, Duration.ofMillis(30), Optional.of(Duration.ofSeconds(3))));
 		relay.readFromLog(new LedgerEntry.Settled("t0", "p", 310, Optional.empty()));
-		relay.pass(30_000);
+		relay.advance(30_000);
 		relay.readFromLog();
-		assertThat(refusal(relay.askTurn("t1", "draft", RelayFixture.turn("p", 600, 150, null))))
+		assertThat(refusal(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 600, 150, null))))
 			.contains(Refusal.BUDGET_SPENT);
-		relay.pass(31_000);
+		relay.advance(31_000);
 		relay.readFromLog();
-		assertThat(refusal(relay.askTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
+		assertThat(refusal(relay.sendTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
 	}
 
 	// The log falls silent, and the other relays too. Whoever waits for either is refused
@@ -371,10 +376,10 @@
 	@Test
 	void contendingTurnIsRefusedAsNotRunIfLogAndRelaysAreSilent() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.askTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
+		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
 		List<RelayEffect> asked = relay.remind(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(asked)).isEmpty();
-		assertThat(RelayFixture.of(asked, RelayEffect.RequestReservation.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(asked, RelayEffect.RequestReservation.class)).hasSize(1);
 		assertThat(refusal(relay.remind(TimerKind.BUDGET_DECISION))).isEmpty();
 		List<RelayEffect> effects = relay.remind(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(effects)).contains(Refusal.LOG_LOST);
@@ -388,14 +393,14 @@
 	@Test
 	void logHasItsTimeThoughKeepersWereUnsureBefore() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
-		relay
-			.on(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
-		List<RelayEffect> asked = relay.askTurn("t1", "draft", RelayFixture.turn("p", 300, 100, null));
-		assertThat(RelayFixture.of(asked, RelayEffect.RequestReservation.class)).singleElement()
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(
+				new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
+		List<RelayEffect> asked = relay.sendTurn("t1", "draft", RelayFixture.turn("p", 300, 100, null));
+		assertThat(RelayFixture.ofType(asked, RelayEffect.RequestReservation.class)).singleElement()
 			.satisfies((ask) -> assertThat(ask.peers()).containsExactlyInAnyOrder("a", "b", "c"));
-		relay.on(new RelayEvent.UsageUnavailable(relay.now(), "a", "t1"));
-		List<RelayEffect> contends = relay.on(new RelayEvent.UsageUnavailable(relay.now(), "b", "t1"));
+		relay.handle(new RelayEvent.UsageUnavailable(relay.now(), "a", "t1"));
+		List<RelayEffect> contends = relay.handle(new RelayEvent.UsageUnavailable(relay.now(), "b", "t1"));
 		assertThat(relay.remind(TimerKind.BUDGET_DECISION)).isEmpty();
 		assertThat(sends(relay.readFromLog(RelayFixture.written(contends).getFirst()))).hasSize(1);
 	}
@@ -403,16 +408,19 @@
 	@Test
 	void twoKeepersOfThreeDecide() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
-		relay
-			.on(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
-		relay.askTurn("t1", "draft", RelayFixture.turn("p", 300, 100, null));
-		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 300, 0, true, 3)))).isEmpty();
-		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 300, 0, true, 3)))).isEmpty();
-		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "c", "t1", 100, 0, true, 3)))).hasSize(1);
-		relay.askTurn("t2", "draft", RelayFixture.turn("p", 300, 100, null));
-		relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t2", 400, 0, true, 3));
-		assertThat(refusal(relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t2", 100, 0, true, 3))))
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(
+				new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
+		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 300, 100, null));
+		assertThat(sends(relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 300, 0, true, 3))))
+			.isEmpty();
+		assertThat(sends(relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 300, 0, true, 3))))
+			.isEmpty();
+		assertThat(sends(relay.handle(new RelayEvent.UsageReceived(relay.now(), "c", "t1", 100, 0, true, 3))))
+			.hasSize(1);
+		relay.sendTurn("t2", "draft", RelayFixture.turn("p", 300, 100, null));
+		relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t2", 400, 0, true, 3));
+		assertThat(refusal(relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t2", 100, 0, true, 3))))
 			.contains(Refusal.BUDGET_SPENT);
 	}
 
@@ -423,12 +431,12 @@
 	@Test
 	void logIsAskedOnceItHasNotShownHalfOfTheBudget() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
-		relay
-			.on(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
-		relay.askTurn("t1", "draft", RelayFixture.turn("p", 600, 100, null));
-		relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 400, 301, true, 3));
-		List<RelayEffect> told = relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 400, 250, true, 3));
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(
+				new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
+		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 600, 100, null));
+		relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 400, 301, true, 3));
+		List<RelayEffect> told = relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 400, 250, true, 3));
 		assertThat(sends(told)).isEmpty();
 		assertThat(sends(relay.readFromLog(RelayFixture.written(told).getFirst()))).hasSize(1);
 	}
@@ -440,27 +448,30 @@
 	@Test
 	void relayWithoutTheLogAsksTheOthersAtOnce() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.askTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		List<RelayEffect> lost = relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
-		assertThat(RelayFixture.of(lost, RelayEffect.RequestReservation.class)).hasSize(1);
-		List<RelayEffect> asked = relay.askTurn("t2", "draft", RelayFixture.turn("q", 100, 100, null));
-		assertThat(RelayFixture.of(asked, RelayEffect.RequestReservation.class)).hasSize(1);
+		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
+		List<RelayEffect> lost = relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
+		assertThat(RelayFixture.ofType(lost, RelayEffect.RequestReservation.class)).hasSize(1);
+		List<RelayEffect> asked = relay.sendTurn("t2", "draft", RelayFixture.turn("q", 100, 100, null));
+		assertThat(RelayFixture.ofType(asked, RelayEffect.RequestReservation.class)).hasSize(1);
 		assertThat(sends(asked)).isEmpty();
 		List<RelayEffect> due = relay.remind(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(due)).contains(Refusal.LOG_LOST);
 		assertThat(RelayFixture.settled(due).tokens()).isZero();
-		assertThat(sends(relay.askTurn("t3", "draft", RelayFixture.turn("r", 1000, 100, null)))).hasSize(1);
+		assertThat(sends(relay.sendTurn("t3", "draft", RelayFixture.turn("r", 1000, 100, null)))).hasSize(1);
 	}
 
 	@Test
 	void turnRunsWithoutTheLogIfAMajorityKnowsOfLessThanHalfOfTheBudget() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
-		relay.askTurn("t1", "draft", RelayFixture.turn("p", 400, 100, null));
-		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 200, 0, false, 4)))).isEmpty();
-		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, false, 4)))).isEmpty();
-		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, false, 4)))).hasSize(1);
-		assertThat(relay.on(new RelayEvent.UsageReceived(relay.now(), "c", "t1", 100, 0, false, 4))).isEmpty();
+		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
+		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 400, 100, null));
+		assertThat(sends(relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 200, 0, false, 4))))
+			.isEmpty();
+		assertThat(sends(relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, false, 4))))
+			.isEmpty();
+		assertThat(sends(relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, false, 4))))
+			.hasSize(1);
+		assertThat(relay.handle(new RelayEvent.UsageReceived(relay.now(), "c", "t1", 100, 0, false, 4))).isEmpty();
 	}
 
 	// What is given without the log is in no log if all relays are lost. The second half
@@ -468,10 +479,10 @@
 	@Test
 	void turnInTheSecondHalfOfTheBudgetWaitsForTheLog() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
-		relay.askTurn("t1", "draft", RelayFixture.turn("p", 400, 100, null));
-		relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, false, 4));
-		List<RelayEffect> told = relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 300, 0, false, 4));
+		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
+		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 400, 100, null));
+		relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, false, 4));
+		List<RelayEffect> told = relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 300, 0, false, 4));
 		assertThat(refusal(told)).contains(Refusal.LOG_LOST);
 		assertThat(RelayFixture.settled(told).tokens()).isZero();
 	}
@@ -481,12 +492,13 @@
 	@Test
 	void relayThatReachesTheLogDecidesForOneThatDoesNot() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
-		relay.askTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		List<RelayEffect> told = relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, true, 2));
+		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
+		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
+		List<RelayEffect> told = relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, true, 2));
 		assertThat(told).containsExactly(new RelayEffect.RequestLogReservation("a", "t1", "p", 100, 100));
-		assertThat(sends(relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, false, 2)))).isEmpty();
-		List<RelayEffect> placed = relay.on(new RelayEvent.LogDecisionReceived(relay.now(), "t1", true));
+		assertThat(sends(relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, false, 2))))
+			.isEmpty();
+		List<RelayEffect> placed = relay.handle(new RelayEvent.LogDecisionReceived(relay.now(), "t1", true));
 		assertThat(sends(placed)).hasSize(1);
 		assertThat(notices(placed, NoticeCode.TURN_DECIDED).getFirst().fields())
 			.contains(new NoticeField(FieldName.REASON, "PLACE"), new NoticeField(FieldName.VERDICT, "HELD"));
@@ -500,8 +512,8 @@
 		RelayFixture relay = RelayFixture.ready();
 		relay.readFromLog();
 		LedgerEntry first = new LedgerEntry.Reserved("t1", "p", 100, "", List.of(), false);
-		LedgerEntry second = RelayFixture.kept("t1", null);
-		relay.told(first, second);
+		LedgerEntry second = RelayFixture.settledTurn("t1", null);
+		relay.readFromPeer(first, second);
 		assertThat(notices(relay.readFromLog(), NoticeCode.ENTRIES_ADOPTED)).isEmpty();
 		List<RelayEffect> adopted = readForFourSeconds(relay);
 		assertThat(RelayFixture.written(adopted)).containsExactly(first, second);
@@ -515,18 +527,18 @@
 	@Test
 	void copiesInTheLogAreMeasured() {
 		RelayFixture relay = RelayFixture.ready();
-		LedgerEntry turn = RelayFixture.kept("t1", null);
-		relay.told(turn);
-		assertThat(copies(relay.told(turn))).isEmpty();
+		LedgerEntry turn = RelayFixture.settledTurn("t1", null);
+		relay.readFromPeer(turn);
+		assertThat(copies(relay.readFromPeer(turn))).isEmpty();
 		assertThat(copies(relay.readFromLog(turn))).isEmpty();
-		assertThat(copies(relay.told(turn))).isEmpty();
+		assertThat(copies(relay.readFromPeer(turn))).isEmpty();
 		assertThat(copies(relay.readFromLog(turn, turn)))
 			.containsExactly(new Measurement.LogCopies(Measurement.LogCopies.Kind.SETTLED, 2));
 		assertThat(copies(relay.readFromLog())).isEmpty();
 	}
 
 	private static List<Measurement> copies(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.RecordMeasurement.class)
+		return RelayFixture.ofType(effects, RelayEffect.RecordMeasurement.class)
 			.stream()
 			.map(RelayEffect.RecordMeasurement::measurement)
 			.filter(Measurement.LogCopies.class::isInstance)
@@ -536,14 +548,14 @@
 	private static List<RelayEffect> readForFourSeconds(RelayFixture relay) {
 		List<RelayEffect> effects = new ArrayList<>();
 		for (int second = 0; second < 4; second++) {
-			relay.pass(1000);
+			relay.advance(1000);
 			effects.addAll(relay.readFromLog());
 		}
 		return effects;
 	}
 
 	private static List<Notice> notices(List<RelayEffect> effects, NoticeCode code) {
-		return RelayFixture.of(effects, RelayEffect.WriteNotice.class)
+		return RelayFixture.ofType(effects, RelayEffect.WriteNotice.class)
 			.stream()
 			.map(RelayEffect.WriteNotice::notice)
 			.filter((notice) -> notice.code() == code)
@@ -556,10 +568,10 @@
 	@Test
 	void oneRelayAfterTheOtherIsAskedForAPlace() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
-		relay.askTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		relay.on(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, true, 2));
-		assertThat(relay.on(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, true, 2))).isEmpty();
+		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
+		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
+		relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, true, 2));
+		assertThat(relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, true, 2))).isEmpty();
 		assertThat(relay.remind(TimerKind.BUDGET_DECISION))
 			.contains(new RelayEffect.RequestLogReservation("b", "t1", "p", 100, 100));
 		assertThat(refusal(relay.remind(TimerKind.BUDGET_DECISION))).contains(Refusal.LOG_LOST);
@@ -568,23 +580,23 @@
 	@Test
 	void placeInTheLogIsGotForAnotherRelay() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.told(new LedgerEntry.Reserved("t1", "p", 100, "", List.of(), false));
+		relay.readFromPeer(new LedgerEntry.Reserved("t1", "p", 100, "", List.of(), false));
 		List<RelayEffect> asked = relay
-			.on(new RelayEvent.ReservationRequested(relay.now(), "peer", "t1", "p", 100, 100, true));
+			.handle(new RelayEvent.ReservationRequested(relay.now(), "peer", "t1", "p", 100, 100, true));
 		List<RelayEffect> read = relay.readFromLog(RelayFixture.written(asked).toArray(new LedgerEntry[0]));
-		assertThat(RelayFixture.of(read, RelayEffect.SendLogDecision.class))
+		assertThat(RelayFixture.ofType(read, RelayEffect.SendLogDecision.class))
 			.containsExactly(new RelayEffect.SendLogDecision("peer", "t1", true));
 	}
 
 	@Test
 	void questionIsAnsweredWithAllThatIsTakenAndWhatTheLogHasNotShown() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
+		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		LedgerEntry settled = new LedgerEntry.Settled("t0", "p", 30, Optional.empty());
 		LedgerEntry reserved = new LedgerEntry.Reserved("t1", "p", 100, "", List.of(), false);
-		relay.told(settled);
-		relay.told(reserved);
-		assertThat(relay.on(new RelayEvent.ReservationRequested(relay.now(), "peer", "t1", "p", 100, 400, false)))
+		relay.readFromPeer(settled);
+		relay.readFromPeer(reserved);
+		assertThat(relay.handle(new RelayEvent.ReservationRequested(relay.now(), "peer", "t1", "p", 100, 400, false)))
 			.containsExactly(
 					new RelayEffect.SendUsage("peer", "t1", 130, 130, false, List.of(settled, reserved), List.of()));
 	}
@@ -592,11 +604,11 @@
 	@Test
 	void relayThatMayMissTurnsAnswersNoQuestion() {
 		RelayFixture woken = RelayFixture.ready();
-		woken.on(new RelayEvent.ProcessResumed(woken.now(), Duration.ofSeconds(4)));
-		assertThat(woken.on(new RelayEvent.ReservationRequested(woken.now(), "peer", "t1", "p", 100, 400, false)))
+		woken.handle(new RelayEvent.ProcessResumed(woken.now(), Duration.ofSeconds(4)));
+		assertThat(woken.handle(new RelayEvent.ReservationRequested(woken.now(), "peer", "t1", "p", 100, 400, false)))
 			.containsExactly(new RelayEffect.SendUsageUnavailable("peer", "t1"));
-		RelayFixture lost = RelayFixture.readyAfterLoss();
-		assertThat(lost.on(new RelayEvent.ReservationRequested(lost.now(), "peer", "t1", "p", 100, 400, false)))
+		RelayFixture lost = RelayFixture.readyAfterRestart();
+		assertThat(lost.handle(new RelayEvent.ReservationRequested(lost.now(), "peer", "t1", "p", 100, 400, false)))
 			.containsExactly(new RelayEffect.SendUsageUnavailable("peer", "t1"));
 	}
 
@@ -606,13 +618,13 @@
 	// until a majority has told this relay what it knows.
 	@Test
 	void relayThatMayMissTurnsKeepsBackHalfOfABudget() {
-		RelayFixture relay = RelayFixture.readyAfterLoss();
+		RelayFixture relay = RelayFixture.readyAfterRestart();
 		relay.readFromLog(new LedgerEntry.Settled("t0", "p", 310, Optional.empty()));
-		assertThat(refusal(relay.askTurn("t1", "draft", RelayFixture.turn("p", 600, 150, null))))
+		assertThat(refusal(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 600, 150, null))))
 			.contains(Refusal.BUDGET_SPENT);
-		relay.on(new RelayEvent.SyncCompleted(relay.now(), "a", 2));
-		relay.on(new RelayEvent.SyncCompleted(relay.now(), "b", 2));
-		assertThat(refusal(relay.askTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
+		relay.handle(new RelayEvent.SyncCompleted(relay.now(), "a", 2));
+		relay.handle(new RelayEvent.SyncCompleted(relay.now(), "b", 2));
+		assertThat(refusal(relay.sendTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
 	}
 
 	// A relay is frozen for seconds, and a looping program spends its budget elsewhere. A
@@ -621,22 +633,22 @@
 	@Test
 	void wokenRelayDecidesOnTurnsWhenItHasReadTheLog() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect> woken = relay.on(new RelayEvent.ProcessResumed(relay.now(), Duration.ofSeconds(4)));
-		assertThat(RelayFixture.of(woken, RelayEffect.CatchUp.class)).hasSize(1);
-		assertThat(sends(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)))).isEmpty();
+		List<RelayEffect> woken = relay.handle(new RelayEvent.ProcessResumed(relay.now(), Duration.ofSeconds(4)));
+		assertThat(RelayFixture.ofType(woken, RelayEffect.CatchUp.class)).hasSize(1);
+		assertThat(sends(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)))).isEmpty();
 		relay.readFromLog(new LedgerEntry.Settled("t0", "p", 1000, Optional.empty()));
-		List<RelayEffect> caughtUp = relay.on(RelayFixture.caughtUp(relay.now()));
+		List<RelayEffect> caughtUp = relay.handle(RelayFixture.caughtUp(relay.now()));
 		assertThat(refusal(caughtUp)).contains(Refusal.BUDGET_SPENT);
-		assertThat(sends(relay.askTurn("t2", "draft", RelayFixture.turn("q", 1000, 100, null)))).hasSize(1);
+		assertThat(sends(relay.sendTurn("t2", "draft", RelayFixture.turn("q", 1000, 100, null)))).hasSize(1);
 	}
 
 	@Test
 	void wokenRelayThatCannotReadTheLogRefusesTurnsAsNotRun() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ProcessResumed(relay.now(), Duration.ofSeconds(4)));
-		relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null));
+		relay.handle(new RelayEvent.ProcessResumed(relay.now(), Duration.ofSeconds(4)));
+		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null));
 		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).contains(Refusal.NOT_READY);
-		assertThat(sends(relay.ask("r1", "look"))).hasSize(1);
+		assertThat(sends(relay.sendRequest("r1", "look"))).hasSize(1);
 	}
 
 	// A relay that is cut off from the log and from all relays can't see what a program
@@ -644,23 +656,23 @@
 	@Test
 	void isolatedRelayRunsNoTurns() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.NOTHING));
-		assertThat(refusal(relay.askTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null))))
+		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.NOTHING));
+		assertThat(refusal(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null))))
 			.contains(Refusal.ISOLATED);
-		assertThat(sends(relay.ask("r1", "look"))).hasSize(1);
+		assertThat(sends(relay.sendRequest("r1", "look"))).hasSize(1);
 	}
 
 	@Test
 	void tokensThatACallerWasGivenCountWhenItsStreamBreaks() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
+		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.event(1, 1);
 		relay.event(1, 2);
 		List<RelayEffect> effects = relay.fail(1, FailureCause.BROKEN);
 		assertThat(RelayFixture.settled(effects).tokens()).isEqualTo(2 * RelayFixture.TOKENS_PER_EVENT);
 		assertThat(RelayFixture.settled(effects).text()).isEmpty();
-		assertThat(RelayFixture.of(effects, RelayEffect.AbortConnection.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(effects, RelayEffect.AbortConnection.class)).hasSize(1);
 	}
 
 	// An upstream dies in the middle of a stream that may be resumed. The caller sees one
@@ -668,15 +680,15 @@
 	@Test
 	void resumableStreamGoesOnElsewhereAfterItsLastEvent() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "draft");
+		relay.sendRequest("r1", "draft");
 		relay.open(1);
 		relay.event(1, 1);
 		relay.event(1, 2);
 		RelayEffect.SendRequest again = sends(relay.fail(1, FailureCause.BROKEN)).getFirst();
 		assertThat(again.lastEvent()).hasValue(2);
-		assertThat(RelayFixture.of(relay.open(2), RelayEffect.OpenStream.class)).isEmpty();
-		assertThat(RelayFixture.of(relay.event(2, 2), RelayEffect.ForwardStreamEvent.class)).isEmpty();
-		assertThat(RelayFixture.of(relay.event(2, 3), RelayEffect.ForwardStreamEvent.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(relay.open(2), RelayEffect.OpenStream.class)).isEmpty();
+		assertThat(RelayFixture.ofType(relay.event(2, 2), RelayEffect.ForwardStreamEvent.class)).isEmpty();
+		assertThat(RelayFixture.ofType(relay.event(2, 3), RelayEffect.ForwardStreamEvent.class)).hasSize(1);
 		assertThat(ends(relay.end(2))).hasSize(1);
 	}
 
@@ -685,21 +697,22 @@
 	@Test
 	void idempotentRequestLeavesASilentUpstream() {
 		RelayFixture relay = RelayFixture.ready();
-		String first = sends(relay.ask("r1", "look")).getFirst().upstream().id();
-		relay.pass(200);
+		String first = sends(relay.sendRequest("r1", "look")).getFirst().upstream().id();
+		relay.advance(200);
 		List<RelayEffect> effects = relay.remind(TimerKind.UPSTREAM_IDLE);
-		assertThat(RelayFixture.of(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
 		assertThat(sends(effects)).singleElement()
 			.satisfies((send) -> assertThat(send.upstream().id()).isNotEqualTo(first));
-		assertThat(relay.answer(1, RelayFixture.SIGNED)).isEmpty();
-		assertThat(RelayFixture.of(relay.answer(2, RelayFixture.SIGNED), RelayEffect.SendResponse.class)).hasSize(1);
+		assertThat(relay.respond(1, RelayFixture.SIGNED)).isEmpty();
+		assertThat(RelayFixture.ofType(relay.respond(2, RelayFixture.SIGNED), RelayEffect.SendResponse.class))
+			.hasSize(1);
 	}
 
 	@Test
 	void requestThatRunsOnceStaysWithASilentUpstream() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect> asked = relay.ask("r1", "order");
-		assertThat(RelayFixture.of(asked, RelayEffect.StartTimer.class)).extracting(RelayEffect.StartTimer::timer)
+		List<RelayEffect> asked = relay.sendRequest("r1", "order");
+		assertThat(RelayFixture.ofType(asked, RelayEffect.StartTimer.class)).extracting(RelayEffect.StartTimer::timer)
 			.containsExactly(TimerKind.DEADLINE);
 	}
 
@@ -709,12 +722,12 @@
 	void requestStaysWhereItWaitsIfAllUpstreamsAreFull() {
 		RelayFixture relay = RelayFixture.ready();
 		for (int i = 0; i < 3 * 6; i++) {
-			relay.ask("r" + i, "look");
+			relay.sendRequest("r" + i, "look");
 		}
-		relay.pass(200);
+		relay.advance(200);
 		List<RelayEffect> effects = relay.remind(TimerKind.UPSTREAM_IDLE);
 		assertThat(sends(effects)).isEmpty();
-		assertThat(RelayFixture.of(effects, RelayEffect.StartTimer.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(effects, RelayEffect.StartTimer.class)).hasSize(1);
 	}
 
 	// A stream that may be resumed falls silent after its second event: it goes on at
@@ -722,14 +735,14 @@
 	@Test
 	void resumableStreamLeavesASilentUpstreamAfterItsLastEvent() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "draft");
+		relay.sendRequest("r1", "draft");
 		relay.open(1);
-		relay.pass(700);
+		relay.advance(700);
 		relay.event(1, 1);
 		relay.event(1, 2);
-		relay.pass(300);
+		relay.advance(300);
 		assertThat(sends(relay.remind(TimerKind.UPSTREAM_IDLE))).isEmpty();
-		relay.pass(700);
+		relay.advance(700);
 		RelayEffect.SendRequest again = sends(relay.remind(TimerKind.UPSTREAM_IDLE)).getFirst();
 		assertThat(again.lastEvent()).hasValue(2);
 	}
@@ -737,28 +750,31 @@
 	@Test
 	void streamWithAMissingEventIsNotPassedOnAsIfWhole() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
+		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.event(1, 1);
 		List<RelayEffect> effects = relay.event(1, 3);
-		assertThat(RelayFixture.of(effects, RelayEffect.ForwardStreamEvent.class)).isEmpty();
-		assertThat(RelayFixture.of(effects, RelayEffect.AbortConnection.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(effects, RelayEffect.ForwardStreamEvent.class)).isEmpty();
+		assertThat(RelayFixture.ofType(effects, RelayEffect.AbortConnection.class)).hasSize(1);
 	}
 
 	private static List<RelayEffect.SendRequest> sends(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.SendRequest.class);
+		return RelayFixture.ofType(effects, RelayEffect.SendRequest.class);
 	}
 
 	private static List<RelayEffect.EndStream> ends(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.EndStream.class);
+		return RelayFixture.ofType(effects, RelayEffect.EndStream.class);
 	}
 
 	private static RelayEffect.Refuse refuse(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.Refuse.class).getFirst();
+		return RelayFixture.ofType(effects, RelayEffect.Refuse.class).getFirst();
 	}
 
 	private static Optional<Refusal> refusal(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.Refuse.class).stream().map(RelayEffect.Refuse::refusal).findFirst();
+		return RelayFixture.ofType(effects, RelayEffect.Refuse.class)
+			.stream()
+			.map(RelayEffect.Refuse::refusal)
+			.findFirst();
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/ResponseRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ResponseRulesTests.java
@@ -16,11 +16,12 @@
 	@Test
 	void delayOfTheRelayItselfIsNotTheSilenceOfAnUpstream() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "look");
-		relay.pass(700);
+		relay.sendRequest("r1", "look");
+		relay.advance(700);
 		List<RelayEffect> late = relay.remind(TimerKind.UPSTREAM_IDLE);
-		assertThat(RelayFixture.of(late, RelayEffect.SendRequest.class)).isEmpty();
-		assertThat(RelayFixture.of(relay.answer(1, RelayFixture.SIGNED), RelayEffect.SendResponse.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(late, RelayEffect.SendRequest.class)).isEmpty();
+		assertThat(RelayFixture.ofType(relay.respond(1, RelayFixture.SIGNED), RelayEffect.SendResponse.class))
+			.hasSize(1);
 	}
 
 	// The grace ends: an upstream that is still silent when the relay has caught up is
@@ -28,13 +29,14 @@
 	@Test
 	void upstreamThatIsSilentWhenTheRelayIsOnTimeAgainIsLeft() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "look");
-		relay.pass(700);
+		relay.sendRequest("r1", "look");
+		relay.advance(700);
 		RelayEffect.StartTimer again = RelayFixture
-			.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.StartTimer.class)
+			.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.StartTimer.class)
 			.getFirst();
-		relay.pass(again.delay().toMillis());
-		assertThat(RelayFixture.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class)).hasSize(1);
+		relay.advance(again.delay().toMillis());
+		assertThat(RelayFixture.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class))
+			.hasSize(1);
 	}
 
 	// The link of a relay is full, so that each answer reaches it after one and a half
@@ -50,14 +52,15 @@
 			answerAfter(relay, "w" + i, 300);
 		}
 		long asked = relay.now();
-		relay.ask("r", "look");
-		relay.pass(200);
+		relay.sendRequest("r", "look");
+		relay.advance(200);
 		RelayEffect.StartTimer again = RelayFixture
-			.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.StartTimer.class)
+			.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.StartTimer.class)
 			.getFirst();
-		relay.pass(again.delay().toMillis());
+		relay.advance(again.delay().toMillis());
 		assertThat(relay.now() - asked).isGreaterThan(300);
-		assertThat(RelayFixture.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class))
+			.hasSize(1);
 	}
 
 	// Answers that come soon make no relay less patient than its route says.
@@ -67,11 +70,12 @@
 		for (int i = 0; i < 20; i++) {
 			answerAfter(relay, "w" + i, 5);
 		}
-		relay.ask("r", "look");
-		relay.pass(199);
-		assertThat(RelayFixture.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class)).isEmpty();
-		relay.pass(1);
-		assertThat(RelayFixture.of(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class)).hasSize(1);
+		relay.sendRequest("r", "look");
+		relay.advance(199);
+		assertThat(RelayFixture.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class)).isEmpty();
+		relay.advance(1);
+		assertThat(RelayFixture.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class))
+			.hasSize(1);
 	}
 
 	// All timers of a relay run 30 ms late, as on a machine with a quarter of a core. An
@@ -80,22 +84,24 @@
 	@Test
 	void upstreamThatIsSilentIsLeftByARelayThatIsAlwaysLate() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.ask("r1", "look");
+		relay.sendRequest("r1", "look");
 		long asked = relay.now();
-		relay.pass(230);
+		relay.advance(230);
 		List<RelayEffect> effects = relay.remind(TimerKind.UPSTREAM_IDLE);
-		while (RelayFixture.of(effects, RelayEffect.SendRequest.class).isEmpty() && relay.now() - asked < 2_000) {
-			relay.pass(RelayFixture.of(effects, RelayEffect.StartTimer.class).getFirst().delay().toMillis() + 30);
+		while (RelayFixture.ofType(effects, RelayEffect.SendRequest.class).isEmpty() && relay.now() - asked < 2_000) {
+			relay
+				.advance(RelayFixture.ofType(effects, RelayEffect.StartTimer.class).getFirst().delay().toMillis() + 30);
 			effects = relay.remind(TimerKind.UPSTREAM_IDLE);
 		}
-		assertThat(RelayFixture.of(effects, RelayEffect.SendRequest.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(effects, RelayEffect.SendRequest.class)).hasSize(1);
 		assertThat(relay.now() - asked).isLessThan(4 * 230);
 	}
 
 	private static void answerAfter(RelayFixture relay, String id, long milliseconds) {
-		relay.ask(id, "look");
-		relay.pass(milliseconds);
-		assertThat(RelayFixture.of(relay.answer(1, RelayFixture.SIGNED), RelayEffect.SendResponse.class)).hasSize(1);
+		relay.sendRequest(id, "look");
+		relay.advance(milliseconds);
+		assertThat(RelayFixture.ofType(relay.respond(1, RelayFixture.SIGNED), RelayEffect.SendResponse.class))
+			.hasSize(1);
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TeamTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TeamTests.java
@@ -21,7 +21,7 @@
 			teams.put(KeyDigest.of("key of " + name), new Team(name, OptionalInt.empty(), Optional.empty()));
 		}
 		RouteTable plain = RelayFixture.table();
-		this.relay.on(new RelayEvent.RouteTableUpdated(this.relay.now(),
+		this.relay.handle(new RelayEvent.RouteTableUpdated(this.relay.now(),
 				new RouteTable(2, plain.routes(), plain.services(), plain.limits(), Optional.of(new Teams(teams)))));
 		this.relay.all.clear();
 	}
@@ -31,13 +31,13 @@
 	void keyThatNoTeamHoldsIsRefused() {
 		assertThat(refusal(ask("r1", "look", Optional.of("key of nobody"), null))).isEqualTo(Refusal.KEY_UNKNOWN);
 		assertThat(refusal(ask("r2", "look", Optional.empty(), null))).isEqualTo(Refusal.KEY_UNKNOWN);
-		assertThat(RelayFixture.of(this.relay.all, RelayEffect.SendRequest.class)).isEmpty();
+		assertThat(RelayFixture.ofType(this.relay.all, RelayEffect.SendRequest.class)).isEmpty();
 	}
 
 	@Test
 	void upstreamReceivesTheTeam() {
 		RelayEffect.SendRequest send = RelayFixture
-			.of(ask("r1", "look", Optional.of("key of red"), null), RelayEffect.SendRequest.class)
+			.ofType(ask("r1", "look", Optional.of("key of red"), null), RelayEffect.SendRequest.class)
 			.getFirst();
 		assertThat(send.caller()).isInstanceOfSatisfying(CallerIdentity.OfTeam.class,
 				(of) -> assertThat(of.team().name()).isEqualTo("red"));
@@ -53,9 +53,9 @@
 		this.relay.stored("red/t1");
 		List<RelayEffect> other = ask("t2", "chat", Optional.of("key of blue"),
 				RelayFixture.turn("p", 1000, 100, "t1"));
-		assertThat(RelayFixture.of(other, RelayEffect.SendRequest.class)).isEmpty();
+		assertThat(RelayFixture.ofType(other, RelayEffect.SendRequest.class)).isEmpty();
 		List<RelayEffect> own = ask("t3", "chat", Optional.of("key of red"), RelayFixture.turn("p", 1000, 100, "t1"));
-		assertThat(RelayFixture.of(own, RelayEffect.SendRequest.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(own, RelayEffect.SendRequest.class)).hasSize(1);
 	}
 
 	// Two teams give programs the same name, and the one's turns are counted in the
@@ -71,7 +71,7 @@
 
 	private int sends(String key, String turn) {
 		return RelayFixture
-			.of(ask(turn, "draft", Optional.of(key), RelayFixture.turn("p", 600, 100, null)),
+			.ofType(ask(turn, "draft", Optional.of(key), RelayFixture.turn("p", 600, 100, null)),
 					RelayEffect.SendRequest.class)
 			.size();
 	}
@@ -84,7 +84,7 @@
 
 	private List<RelayEffect> ask(String id, String route, Optional<String> key, RequestHead.Turn turn) {
 		RequestHead plain = RelayFixture.head(id, route, Optional.ofNullable(turn));
-		return this.relay.ask(
+		return this.relay.sendRequest(
 				new RequestHead(id, plain.host(), plain.path(), plain.callerTimeout(), plain.turn(), List.of(), 0,
 						OptionalLong.empty(), Optional.empty(),
 						new RequestHead.Origin(plain.turn().map(RequestHead.Turn::program), key.map(KeyDigest::of))),
@@ -92,7 +92,7 @@
 	}
 
 	private static Refusal refusal(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.Refuse.class).getFirst().refusal();
+		return RelayFixture.ofType(effects, RelayEffect.Refuse.class).getFirst().refusal();
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
@@ -16,9 +16,10 @@
 	@Test
 	void turnIsGivenItsWholeChain() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.TextsReceived(relay.now(), List.of(RelayFixture.text("t1", null, "in1;", "out1;"),
-				RelayFixture.text("t2", "t1", "in2;", "out2;"))));
-		RelayEffect.SendRequest send = sends(relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2")))
+		relay.handle(
+				new RelayEvent.TextsReceived(relay.now(), List.of(RelayFixture.turnText("t1", null, "in1;", "out1;"),
+						RelayFixture.turnText("t2", "t1", "in2;", "out2;"))));
+		RelayEffect.SendRequest send = sends(relay.sendTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2")))
 			.getFirst();
 		assertThat(new String(send.prefix())).isEqualTo("in1;out1;in2;out2;");
 	}
@@ -29,7 +30,7 @@
 	void turnThatNoRecordHoldsIsRefused() {
 		RelayFixture relay = RelayFixture.ready();
 		RequestHead head = RelayFixture.head("t1", "chat", Optional.of(RelayFixture.turn("p", 1000, 100, null)));
-		assertThat(refusal(relay.ask(head, "x".repeat(1001)))).contains(Refusal.TOO_LONG);
+		assertThat(refusal(relay.sendRequest(head, "x".repeat(1001)))).contains(Refusal.TOO_LONG);
 	}
 
 	// The turn before ended at another relay a moment ago, and word of it is on the way
@@ -37,14 +38,14 @@
 	@Test
 	void turnWaitsForTheTextBeforeIt() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect> first = relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
+		List<RelayEffect> first = relay.sendTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
 		assertThat(sends(first)).isEmpty();
-		assertThat(RelayFixture.of(first, RelayEffect.ReadLog.class)).hasSize(1);
-		List<RelayEffect> told = relay.told(RelayFixture.kept("t1", null));
+		assertThat(RelayFixture.ofType(first, RelayEffect.ReadLog.class)).hasSize(1);
+		List<RelayEffect> told = relay.readFromPeer(RelayFixture.settledTurn("t1", null));
 		assertThat(sends(told)).isEmpty();
-		assertThat(RelayFixture.of(told, RelayEffect.ReadText.class)).hasSize(1);
-		assertThat(sends(relay.on(new RelayEvent.TextRead(relay.now(), "t1",
-				Optional.of(RelayFixture.text("t1", null, "in;", "out;").text())))))
+		assertThat(RelayFixture.ofType(told, RelayEffect.ReadText.class)).hasSize(1);
+		assertThat(sends(relay.handle(new RelayEvent.TextRead(relay.now(), "t1",
+				Optional.of(RelayFixture.turnText("t1", null, "in;", "out;").text())))))
 			.hasSize(1);
 	}
 
@@ -56,19 +57,20 @@
 	void relayWithoutTheLogAsksTheKeepersWhereATextIs() {
 		RelayFixture relay = RelayFixture.ready();
 		List<Member> members = List.of(Member.of("a"), Member.of("b"), Member.of("c"));
-		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
-		relay.on(new RelayEvent.MembershipUpdated(relay.now(), members));
-		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
-		List<RelayEffect> asked = relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
-		assertThat(RelayFixture.of(asked, RelayEffect.RequestTextLocations.class)).singleElement().satisfies((ask) -> {
-			assertThat(ask.peers()).containsExactlyInAnyOrder("a", "b", "c");
-			assertThat(ask.request()).isEqualTo("t2");
-		});
-		assertThat(RelayFixture.of(asked, RelayEffect.ReadLog.class)).isEmpty();
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(new RelayEvent.MembershipUpdated(relay.now(), members));
+		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
+		List<RelayEffect> asked = relay.sendTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
+		assertThat(RelayFixture.ofType(asked, RelayEffect.RequestTextLocations.class)).singleElement()
+			.satisfies((ask) -> {
+				assertThat(ask.peers()).containsExactlyInAnyOrder("a", "b", "c");
+				assertThat(ask.request()).isEqualTo("t2");
+			});
+		assertThat(RelayFixture.ofType(asked, RelayEffect.ReadLog.class)).isEmpty();
 		TextLocation place = new TextLocation(Optional.empty(), 9, 5, 17, Optional.of("b"));
 		List<RelayEffect> told = relay
-			.on(new RelayEvent.TextLocationsReceived(relay.now(), "a", List.of(new TurnLocation("t2", place))));
-		assertThat(RelayFixture.of(told, RelayEffect.RequestTexts.class))
+			.handle(new RelayEvent.TextLocationsReceived(relay.now(), "a", List.of(new TurnLocation("t2", place))));
+		assertThat(RelayFixture.ofType(told, RelayEffect.RequestTexts.class))
 			.containsExactly(new RelayEffect.RequestTexts("b", List.of("t2")));
 	}
 
@@ -80,21 +82,21 @@
 	@Test
 	void keepersAreAskedWhereATextIsWhileTheLogIsRead() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ListenerStarted(relay.now(), "own"));
-		relay.on(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"))));
-		List<RelayEffect> asked = relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
-		assertThat(RelayFixture.of(asked, RelayEffect.RequestTextLocations.class)).hasSize(1);
-		assertThat(RelayFixture.of(asked, RelayEffect.ReadLog.class)).hasSize(1);
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"))));
+		List<RelayEffect> asked = relay.sendTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
+		assertThat(RelayFixture.ofType(asked, RelayEffect.RequestTextLocations.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(asked, RelayEffect.ReadLog.class)).hasSize(1);
 	}
 
 	@Test
 	void keeperTellsWhereTheTextsOfAChainAre() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.told(RelayFixture.kept("t1", null), RelayFixture.kept("t2", "t1"));
-		assertThat(relay.on(new RelayEvent.TextLocationsRequested(relay.now(), "peer", "t2"))).containsExactly(
-				new RelayEffect.SendTextLocations("peer", List.of(new TurnLocation("t2", RelayFixture.place("t1")),
-						new TurnLocation("t1", RelayFixture.place(null)))));
-		assertThat(relay.on(new RelayEvent.TextLocationsRequested(relay.now(), "peer", "t9"))).isEmpty();
+		relay.readFromPeer(RelayFixture.settledTurn("t1", null), RelayFixture.settledTurn("t2", "t1"));
+		assertThat(relay.handle(new RelayEvent.TextLocationsRequested(relay.now(), "peer", "t2"))).containsExactly(
+				new RelayEffect.SendTextLocations("peer", List.of(new TurnLocation("t2", RelayFixture.location("t1")),
+						new TurnLocation("t1", RelayFixture.location(null)))));
+		assertThat(relay.handle(new RelayEvent.TextLocationsRequested(relay.now(), "peer", "t9"))).isEmpty();
 	}
 
 	// The turn before is not found in time. It may exist where this relay can't see it,
@@ -103,7 +105,7 @@
 	@Test
 	void turnWhoseChainIsNotFoundIsCalledUncertain() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
+		relay.sendTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
 		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).contains(Refusal.TURN_UNCERTAIN);
 	}
 
@@ -112,26 +114,27 @@
 	@Test
 	void endOfAKeptTurnWaitsForTheLog() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
+		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
-		assertThat(RelayFixture.of(relay.event(1, 1), RelayEffect.ForwardStreamEvent.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(relay.event(1, 1), RelayEffect.ForwardStreamEvent.class)).hasSize(1);
 		List<RelayEffect> atEnd = relay.end(1);
-		assertThat(RelayFixture.of(atEnd, RelayEffect.EndStream.class)).isEmpty();
-		assertThat(RelayFixture.of(atEnd, RelayEffect.StoreText.class)).singleElement()
+		assertThat(RelayFixture.ofType(atEnd, RelayEffect.EndStream.class)).isEmpty();
+		assertThat(RelayFixture.ofType(atEnd, RelayEffect.StoreText.class)).singleElement()
 			.satisfies((store) -> assertThat(new String(store.text().output())).isEqualTo("piece 1\n"));
-		assertThat(RelayFixture.settled(atEnd).text().map(TextLocation::partition)).contains(RelayFixture.PART);
-		assertThat(ends(relay.on(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1"))))).isEmpty();
-		assertThat(ends(relay.on(textsStored(relay, "t1")))).hasSize(1);
+		assertThat(RelayFixture.settled(atEnd).text().map(TextLocation::partition))
+			.contains(RelayFixture.TEXT_PARTITION);
+		assertThat(ends(relay.handle(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1"))))).isEmpty();
+		assertThat(ends(relay.handle(textsStored(relay, "t1")))).hasSize(1);
 	}
 
 	@Test
 	void endOfAKeptTurnWaitsForTheEntryThatTellsWhereItsTextIs() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
+		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.end(1);
-		assertThat(ends(relay.on(textsStored(relay, "t1")))).isEmpty();
-		assertThat(ends(relay.on(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1"))))).hasSize(1);
+		assertThat(ends(relay.handle(textsStored(relay, "t1")))).isEmpty();
+		assertThat(ends(relay.handle(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1"))))).hasSize(1);
 	}
 
 	// The store turns this relay away and serves others. The turn's end waits for the log
@@ -140,13 +143,13 @@
 	@Test
 	void endOfAKeptTurnThatCannotBeWrittenHereWaitsForHelp() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
+		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.end(1);
 		List<RelayEffect> due = relay.remind(TimerKind.LOG_WRITE);
-		assertThat(RelayFixture.of(due, RelayEffect.RequestTurnWrite.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(due, RelayEffect.RequestTurnWrite.class)).hasSize(1);
 		assertThat(ends(due)).isEmpty();
-		assertThat(ends(relay.on(new RelayEvent.TurnWritesAcknowledged(relay.now(), Set.of("t1"))))).hasSize(1);
+		assertThat(ends(relay.handle(new RelayEvent.TurnWritesAcknowledged(relay.now(), Set.of("t1"))))).hasSize(1);
 	}
 
 	// Where the relay knows already that it does not reach the log, nothing is gained by
@@ -154,10 +157,10 @@
 	@Test
 	void relayWithoutTheLogAsksForHelpAtOnce() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
-		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
+		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
+		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
-		List<RelayEffect.StartTimer> reminds = RelayFixture.of(relay.end(1), RelayEffect.StartTimer.class);
+		List<RelayEffect.StartTimer> reminds = RelayFixture.ofType(relay.end(1), RelayEffect.StartTimer.class);
 		assertThat(reminds).singleElement()
 			.satisfies((remind) -> assertThat(remind.delay()).isEqualTo(RelaySettings.TELLING));
 	}
@@ -166,13 +169,14 @@
 	void helpIsGivenOnceAndTold() {
 		RelayFixture relay = RelayFixture.ready();
 		RelayEvent.TurnWriteRequested asked = helpAsked(relay, "t1");
-		List<RelayEffect> helping = relay.on(asked);
+		List<RelayEffect> helping = relay.handle(asked);
 		assertThat(RelayFixture.settled(helping).tokens()).isEqualTo(10);
-		assertThat(RelayFixture.settled(helping).text().map(TextLocation::partition)).contains(RelayFixture.PART);
-		assertThat(RelayFixture.of(helping, RelayEffect.StoreText.class)).hasSize(1);
-		assertThat(relay.on(asked)).isEmpty();
-		assertThat(relay.on(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1")))).isEmpty();
-		assertThat(relay.on(textsStored(relay, "t1")))
+		assertThat(RelayFixture.settled(helping).text().map(TextLocation::partition))
+			.contains(RelayFixture.TEXT_PARTITION);
+		assertThat(RelayFixture.ofType(helping, RelayEffect.StoreText.class)).hasSize(1);
+		assertThat(relay.handle(asked)).isEmpty();
+		assertThat(relay.handle(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1")))).isEmpty();
+		assertThat(relay.handle(textsStored(relay, "t1")))
 			.containsExactly(new RelayEffect.AcknowledgeTurnWrite("peer", "t1"));
 	}
 
@@ -181,10 +185,10 @@
 	@Test
 	void relayWhoseLogIsSlowGivesNoHelp() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.TextsStored(relay.now(), Set.of(), 20, Duration.ofMillis(240)));
-		assertThat(relay.on(helpAsked(relay, "t1"))).isEmpty();
-		relay.on(new RelayEvent.TextsStored(relay.now(), Set.of(), 21, Duration.ofMillis(9)));
-		assertThat(relay.on(helpAsked(relay, "t1"))).isNotEmpty();
+		relay.handle(new RelayEvent.TextsStored(relay.now(), Set.of(), 20, Duration.ofMillis(240)));
+		assertThat(relay.handle(helpAsked(relay, "t1"))).isEmpty();
+		relay.handle(new RelayEvent.TextsStored(relay.now(), Set.of(), 21, Duration.ofMillis(9)));
+		assertThat(relay.handle(helpAsked(relay, "t1"))).isNotEmpty();
 	}
 
 	// A relay that helped has another place for the text than its own relay had told
@@ -197,8 +201,8 @@
 		TextLocation helpers = new TextLocation(Optional.empty(), 9, 2, 20);
 		relay.readFromLog(new LedgerEntry.Settled("t1", "p", 10, Optional.of(own)));
 		relay.readFromLog(new LedgerEntry.Settled("t1", "p", 10, Optional.of(helpers)));
-		List<RelayEffect> effects = relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
-		assertThat(RelayFixture.of(effects, RelayEffect.ReadText.class))
+		List<RelayEffect> effects = relay.sendTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
+		assertThat(RelayFixture.ofType(effects, RelayEffect.ReadText.class))
 			.containsExactly(new RelayEffect.ReadText("t1", List.of(helpers, own)));
 	}
 
@@ -208,18 +212,19 @@
 	@Test
 	void textIsAskedOfTheRelayThatRanItsTurnAndReadFromTheLogIfItDoesNotAnswer() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.PeerConnected(relay.now(), "teller"));
-		relay.told(RelayFixture.kept("t1", null), RelayFixture.kept("t2", "t1"));
-		List<RelayEffect> effects = relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
-		assertThat(RelayFixture.of(effects, RelayEffect.RequestTexts.class))
+		relay.handle(new RelayEvent.PeerConnected(relay.now(), "teller"));
+		relay.readFromPeer(RelayFixture.settledTurn("t1", null), RelayFixture.settledTurn("t2", "t1"));
+		List<RelayEffect> effects = relay.sendTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
+		assertThat(RelayFixture.ofType(effects, RelayEffect.RequestTexts.class))
 			.containsExactly(new RelayEffect.RequestTexts("teller", List.of("t2", "t1")));
-		assertThat(RelayFixture.of(effects, RelayEffect.ReadText.class)).isEmpty();
-		relay.on(new RelayEvent.TextsReceived(relay.now(), List.of(RelayFixture.text("t2", "t1", "in2;", "out2;"))));
+		assertThat(RelayFixture.ofType(effects, RelayEffect.ReadText.class)).isEmpty();
+		relay.handle(
+				new RelayEvent.TextsReceived(relay.now(), List.of(RelayFixture.turnText("t2", "t1", "in2;", "out2;"))));
 		List<RelayEffect> due = relay.remind(TimerKind.TEXT_FETCH);
-		assertThat(RelayFixture.of(due, RelayEffect.ReadText.class)).singleElement()
+		assertThat(RelayFixture.ofType(due, RelayEffect.ReadText.class)).singleElement()
 			.satisfies((read) -> assertThat(read.request()).isEqualTo("t1"));
-		List<RelayEffect> read = relay.on(new RelayEvent.TextRead(relay.now(), "t1",
-				Optional.of(RelayFixture.text("t1", null, "in1;", "out1;").text())));
+		List<RelayEffect> read = relay.handle(new RelayEvent.TextRead(relay.now(), "t1",
+				Optional.of(RelayFixture.turnText("t1", null, "in1;", "out1;").text())));
 		assertThat(new String(sends(read).getFirst().prefix())).isEqualTo("in1;out1;in2;out2;");
 	}
 
@@ -228,24 +233,24 @@
 	// ready, and refuses turns whose texts are kept, as not run.
 	@Test
 	void relayThatDoesNotKnowWhereItsTextsGoTakesNoTurnsWhoseTextsAreKept() {
-		RelayFixture relay = RelayFixture.beforeTexts();
-		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class)).isEmpty();
-		assertThat(refusal(relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null))))
+		RelayFixture relay = RelayFixture.beforeTextOffset();
+		assertThat(RelayFixture.ofType(relay.all, RelayEffect.ReportReadiness.class)).isEmpty();
+		assertThat(refusal(relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null))))
 			.contains(Refusal.NOT_READY);
-		assertThat(sends(relay.askTurn("t2", "draft", RelayFixture.turn("p", 10_000, 100, null)))).hasSize(1);
-		assertThat(relay.on(helpAsked(relay, "t0"))).isEmpty();
-		relay.on(new RelayEvent.TextsStored(relay.now(), Set.of(), 0, Duration.ZERO));
-		assertThat(RelayFixture.of(relay.all, RelayEffect.ReportReadiness.class))
+		assertThat(sends(relay.sendTurn("t2", "draft", RelayFixture.turn("p", 10_000, 100, null)))).hasSize(1);
+		assertThat(relay.handle(helpAsked(relay, "t0"))).isEmpty();
+		relay.handle(new RelayEvent.TextsStored(relay.now(), Set.of(), 0, Duration.ZERO));
+		assertThat(RelayFixture.ofType(relay.all, RelayEffect.ReportReadiness.class))
 			.containsExactly(new RelayEffect.ReportReadiness(true));
-		assertThat(sends(relay.askTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, null)))).hasSize(1);
+		assertThat(sends(relay.sendTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, null)))).hasSize(1);
 	}
 
 	@Test
 	void relayThatRanATurnSendsItsTextToWhoAsks() {
 		RelayFixture relay = RelayFixture.ready();
-		TurnText text = RelayFixture.text("t1", null, "in;", "out;");
-		relay.on(new RelayEvent.TextsReceived(relay.now(), List.of(text)));
-		assertThat(relay.on(new RelayEvent.TextsRequested(relay.now(), "peer", Set.of("t1", "t0"))))
+		TurnText text = RelayFixture.turnText("t1", null, "in;", "out;");
+		relay.handle(new RelayEvent.TextsReceived(relay.now(), List.of(text)));
+		assertThat(relay.handle(new RelayEvent.TextsRequested(relay.now(), "peer", Set.of("t1", "t0"))))
 			.containsExactly(new RelayEffect.SendTexts("peer", List.of(text)));
 	}
 
@@ -256,8 +261,8 @@
 	@Test
 	void turnWhoseTextsAreOnTheWayIsWaitedForLonger() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.readFromLog(RelayFixture.kept("t1", null));
-		relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
+		relay.readFromLog(RelayFixture.settledTurn("t1", null));
+		relay.sendTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
 		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).isEmpty();
 		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).contains(Refusal.TURN_UNCERTAIN);
 	}
@@ -265,10 +270,10 @@
 	@Test
 	void turnThatIsNotStoredInTimeIsBrokenOff() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
+		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.end(1);
-		assertThat(RelayFixture.of(relay.remind(TimerKind.DEADLINE), RelayEffect.AbortConnection.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(relay.remind(TimerKind.DEADLINE), RelayEffect.AbortConnection.class)).hasSize(1);
 	}
 
 	// The log was slow for this relay once, and it has kept no turn since. Minutes later
@@ -277,9 +282,9 @@
 	@Test
 	void relayWhoseLogWasSlowLongAgoGivesHelp() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.TextsStored(relay.now(), Set.of(), 20, Duration.ofMillis(240)));
-		relay.pass(Duration.ofMinutes(5).toMillis());
-		assertThat(relay.on(helpAsked(relay, "t1"))).isNotEmpty();
+		relay.handle(new RelayEvent.TextsStored(relay.now(), Set.of(), 20, Duration.ofMillis(240)));
+		relay.advance(Duration.ofMinutes(5).toMillis());
+		assertThat(relay.handle(helpAsked(relay, "t1"))).isNotEmpty();
 	}
 
 	// Memory is full and the text of a turn that waits for the log leaves it. The store
@@ -288,12 +293,13 @@
 	@Test
 	void helpIsAskedForATurnWhoseTextLeftMemory() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.askTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
+		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.end(1);
-		relay.on(new RelayEvent.TextsReceived(relay.now(),
-				List.of(RelayFixture.text("other", null, "x".repeat(1_000_000), ""))));
-		assertThat(RelayFixture.of(relay.remind(TimerKind.LOG_WRITE), RelayEffect.RequestTurnWrite.class)).hasSize(1);
+		relay.handle(new RelayEvent.TextsReceived(relay.now(),
+				List.of(RelayFixture.turnText("other", null, "x".repeat(1_000_000), ""))));
+		assertThat(RelayFixture.ofType(relay.remind(TimerKind.LOG_WRITE), RelayEffect.RequestTurnWrite.class))
+			.hasSize(1);
 	}
 
 	// One relay wrote the turn for the one that ran it, and the log shows both entries.
@@ -304,12 +310,14 @@
 	void placeThatTheLogShowsIsNotForgottenForPlacesThatWereOnlyTold() {
 		RelayFixture relay = RelayFixture.ready();
 		TextLocation helpers = new TextLocation(Optional.empty(), 9, 2, 20);
-		relay.readFromLog(RelayFixture.kept("t1", null));
+		relay.readFromLog(RelayFixture.settledTurn("t1", null));
 		relay.readFromLog(new LedgerEntry.Settled("t1", "p", 10, Optional.of(helpers)));
-		relay.told(new LedgerEntry.Settled("t1", "p", 10, Optional.of(new TextLocation(Optional.empty(), 9, 6, 30))));
-		relay.told(new LedgerEntry.Settled("t1", "p", 10, Optional.of(new TextLocation(Optional.empty(), 9, 7, 40))));
-		List<RelayEffect> effects = relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
-		assertThat(RelayFixture.of(effects, RelayEffect.ReadText.class)).singleElement()
+		relay.readFromPeer(
+				new LedgerEntry.Settled("t1", "p", 10, Optional.of(new TextLocation(Optional.empty(), 9, 6, 30))));
+		relay.readFromPeer(
+				new LedgerEntry.Settled("t1", "p", 10, Optional.of(new TextLocation(Optional.empty(), 9, 7, 40))));
+		List<RelayEffect> effects = relay.sendTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
+		assertThat(RelayFixture.ofType(effects, RelayEffect.ReadText.class)).singleElement()
 			.satisfies((read) -> assertThat(read.locations()).contains(helpers));
 	}
 
@@ -318,20 +326,20 @@
 	@Test
 	void textIsAskedOfTheRelayThatRanItsTurnAfterAnotherToldOfItToo() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.on(new RelayEvent.PeerConnected(relay.now(), "teller"));
-		relay.on(new RelayEvent.PeerConnected(relay.now(), "other"));
-		relay.told(RelayFixture.kept("t1", null));
-		relay.on(new RelayEvent.EntriesReceived(relay.now(), List.of(RelayFixture.kept("t1", null)),
+		relay.handle(new RelayEvent.PeerConnected(relay.now(), "teller"));
+		relay.handle(new RelayEvent.PeerConnected(relay.now(), "other"));
+		relay.readFromPeer(RelayFixture.settledTurn("t1", null));
+		relay.handle(new RelayEvent.EntriesReceived(relay.now(), List.of(RelayFixture.settledTurn("t1", null)),
 				Optional.of("other")));
-		List<RelayEffect> effects = relay.askTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
-		assertThat(RelayFixture.of(effects, RelayEffect.RequestTexts.class))
+		List<RelayEffect> effects = relay.sendTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
+		assertThat(RelayFixture.ofType(effects, RelayEffect.RequestTexts.class))
 			.containsExactly(new RelayEffect.RequestTexts("teller", List.of("t1")));
 	}
 
 	private static RelayEvent.TurnWriteRequested helpAsked(RelayFixture relay, String request) {
 		return new RelayEvent.TurnWriteRequested(relay.now(), "peer",
 				new LedgerEntry.Settled(request, "p", 10, Optional.empty()),
-				RelayFixture.text(request, null, "in;", "out;").text());
+				RelayFixture.turnText(request, null, "in;", "out;").text());
 	}
 
 	private static RelayEvent.TextsStored textsStored(RelayFixture relay, String request) {
@@ -339,15 +347,18 @@
 	}
 
 	private static List<RelayEffect.SendRequest> sends(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.SendRequest.class);
+		return RelayFixture.ofType(effects, RelayEffect.SendRequest.class);
 	}
 
 	private static List<RelayEffect.EndStream> ends(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.EndStream.class);
+		return RelayFixture.ofType(effects, RelayEffect.EndStream.class);
 	}
 
 	private static Optional<Refusal> refusal(List<RelayEffect> effects) {
-		return RelayFixture.of(effects, RelayEffect.Refuse.class).stream().map(RelayEffect.Refuse::refusal).findFirst();
+		return RelayFixture.ofType(effects, RelayEffect.Refuse.class)
+			.stream()
+			.map(RelayEffect.Refuse::refusal)
+			.findFirst();
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TurnCacheTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TurnCacheTests.java
@@ -19,7 +19,7 @@
 		TextLocation place = new TextLocation(Optional.empty(), 9, 5, 17, Optional.of("ran it"));
 		turns.recordLocation("t1", place, Optional.of("told it"));
 		assertThat(turns.origin("t1")).contains("ran it");
-		turns.recordLocation("t2", RelayFixture.place(null), Optional.of("told it"));
+		turns.recordLocation("t2", RelayFixture.location(null), Optional.of("told it"));
 		assertThat(turns.origin("t2")).contains("told it");
 	}
 
@@ -46,7 +46,7 @@
 	@Test
 	void textsThatWereNotAskedForGoFirst() {
 		TurnCache turns = new TurnCache(4);
-		turns.recordLocation("a", RelayFixture.place(null), Optional.of("x"));
+		turns.recordLocation("a", RelayFixture.location(null), Optional.of("x"));
 		turns.add("a", turn(null, "1", "2"));
 		turns.add("b", turn(null, "3", "4"));
 		turns.chain("b");
@@ -61,9 +61,9 @@
 	@Test
 	void turnsOfAChainWhoseTextsAreMissingAreNamedFromTheNewestOn() {
 		TurnCache turns = new TurnCache(1000);
-		turns.recordLocation("a", RelayFixture.place(null), Optional.empty());
+		turns.recordLocation("a", RelayFixture.location(null), Optional.empty());
 		turns.add("b", turn("a", "3", "4"));
-		turns.recordLocation("c", RelayFixture.place("b"), Optional.empty());
+		turns.recordLocation("c", RelayFixture.location("b"), Optional.empty());
 		assertThat(turns.chain("c")).isEqualTo(new Chain.Incomplete(List.of("c", "a")));
 	}
 
@@ -73,7 +73,7 @@
 	@Test
 	void turnThatLeadsBackToItselfIsUnknown() {
 		TurnCache turns = new TurnCache(1000);
-		turns.recordLocation("a", RelayFixture.place("b"), Optional.empty());
+		turns.recordLocation("a", RelayFixture.location("b"), Optional.empty());
 		turns.add("b", turn("a", "1", "2"));
 		assertThat(turns.chain("a")).isEqualTo(new Chain.Unknown());
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UnloggedEntriesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UnloggedEntriesTests.java
@@ -19,7 +19,7 @@
 
 	private final UnloggedEntries entries = new UnloggedEntries(0);
 
-	private final LedgerEntry entry = RelayFixture.kept("t", null);
+	private final LedgerEntry entry = RelayFixture.settledTurn("t", null);
 
 	@Test
 	void entryIsOverdueOnceTheLogHadItsTime() {
@@ -60,7 +60,7 @@
 		LedgerEntry reserved = new LedgerEntry.Reserved("r", "p", 7, "", List.of(), false);
 		LedgerEntry settled = new LedgerEntry.Settled("s", "p", 5, Optional.empty());
 		LedgerEntry other = new LedgerEntry.Settled("o", "q", 5, Optional.empty());
-		LedgerEntry kept = RelayFixture.kept("k", null);
+		LedgerEntry kept = RelayFixture.settledTurn("k", null);
 		List.of(reserved, kept, settled, other).forEach((entry) -> this.entries.told(entry, "x", 0));
 		assertThat(this.entries.of("p")).containsExactly(reserved, kept, settled);
 		assertThat(this.entries.all()).containsExactly(reserved, kept, settled, other);
@@ -113,7 +113,7 @@
 			linked.remove(own);
 			UnloggedEntries others = new UnloggedEntries(random.nextLong(RelaySettings.ADOPTION_SPREAD.toMillis()));
 			IntStream.range(0, entriesTold)
-				.forEach((turn) -> others.told(RelayFixture.kept("t" + turn, null), "p0", 0));
+				.forEach((turn) -> others.told(RelayFixture.settledTurn("t" + turn, null), "p0", 0));
 			for (long now = 0; now <= 4_000; now += 80) {
 				others.overdue(own, linked, ALL, now).forEach((entry) -> written.add(entry.request()));
 			}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UpstreamsTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UpstreamsTests.java
@@ -18,12 +18,12 @@
 	// to read from the start, and be passed over for runs that are gone.
 	@Test
 	void nothingIsBelievedOfANewLifeThatWasOfTheOneBefore() {
-		this.upstreams.put(RelayFixture.born("a", "s", 10));
+		this.upstreams.put(RelayFixture.withStartTime("a", "s", 10));
 		Upstreams.UpstreamState before = this.upstreams.find("a").orElseThrow();
 		before.addToCache(PROMPT, 1000);
 		before.recordFailure(5);
 		this.upstreams.requestStarted("r", before, 5);
-		this.upstreams.put(RelayFixture.born("a", "s", 11));
+		this.upstreams.put(RelayFixture.withStartTime("a", "s", 11));
 		Upstreams.UpstreamState now = this.upstreams.find("a").orElseThrow();
 		assertThat(now.uncachedTokens(PROMPT)).isEqualTo(500);
 		assertThat(now.load(5)).isZero();
@@ -32,9 +32,9 @@
 
 	@Test
 	void beliefOfALifeStaysWhileItOnlyChangesItsState() {
-		this.upstreams.put(RelayFixture.born("a", "s", 10));
+		this.upstreams.put(RelayFixture.withStartTime("a", "s", 10));
 		this.upstreams.find("a").orElseThrow().addToCache(PROMPT, 1000);
-		this.upstreams.put(RelayFixture.born("a", "s", 10));
+		this.upstreams.put(RelayFixture.withStartTime("a", "s", 10));
 		assertThat(this.upstreams.find("a").orElseThrow().uncachedTokens(PROMPT)).isZero();
 	}
 
@@ -43,8 +43,8 @@
 	// upstream would be called at an address that it has left.
 	@Test
 	void claimOfAnEarlierLifeChangesNothing() {
-		this.upstreams.put(RelayFixture.born("a", "s", 10));
-		assertThat(this.upstreams.put(RelayFixture.born("a", "other", 9))).isFalse();
+		this.upstreams.put(RelayFixture.withStartTime("a", "s", 10));
+		assertThat(this.upstreams.put(RelayFixture.withStartTime("a", "other", 9))).isFalse();
 		assertThat(this.upstreams.put(RelayFixture.upstream("a", "other"))).isFalse();
 		assertThat(this.upstreams.find("a").orElseThrow().upstream().service()).isEqualTo("s");
 	}
@@ -108,8 +108,8 @@
 
 	@Test
 	void earlierLifeIsNotFoundByItsName() {
-		this.upstreams.put(RelayFixture.born("a", "s", 10));
-		this.upstreams.put(RelayFixture.born("a", "s", 11));
+		this.upstreams.put(RelayFixture.withStartTime("a", "s", 10));
+		this.upstreams.put(RelayFixture.withStartTime("a", "s", 11));
 		assertThat(this.upstreams.findIncarnation("a@10")).isEmpty();
 		assertThat(this.upstreams.findIncarnation("a@11")).isPresent();
 		this.upstreams.remove("a");
