--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitReply.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitReply.java
@@ -8,26 +8,27 @@
  * Immutable answer to a {@link PermitRequest}.
  *
  * @param team the name of the team
- * @param number the number of the request
+ * @param requestId the number of the request
  * @param permits the permits for programs under way, those ahead of need included
- * @param admitted of each program that began, whether it is admitted, with one permit
+ * @param admissions of each program that began, whether it is admitted, with one permit
  * @param retryAfter after what time the team's quota has room again
  */
-public record PermitReply(String team, long number, int permits, List<Boolean> admitted, Duration retryAfter) {
+public record PermitReply(String team, long requestId, int permits, List<Boolean> admissions, Duration retryAfter) {
 
 	/**
 	 * Creates an answer.
 	 * @param team the name of the team
-	 * @param number the number of the request
+	 * @param requestId the number of the request
 	 * @param permits the permits for programs under way, those ahead of need included
-	 * @param admitted of each program that began, whether it is admitted, with one permit
+	 * @param admissions of each program that began, whether it is admitted, with one
+	 * permit
 	 * @param retryAfter after what time the team's quota has room again
 	 */
 	public PermitReply {
-		admitted = List.copyOf(admitted);
+		admissions = List.copyOf(admissions);
 	}
 
-	static List<Boolean> admitted(boolean[] each) {
+	static List<Boolean> admissions(boolean[] each) {
 		List<Boolean> all = new ArrayList<>(each.length);
 		for (boolean next : each) {
 			all.add(next);
@@ -40,7 +41,7 @@
 	 * @return the number
 	 */
 	public int total() {
-		return this.permits + (int) this.admitted.stream().filter(Boolean::booleanValue).count();
+		return this.permits + (int) this.admissions.stream().filter(Boolean::booleanValue).count();
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitRequest.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitRequest.java
@@ -7,36 +7,36 @@
  * Programs are named by digests.
  *
  * @param team the name of the team
- * @param number distinguishes the answer from others of the same relay
+ * @param requestId distinguishes the answer from others of the same relay
  * @param quota the quota of the team, as far as the relay that asks knows
- * @param wanted the permits for requests that wait and whose programs are under way
- * @param ahead the permits that are asked for beyond that
- * @param returned permits of earlier answers that ended unspent
- * @param underWay the programs of these requests, as far as they have one
- * @param beginning the programs that wait to be admitted, one for each permit
+ * @param required the permits for requests that wait and whose programs are under way
+ * @param prefetch the permits that are asked for beyond that
+ * @param expired permits of earlier answers that ended unspent
+ * @param activePrograms the programs of these requests, as far as they have one
+ * @param newPrograms the programs that wait to be admitted, one for each permit
  */
-public record PermitRequest(String team, long number, Quota quota, int wanted, int ahead, int returned,
-		List<Integer> underWay, List<Integer> beginning) {
+public record PermitRequest(String team, long requestId, Quota quota, int required, int prefetch, int expired,
+		List<Integer> activePrograms, List<Integer> newPrograms) {
 
 	/**
 	 * Creates a request for permits.
 	 * @param team the name of the team
-	 * @param number distinguishes the answer from others of the same relay
+	 * @param requestId distinguishes the answer from others of the same relay
 	 * @param quota the quota of the team, as far as the relay that asks knows
-	 * @param wanted the permits for requests that wait and whose programs are under way
-	 * @param ahead the permits that are asked for beyond that
-	 * @param returned permits of earlier answers that ended unspent
-	 * @param underWay the programs of these requests, as far as they have one
-	 * @param beginning the programs that wait to be admitted, one for each permit
+	 * @param required the permits for requests that wait and whose programs are under way
+	 * @param prefetch the permits that are asked for beyond that
+	 * @param expired permits of earlier answers that ended unspent
+	 * @param activePrograms the programs of these requests, as far as they have one
+	 * @param newPrograms the programs that wait to be admitted, one for each permit
 	 */
 	public PermitRequest {
-		underWay = List.copyOf(underWay);
-		beginning = List.copyOf(beginning);
+		activePrograms = List.copyOf(activePrograms);
+		newPrograms = List.copyOf(newPrograms);
 	}
 
 	/**
 	 * Returns a request for nothing, whose answer shows that the other relay lives.
-	 * @param number distinguishes the answer from others of the same relay
+	 * @param requestId distinguishes the answer from others of the same relay
 	 * @return the request
 	 */
 	public static PermitRequest probe(long number) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/QuotaTolerance.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/QuotaTolerance.java
@@ -7,10 +7,10 @@
  * requests than (rate x window + burst) x (1 + over) + slack are run.
  *
  * @param window the length of the sliding window
- * @param over the share by which a limit may be passed
+ * @param overshoot the share by which a limit may be passed
  * @param slack the requests by which a limit may be passed besides
  */
-public record QuotaTolerance(Duration window, double over, double slack) {
+public record QuotaTolerance(Duration window, double overshoot, double slack) {
 
 	/**
 	 * The part of the slack by which the bucket that counts for a team is larger than the
@@ -58,8 +58,8 @@
 	 * @param quota the quota
 	 * @return the permits over all relays
 	 */
-	double ahead(Quota quota) {
-		return AHEAD_PART * this.slack + AHEAD_OVER_PART * this.over * limit(quota);
+	double maxPrefetched(Quota quota) {
+		return AHEAD_PART * this.slack + AHEAD_OVER_PART * this.overshoot * limit(quota);
 	}
 
 	/**
@@ -67,7 +67,7 @@
 	 * granted before, it can't know.
 	 * @return the permits
 	 */
-	double beginning() {
+	double initialPermits() {
 		return Math.max(1, BEGINNING_PART * this.slack);
 	}
 
@@ -81,7 +81,7 @@
 	 * @return the requests
 	 */
 	public double bound(Quota quota) {
-		return limit(quota) * (1 + this.over) + this.slack;
+		return limit(quota) * (1 + this.overshoot) + this.slack;
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBucket.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBucket.java
@@ -85,21 +85,21 @@
 	 */
 	PermitReply grant(Quota current, PermitRequest ask, long now) {
 		refill(current, now);
-		giveBack(ask.returned());
+		giveBack(ask.expired());
 		int granted = 0;
-		for (int program : ask.underWay()) {
+		for (int program : ask.activePrograms()) {
 			progress(program, now).lastAt = now;
 		}
-		while (granted < ask.wanted() && take()) {
+		while (granted < ask.required() && take()) {
 			granted++;
 		}
-		count(ask.underWay(), granted);
-		boolean[] admitted = new boolean[ask.beginning().size()];
+		count(ask.activePrograms(), granted);
+		boolean[] admitted = new boolean[ask.newPrograms().size()];
 		for (int i = 0; i < admitted.length; i++) {
-			admitted[i] = admit(ask.beginning().get(i), now);
+			admitted[i] = admit(ask.newPrograms().get(i), now);
 		}
-		int more = (granted == ask.wanted()) ? grantAhead(ask.ahead(), now) : 0;
-		return new PermitReply(ask.team(), ask.number(), granted + more, PermitReply.admitted(admitted),
+		int more = (granted == ask.required()) ? grantAhead(ask.prefetch(), now) : 0;
+		return new PermitReply(ask.team(), ask.requestId(), granted + more, PermitReply.admissions(admitted),
 				retryAfter(now));
 	}
 
@@ -182,7 +182,7 @@
 
 	private int grantAhead(int wanted, long now) {
 		double spare = Math.min(this.level - this.tolerance.capacity(this.quota) / 2,
-				this.tolerance.ahead(this.quota) - this.outstanding);
+				this.tolerance.maxPrefetched(this.quota) - this.outstanding);
 		int granted = (int) Math.max(0, Math.min(wanted, spare));
 		if (granted > 0) {
 			this.level -= granted;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBuckets.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBuckets.java
@@ -67,13 +67,13 @@
 		if (counted == null || counted.first() != first || ended) {
 			double added = first ? quota.ratePerSecond() * (now - this.changedAt) / MILLISECONDS_OF_SECOND : 0;
 			counted = new Counted(first,
-					new TeamBucket(this.tolerance, quota, this.tolerance.beginning() + added, now));
+					new TeamBucket(this.tolerance, quota, this.tolerance.initialPermits() + added, now));
 			this.buckets.put(ask.team(), counted);
 		}
 		Quota granted = (standing == Standing.DOUBTFUL)
-				? new Quota(quota.ratePerSecond() * this.tolerance.over() * DOUBTFUL_PART, quota.burst()) : quota;
+				? new Quota(quota.ratePerSecond() * this.tolerance.overshoot() * DOUBTFUL_PART, quota.burst()) : quota;
 		PermitReply reply = counted.bucket().grant(granted, ask, now);
-		int asked = ask.wanted() + ask.beginning().size();
+		int asked = ask.required() + ask.newPrograms().size();
 		for (int refused = reply.total(); refused < asked; refused++) {
 			counted.bucket().refused();
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
@@ -60,7 +60,7 @@
 		if (taken + turn.maxTokens() > budget.getAsLong()) {
 			return Admission.REFUSED;
 		}
-		long atOnce = (long) RelaySettings.TURNS_AT_ONCE * turn.maxTokens();
+		long atOnce = (long) RelaySettings.ASSUMED_CONCURRENT_TURNS * turn.maxTokens();
 		return (taken + atOnce <= boundAlone(turn, budget.getAsLong())) ? Admission.ADMITTED : Admission.CONTENDING;
 	}
 
@@ -123,7 +123,7 @@
 		if (!others.isEmpty()) {
 			this.state.emit(new RelayEffect.RequestReservation(others, exchange.id(), turn.program(), turn.maxTokens(),
 					turn.budget().orElseThrow()));
-			remind(exchange, poll, RelaySettings.KEEPERS_WAIT);
+			remind(exchange, poll, RelaySettings.REPLICA_TIMEOUT);
 		}
 		return byKeepers(exchange, poll);
 	}
@@ -184,7 +184,7 @@
 		Turn turn = exchange.head().turn().orElseThrow();
 		this.state.contending.put(exchange.id(), exchange.number());
 		this.state.write(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), true));
-		this.state.remind(exchange, RelaySettings.ORDER_PATIENCE, TimerKind.BUDGET_DECISION);
+		this.state.remind(exchange, RelaySettings.LOG_DECISION_TIMEOUT, TimerKind.BUDGET_DECISION);
 	}
 
 	/**
@@ -206,7 +206,7 @@
 		this.state.write(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), false));
 		this.state.emit(new RelayEffect.RequestReservation(List.of(), exchange.id(), turn.program(), turn.maxTokens(),
 				turn.budget().orElseThrow()));
-		remind(exchange, poll, RelaySettings.RELAYS_WAIT);
+		remind(exchange, poll, RelaySettings.QUORUM_TIMEOUT);
 	}
 
 	private void remind(Exchange exchange, Poll poll, Duration delay) {
@@ -240,7 +240,7 @@
 		}
 		if (poll != null && (poll.log() || this.state.reach == Connectivity.LOG) && poll.extend()) {
 			askPlace(exchange, poll);
-			remind(exchange, poll, RelaySettings.ORDER_WAIT);
+			remind(exchange, poll, RelaySettings.FINAL_LOG_DECISION_TIMEOUT);
 			return;
 		}
 		this.ends.budgetUndecided(exchange);
@@ -275,7 +275,7 @@
 		if (poll.seesKeepers()) {
 			return poll.taken() <= budget;
 		}
-		long atOnce = (long) RelaySettings.TURNS_AT_ONCE * turn.maxTokens();
+		long atOnce = (long) RelaySettings.ASSUMED_CONCURRENT_TURNS * turn.maxTokens();
 		return this.state.tokens.takenWithout(turn.program(), poll.request()) + atOnce <= budget + turn.maxTokens();
 	}
 
@@ -377,7 +377,8 @@
 			// The ordinary case, which the placing of the turn tells.
 			return;
 		}
-		this.state.report(RelayNotices.decided(exchange, by, (poll != null) ? poll.answers() : 0, held, this.state));
+		this.state
+			.report(RelayNotices.turnDecided(exchange, by, (poll != null) ? poll.answers() : 0, held, this.state));
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
@@ -72,7 +72,7 @@
 		this.route = route;
 		this.caller = caller;
 		this.head = team().map(asked.head()::scopedTo).orElse(asked.head());
-		this.id = team().map((team) -> team.scoped(asked.head().id())).orElse(asked.head().id());
+		this.id = team().map((team) -> team.scopedId(asked.head().id())).orElse(asked.head().id());
 		this.lastEvent = route.resumable() ? asked.head().lastEvent() : OptionalLong.empty();
 		Duration patience = asked.head().callerTimeout().orElse(route.timeout());
 		Duration longest = (patience.compareTo(route.timeout()) < 0) ? patience : route.timeout();
@@ -304,7 +304,7 @@
 		this.eventCount++;
 		this.lastActivityAt = event.now();
 		this.lastEvent = OptionalLong.of(event.number());
-		if (this.route.keepsTurns()) {
+		if (this.route.storesTurns()) {
 			this.output.writeBytes(event.data());
 			this.output.write('\n');
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeCompletion.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeCompletion.java
@@ -26,24 +26,24 @@
 	}
 
 	void refuseWithoutExchange(RelayEvent.RequestReceived asked, Refusal refusal, Optional<Duration> comeBack) {
-		this.state.report(RelayNotices.refused(asked.head(), refusal));
+		this.state.report(RelayNotices.requestRefused(asked.head(), refusal));
 		this.state.emit(new RelayEffect.Refuse(asked.exchange(), refusal, comeBack));
 	}
 
 	void refuse(Exchange exchange, Refusal refusal, Optional<Duration> comeBack) {
-		this.state.report(RelayNotices.refused(exchange, refusal, this.state));
+		this.state.report(RelayNotices.requestRefused(exchange, refusal, this.state));
 		recordOutcome(exchange, Outcome.REFUSED);
 		close(exchange, new RelayEffect.Refuse(exchange.number(), refusal, comeBack));
 	}
 
 	void abort(Exchange exchange, Refusal reason) {
-		this.state.report(RelayNotices.brokenOff(exchange, reason, this.state.now));
+		this.state.report(RelayNotices.streamAborted(exchange, reason, this.state.now));
 		recordOutcome(exchange, Outcome.BROKEN_OFF);
 		close(exchange, new RelayEffect.AbortConnection(exchange.number()));
 	}
 
 	void endStream(Exchange exchange) {
-		this.state.report(RelayNotices.answered(exchange, ResponseHead.SUCCESS, this.state.now));
+		this.state.report(RelayNotices.requestAnswered(exchange, ResponseHead.SUCCESS, this.state.now));
 		recordOutcome(exchange, Outcome.ANSWERED);
 		close(exchange, new RelayEffect.EndStream(exchange.number()));
 	}
@@ -83,7 +83,7 @@
 			return;
 		}
 		boolean worthAnother = refusal.verdict() == Verdict.NOT_RUN;
-		refuse(exchange, refusal, worthAnother ? Optional.of(RelaySettings.COME_BACK) : Optional.empty());
+		refuse(exchange, refusal, worthAnother ? Optional.of(RelaySettings.RETRY_AFTER) : Optional.empty());
 	}
 
 	void settle(Exchange exchange, Optional<TextLocation> text) {
@@ -119,14 +119,14 @@
 			cancelAttempt(exchange);
 			settle(exchange, Optional.empty());
 		}
-		this.state.report(RelayNotices.callerLeft(exchange, this.state.now));
+		this.state.report(RelayNotices.callerDisconnected(exchange, this.state.now));
 		recordOutcome(exchange, Outcome.CALLER_LEFT);
 		remove(exchange);
 	}
 
 	void deadlineExceeded(Exchange exchange) {
 		switch (exchange.phase()) {
-			case WAITING_FOR_PERMIT -> refuse(exchange, Refusal.QUOTA_UNKNOWN, Optional.of(RelaySettings.COME_BACK));
+			case WAITING_FOR_PERMIT -> refuse(exchange, Refusal.QUOTA_UNKNOWN, Optional.of(RelaySettings.RETRY_AFTER));
 			case WAITING_FOR_CHAIN -> chainTimedOut(exchange);
 			case WAITING_FOR_BUDGET -> budgetUndecided(exchange);
 			case RUNNING -> {
@@ -150,7 +150,7 @@
 	void chainTimedOut(Exchange exchange) {
 		if (exchange.phase() == Phase.WAITING_FOR_CHAIN) {
 			Refusal reason = this.state.stale ? Refusal.NOT_READY : Refusal.TURN_UNCERTAIN;
-			refuse(exchange, reason, Optional.of(RelaySettings.COME_BACK));
+			refuse(exchange, reason, Optional.of(RelaySettings.RETRY_AFTER));
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
@@ -33,7 +33,8 @@
 			switch (entry) {
 				case LedgerEntry.Reserved reserved -> reserved(reserved, read.fromLog());
 				case LedgerEntry.Settled settled -> settledElsewhere(settled, read.sender());
-				case LedgerEntry.Blamed blamed -> this.state.blames.add(blamed.digest(), blamed.upstream());
+				case LedgerEntry.Blamed blamed ->
+					this.state.poisonRequests.recordFailure(blamed.digest(), blamed.upstream());
 			}
 		}
 		if (read.fromLog()) {
@@ -75,9 +76,9 @@
 	}
 
 	void caughtUp(RelayEvent.CaughtUp event) {
-		this.state.report(RelayNotices.caughtUp(event));
+		this.state.report(RelayNotices.logCaughtUp(event));
 		if (!this.state.caughtUp && event.idle().isPresent()) {
-			this.state.logWasRecent = event.idle().get().compareTo(RelaySettings.RECENT) < 0;
+			this.state.logWasRecent = event.idle().get().compareTo(RelaySettings.RECENT_WRITE_AGE) < 0;
 		}
 		this.state.caughtUpAt = event.now();
 		this.state.caughtUp = true;
@@ -89,7 +90,7 @@
 	}
 
 	private void adopt() {
-		if (this.state.now - this.state.logReadAt > RelaySettings.LOG_GAP.toMillis()) {
+		if (this.state.now - this.state.logReadAt > RelaySettings.LOG_OUTAGE_THRESHOLD.toMillis()) {
 			this.state.unlogged.logBack(this.state.now);
 		}
 		this.state.logReadAt = this.state.now;
@@ -97,7 +98,7 @@
 				this.state.now);
 		overdue.forEach(this.state::write);
 		if (!overdue.isEmpty()) {
-			this.state.report(RelayNotices.adopted(overdue.size()));
+			this.state.report(RelayNotices.entriesAdopted(overdue.size()));
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Blames.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/PoisonRequests.java
@@ -9,7 +9,7 @@
  * upstreams is held to be the cause: it is not sent again, while requests beside it, each
  * with another content, go on. Bounded: the oldest are forgotten. Used by one thread.
  */
-final class Blames {
+final class PoisonRequests {
 
 	/**
 	 * The broken lives after which a request is stopped: what the users' rules name as
@@ -21,14 +21,14 @@
 
 	private final LinkedHashMap<Long, Set<String>> lives = new LinkedHashMap<>();
 
-	void add(long digest, String upstream) {
+	void recordFailure(long digest, String upstream) {
 		this.lives.computeIfAbsent(digest, (key) -> new HashSet<>()).add(upstream);
 		if (this.lives.size() > BOUND) {
 			this.lives.pollFirstEntry();
 		}
 	}
 
-	boolean stopped(long digest) {
+	boolean isPoison(long digest) {
 		return this.lives.getOrDefault(digest, Set.of()).size() >= LIMIT;
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -95,7 +95,7 @@
 			return true;
 		}
 		if (!this.state.membershipKnown()) {
-			this.ends.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.COME_BACK_WHEN_READ));
+			this.ends.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.RETRY_AFTER_LOG_READ));
 			return false;
 		}
 		TeamQueue queue = this.queues.computeIfAbsent(team.get().name(), TeamQueue::new);
@@ -129,7 +129,7 @@
 		if (rank >= counting.size()) {
 			queue.pending = Optional.empty();
 			for (Exchange exchange : List.copyOf(queue.waiting.values())) {
-				refuse(queue, exchange, Refusal.QUOTA_UNKNOWN, RelaySettings.COME_BACK);
+				refuse(queue, exchange, Refusal.QUOTA_UNKNOWN, RelaySettings.RETRY_AFTER);
 			}
 			return;
 		}
@@ -187,7 +187,9 @@
 	}
 
 	private Optional<Quota> quota(String team) {
-		return this.state.table.flatMap(RouteTable::teams).flatMap((teams) -> teams.named(team)).flatMap(Team::quota);
+		return this.state.table.flatMap(RouteTable::teams)
+			.flatMap((teams) -> teams.findByName(team))
+			.flatMap(Team::quota);
 	}
 
 	private boolean suspected(String relay) {
@@ -208,13 +210,13 @@
 
 	/**
 	 * Takes another relay's request for permits.
-	 * @param asked the request
+	 * @param permitsRequested the request
 	 */
-	void asked(RelayEvent.PermitsRequested asked) {
+	void permitsRequested(RelayEvent.PermitsRequested asked) {
 		PermitRequest ask = asked.request();
 		if (ask.isProbe()) {
 			this.state.emit(new RelayEffect.GrantPermits(asked.peer(),
-					new PermitReply(ask.team(), ask.number(), 0, List.of(), Duration.ZERO)));
+					new PermitReply(ask.team(), ask.requestId(), 0, List.of(), Duration.ZERO)));
 			return;
 		}
 		List<String> counting = counting(ask.team());
@@ -249,9 +251,9 @@
 
 	/**
 	 * Takes the answer of the relay that counts for a team.
-	 * @param granted the answer
+	 * @param permitsGranted the answer
 	 */
-	void granted(RelayEvent.PermitsGranted granted) {
+	void permitsGranted(RelayEvent.PermitsGranted granted) {
 		this.suspects.remove(granted.peer());
 		this.probes.remove(granted.peer());
 		replied(granted.peer(), granted.reply());
@@ -262,15 +264,15 @@
 		if (queue == null) {
 			return;
 		}
-		if (queue.pending.isEmpty() || queue.pending.get().number() != reply.number()) {
+		if (queue.pending.isEmpty() || queue.pending.get().number() != reply.requestId()) {
 			queue.permits.add(peer, reply.total(), this.state.now);
 			return;
 		}
 		Pending answered = queue.pending.get();
 		queue.pending = Optional.empty();
 		queue.permits.add(peer, reply.permits(), this.state.now);
-		for (int i = 0; i < Math.min(answered.beginning().size(), reply.admitted().size()); i++) {
-			began(queue, answered.beginning().get(i), peer, reply.admitted().get(i), reply.retryAfter());
+		for (int i = 0; i < Math.min(answered.beginning().size(), reply.admissions().size()); i++) {
+			began(queue, answered.beginning().get(i), peer, reply.admissions().get(i), reply.retryAfter());
 		}
 		for (Exchange exchange : answered.going()) {
 			if (queue.waiting.containsKey(exchange.number())) {
@@ -303,7 +305,7 @@
 			return;
 		}
 		long held = this.state.now - exchange.request().now();
-		long most = exchange.route().target().toMillis() / HOLD_PART;
+		long most = exchange.route().latencyTarget().toMillis() / HOLD_PART;
 		if (held + ANSWER_WAIT.toMillis() / 2 > most) {
 			refuse(queue, exchange, Refusal.QUOTA_SPENT, wait);
 		}
@@ -331,7 +333,7 @@
 	 * Looks at a request that has waited for a permit.
 	 * @param exchange the exchange
 	 */
-	void due(Exchange exchange) {
+	void timerFired(Exchange exchange) {
 		if (exchange.phase() != Phase.WAITING_FOR_PERMIT) {
 			return;
 		}
@@ -353,7 +355,7 @@
 	 * it.
 	 * @param exchange the exchange
 	 */
-	void ended(Exchange exchange) {
+	void exchangeEnded(Exchange exchange) {
 		TeamQueue queue = exchange.team().map((team) -> this.queues.get(team.name())).orElse(null);
 		if (queue == null) {
 			return;
@@ -368,7 +370,7 @@
 	/**
 	 * Takes that the relays have changed, and with them who counts for which team.
 	 */
-	void relaysChanged() {
+	void membershipUpdated() {
 		this.buckets.relaysChanged(this.state.now);
 	}
 
@@ -376,7 +378,7 @@
 	 * Takes that this relay did not run for a while: others have counted for its teams,
 	 * and its permits have ended.
 	 */
-	void woken() {
+	void processResumed() {
 		this.buckets.forget(this.state.now);
 		this.queues.values().forEach((queue) -> queue.permits.clear());
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
@@ -61,8 +61,8 @@
 				this.state.find(reminded).ifPresent((exchange) -> reminded(exchange, reminded.timer()));
 			case RelayEvent.EntriesReceived read -> this.ledger.entriesRead(read);
 			case RelayEvent.ProcessResumed woken -> {
-				this.quotas.woken();
-				this.site.woken(woken.pause());
+				this.quotas.processResumed();
+				this.site.processResumed(woken.pause());
 			}
 			case RelayEvent.CaughtUp caughtUp -> this.ledger.caughtUp(caughtUp);
 			case RelayEvent.SettlementsStored stored -> stored.requests().forEach(this.texts::entryStored);
@@ -88,24 +88,24 @@
 			case RelayEvent.LoadsReceived told -> this.state.upstreams.mergeLoads(told.loads(), event.now());
 			case RelayEvent.MembershipUpdated read -> {
 				if (this.state.keepers.list(read.members())) {
-					this.quotas.relaysChanged();
+					this.quotas.membershipUpdated();
 				}
 			}
-			case RelayEvent.PermitsRequested asked -> this.quotas.asked(asked);
-			case RelayEvent.PermitsGranted granted -> this.quotas.granted(granted);
-			case RelayEvent.SyncRequested asked -> this.site.tellUnlogged(asked.peer());
+			case RelayEvent.PermitsRequested asked -> this.quotas.permitsRequested(asked);
+			case RelayEvent.PermitsGranted granted -> this.quotas.permitsGranted(granted);
+			case RelayEvent.SyncRequested asked -> this.site.sendSync(asked.peer());
 			case RelayEvent.LogDecisionReceived told -> this.ledger.placeTold(told);
-			case RelayEvent.PeerConnected linked -> this.site.linked(linked.peer());
-			case RelayEvent.SyncCompleted told -> this.site.told(told.peer(), told.otherRelays());
+			case RelayEvent.PeerConnected linked -> this.site.peerConnected(linked.peer());
+			case RelayEvent.SyncCompleted told -> this.site.syncReceived(told.peer(), told.otherRelays());
 			case RelayEvent.ListenerStarted opened -> this.state.name = opened.name();
-			case RelayEvent.PeerDisconnected lost -> this.site.lost(lost.peer());
+			case RelayEvent.PeerDisconnected lost -> this.site.peerDisconnected(lost.peer());
 			case RelayEvent.TurnWriteRequested asked -> this.texts.storeForPeer(asked);
-			case RelayEvent.ConnectivityChanged changed -> this.site.reachChanged(changed.connectivity());
-			case RelayEvent.RouteTableUpdated read -> this.site.tableRead(read.table());
+			case RelayEvent.ConnectivityChanged changed -> this.site.connectivityChanged(changed.connectivity());
+			case RelayEvent.RouteTableUpdated read -> this.site.routeTableUpdated(read.table());
 			case RelayEvent.UpstreamsReplaced read -> this.state.upstreams.replace(read.upstreams());
-			case RelayEvent.UpstreamUpdated read -> this.site.listed(read.upstream());
-			case RelayEvent.UpstreamInvalid unusable -> this.site.unusable(unusable.id(), unusable.problem());
-			case RelayEvent.UpstreamRemoved gone -> this.site.gone(gone.id());
+			case RelayEvent.UpstreamUpdated read -> this.site.upstreamUpdated(read.upstream());
+			case RelayEvent.UpstreamInvalid unusable -> this.site.upstreamInvalid(unusable.id(), unusable.problem());
+			case RelayEvent.UpstreamRemoved gone -> this.site.upstreamRemoved(gone.id());
 		}
 		this.site.updateReadiness();
 		return this.state.drainEffects();
@@ -127,7 +127,7 @@
 			case BUDGET_DECISION -> this.budgets.orderDue(exchange);
 			case LOG_WRITE -> this.texts.storeTimedOut(exchange);
 			case UPSTREAM_IDLE -> this.answers.checkSilence(exchange);
-			case PERMIT -> this.quotas.due(exchange);
+			case PERMIT -> this.quotas.timerFired(exchange);
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEvent.java
@@ -573,7 +573,7 @@
 	 * @param id the key of the record
 	 * @param problem why
 	 */
-	record UpstreamInvalid(long now, String id, EntryProblem problem) implements RelayEvent {
+	record UpstreamInvalid(long now, String id, UpstreamRecordError problem) implements RelayEvent {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
@@ -9,7 +9,7 @@
 import io.lentilslip.core.notice.Notice;
 import io.lentilslip.core.notice.NoticeCode;
 import io.lentilslip.core.notice.NoticeField;
-import io.lentilslip.core.relay.UpstreamChoice.Weighed;
+import io.lentilslip.core.relay.UpstreamSelector.RankedUpstream;
 import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
@@ -23,12 +23,12 @@
 	private RelayNotices() {
 	}
 
-	static Notice accepted(RouteTable table) {
+	static Notice routesAccepted(RouteTable table) {
 		return notice(NoticeCode.ROUTES_ACCEPTED, field(FieldName.VERSION, table.version()),
 				field(FieldName.COUNT, table.routes().size()));
 	}
 
-	static Notice listed(Upstream upstream) {
+	static Notice upstreamListed(Upstream upstream) {
 		if (upstream.draining()) {
 			return notice(NoticeCode.UPSTREAM_LEAVING, field(FieldName.VM, upstream.id()),
 					field(FieldName.ZONE, upstream.zone()), field(FieldName.REASON, "listed"));
@@ -44,11 +44,11 @@
 	 * @param problem why
 	 * @return the notice
 	 */
-	static Notice unusable(String key, EntryProblem problem) {
+	static Notice upstreamInvalid(String key, UpstreamRecordError problem) {
 		return notice(NoticeCode.UPSTREAM_UNUSABLE, field(FieldName.UPSTREAM, key), field(FieldName.REASON, problem));
 	}
 
-	static Notice gone(String upstream) {
+	static Notice upstreamRemoved(String upstream) {
 		return notice(NoticeCode.UPSTREAM_GONE, field(FieldName.UPSTREAM, upstream));
 	}
 
@@ -61,30 +61,30 @@
 	 * @param state what the relay knows
 	 * @return the notice
 	 */
-	static Notice decided(Exchange exchange, BudgetRules.Decider by, int answers, boolean held, RelayState state) {
+	static Notice turnDecided(Exchange exchange, BudgetRules.Decider by, int answers, boolean held, RelayState state) {
 		return notice(NoticeCode.TURN_DECIDED, request(exchange), program(exchange), field(FieldName.REASON, by),
 				field(FieldName.COUNT, answers), field(FieldName.VERDICT, held ? "HELD" : "NOT_HELD"),
-				tokens(exchange, state), budget(exchange), taken(exchange, state.now));
+				tokens(exchange, state), budget(exchange), elapsed(exchange, state.now));
 	}
 
-	static Notice complete(int told) {
+	static Notice syncCompleted(int told) {
 		return notice(NoticeCode.RELAY_COMPLETE, field(FieldName.COUNT, told));
 	}
 
-	static Notice caughtUp(RelayEvent.CaughtUp event) {
+	static Notice logCaughtUp(RelayEvent.CaughtUp event) {
 		return notice(NoticeCode.LOG_CAUGHT_UP, field(FieldName.OFFSET, event.offset()),
 				field(FieldName.MILLISECONDS, event.duration().toMillis()));
 	}
 
-	static Notice adopted(int entries) {
+	static Notice entriesAdopted(int entries) {
 		return notice(NoticeCode.ENTRIES_ADOPTED, field(FieldName.COUNT, entries));
 	}
 
-	static Notice woken(Duration slept) {
+	static Notice processResumed(Duration slept) {
 		return notice(NoticeCode.RELAY_WOKEN, field(FieldName.MILLISECONDS, slept.toMillis()));
 	}
 
-	static Notice reach(RelayEvent.Connectivity reach) {
+	static Notice connectivityChanged(RelayEvent.Connectivity reach) {
 		return notice(NoticeCode.REACH_CHANGED, field(FieldName.REASON, reach));
 	}
 
@@ -105,39 +105,39 @@
 	 * @param state what the relay knows
 	 * @return the notice
 	 */
-	static Notice placed(Exchange exchange, List<Weighed> weighed, RelayState state) {
+	static Notice requestPlaced(Exchange exchange, List<RankedUpstream> weighed, RelayState state) {
 		String candidates = weighed.stream().map((next) -> describe(next, state.now)).collect(Collectors.joining("; "));
 		return notice(NoticeCode.REQUEST_PLACED, request(exchange), program(exchange), upstream(exchange),
 				attempt(exchange), field(FieldName.VERSION, state.table.map(RouteTable::version).orElse(0L)),
-				field(FieldName.CANDIDATES, candidates), taken(exchange, state.now), tokens(exchange, state),
+				field(FieldName.CANDIDATES, candidates), elapsed(exchange, state.now), tokens(exchange, state),
 				budget(exchange));
 	}
 
-	private static String describe(Weighed weighed, long now) {
-		UpstreamState known = weighed.candidate();
+	private static String describe(RankedUpstream weighed, long now) {
+		UpstreamState known = weighed.state();
 		String age = known.reportAge(now).stream().mapToObj(Long::toString).findFirst().orElse(NONE);
-		return known.upstream().id() + " cost=" + Math.round(weighed.cost()) + " load=" + weighed.load() + " unread="
-				+ weighed.unread() + " age=" + age;
+		return known.upstream().id() + " cost=" + Math.round(weighed.costMillis()) + " load=" + weighed.load()
+				+ " unread=" + weighed.uncachedTokens() + " age=" + age;
 	}
 
 	static Notice misdirected(Exchange exchange, long now) {
 		return attemptFailed(exchange, "MISDIRECTED", now);
 	}
 
-	static Notice silent(Exchange exchange, long now) {
+	static Notice upstreamIdle(Exchange exchange, long now) {
 		return attemptFailed(exchange, "SILENT", now);
 	}
 
-	static Notice refused(RequestHead head, Refusal refusal) {
+	static Notice requestRefused(RequestHead head, Refusal refusal) {
 		return notice(NoticeCode.REQUEST_REFUSED, field(FieldName.REQUEST, head.id()), field(FieldName.REASON, refusal),
 				field(FieldName.VERDICT, refusal.verdict()));
 	}
 
-	static Notice refused(Exchange exchange, Refusal refusal, RelayState state) {
+	static Notice requestRefused(Exchange exchange, Refusal refusal, RelayState state) {
 		return notice(NoticeCode.REQUEST_REFUSED, request(exchange), program(exchange),
 				field(FieldName.ROUTE, exchange.route().name()), field(FieldName.REASON, refusal),
 				field(FieldName.VERDICT, refusal.verdict()), upstream(exchange), attempt(exchange),
-				taken(exchange, state.now), tokens(exchange, state), budget(exchange));
+				elapsed(exchange, state.now), tokens(exchange, state), budget(exchange));
 	}
 
 	/**
@@ -164,20 +164,20 @@
 				field(FieldName.MILLISECONDS, retryAfter.toMillis()));
 	}
 
-	static Notice callerLeft(Exchange exchange, long now) {
+	static Notice callerDisconnected(Exchange exchange, long now) {
 		return notice(NoticeCode.CALLER_LEFT, request(exchange), program(exchange), upstream(exchange),
-				events(exchange), taken(exchange, now));
+				events(exchange), elapsed(exchange, now));
 	}
 
-	static Notice answered(Exchange exchange, int status, long now) {
+	static Notice requestAnswered(Exchange exchange, int status, long now) {
 		return notice(NoticeCode.REQUEST_ANSWERED, request(exchange), program(exchange),
 				field(FieldName.ROUTE, exchange.route().name()), upstream(exchange), attempt(exchange),
-				field(FieldName.STATUS, status), events(exchange), taken(exchange, now));
+				field(FieldName.STATUS, status), events(exchange), elapsed(exchange, now));
 	}
 
-	static Notice brokenOff(Exchange exchange, Refusal reason, long now) {
+	static Notice streamAborted(Exchange exchange, Refusal reason, long now) {
 		return notice(NoticeCode.STREAM_BROKEN_OFF, request(exchange), program(exchange), upstream(exchange),
-				attempt(exchange), events(exchange), taken(exchange, now), field(FieldName.REASON, reason));
+				attempt(exchange), events(exchange), elapsed(exchange, now), field(FieldName.REASON, reason));
 	}
 
 	private static NoticeField request(Exchange exchange) {
@@ -211,7 +211,7 @@
 		return field(FieldName.LIMIT, budget.stream().mapToObj(Long::toString).findFirst().orElse(NONE));
 	}
 
-	private static NoticeField taken(Exchange exchange, long now) {
+	private static NoticeField elapsed(Exchange exchange, long now) {
 		return field(FieldName.MILLISECONDS, now - exchange.request().now());
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
@@ -35,7 +35,7 @@
 
 	final TurnCache turnCache;
 
-	final Blames blames = new Blames();
+	final PoisonRequests poisonRequests = new PoisonRequests();
 
 	final Upstreams upstreams = new Upstreams();
 
@@ -46,11 +46,11 @@
 	 */
 	final Keepers keepers = new Keepers();
 
-	final Silence silence = new Silence(this);
+	final UpstreamIdleTimeout idleTimeout = new UpstreamIdleTimeout(this);
 
 	final SplittableRandom random;
 
-	final UpstreamChoice choice;
+	final UpstreamSelector upstreamSelector;
 
 	/**
 	 * The exchanges under way, by number.
@@ -79,7 +79,7 @@
 	final Map<String, RelayEvent.ReservationRequested> placing = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, RelayEvent.ReservationRequested> eldest) {
-			return size() > RelaySettings.PLACING;
+			return size() > RelaySettings.MAX_PROXIED_RESERVATIONS;
 		}
 	};
 
@@ -96,7 +96,7 @@
 	final Map<String, TextRules.PeerTurn> peerTurns = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, TextRules.PeerTurn> eldest) {
-			return size() > RelaySettings.HELPING;
+			return size() > RelaySettings.MAX_PROXIED_TURN_WRITES;
 		}
 	};
 
@@ -164,15 +164,15 @@
 	private List<RelayEffect> effects = new ArrayList<>();
 
 	RelayState(RelaySettings settings) {
-		this.maxInputBytes = settings.inputBytes();
-		this.textPartition = settings.textPart();
-		this.tolerance = settings.tolerance();
-		this.tokens = new ProgramTokens(settings.programs());
-		this.turnCache = new TurnCache(settings.turnBytes());
-		this.ledgerComplete = settings.first();
+		this.maxInputBytes = settings.maxInputBytes();
+		this.textPartition = settings.textPartition();
+		this.tolerance = settings.quotaTolerance();
+		this.tokens = new ProgramTokens(settings.maxPrograms());
+		this.turnCache = new TurnCache(settings.turnCacheBytes());
+		this.ledgerComplete = settings.bootstrap();
 		this.random = new SplittableRandom(settings.seed());
-		this.unlogged = new UnloggedEntries(this.random.nextLong(RelaySettings.ADOPTION_SPREAD.toMillis()));
-		this.choice = new UpstreamChoice(settings.zone(), this.random);
+		this.unlogged = new UnloggedEntries(this.random.nextLong(RelaySettings.ADOPTION_JITTER.toMillis()));
+		this.upstreamSelector = new UpstreamSelector(settings.zone(), this.random);
 	}
 
 	void emit(RelayEffect effect) {
@@ -273,7 +273,7 @@
 	}
 
 	long memory(Upstream upstream) {
-		return engine(upstream.service()).map(RouteTable.Engine::memory).orElse(0L);
+		return engine(upstream.service()).map(RouteTable.Engine::cacheTokens).orElse(0L);
 	}
 
 	void remind(Exchange exchange, Duration delay, TimerKind reminder) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ToldProblems.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ReportedErrors.java
@@ -7,7 +7,7 @@
  * likes; told each time, it would drown the log. Bounded: of more records than it holds,
  * the oldest may be told again. Used by one thread.
  */
-final class ToldProblems {
+final class ReportedErrors {
 
 	private static final int BOUND = 1024;
 
@@ -19,7 +19,7 @@
 	 * @param problem what is wrong with it
 	 * @return whether it was not told before
 	 */
-	boolean first(String key, EntryProblem problem) {
+	boolean markReported(String key, UpstreamRecordError problem) {
 		boolean first = this.told.add(new Told(key, problem));
 		if (this.told.size() > BOUND) {
 			this.told.removeFirst();
@@ -33,7 +33,7 @@
 	 * @param key the key of the record
 	 * @param problem what is wrong with it
 	 */
-	private record Told(String key, EntryProblem problem) {
+	private record Told(String key, UpstreamRecordError problem) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestHead.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestHead.java
@@ -60,10 +60,10 @@
 	 */
 	RequestHead scopedTo(Team team) {
 		return new RequestHead(this.id, this.host, this.path, this.callerTimeout,
-				this.turn.map((known) -> new Turn(team.scoped(known.program()), known.budget(), known.maxTokens(),
-						known.previous().map(team::scoped))),
-				this.prompt, this.promptTokens, this.lastEvent, this.affinityKey.map(team::scoped),
-				new Origin(this.origin.program().map(team::scoped), this.origin.key()));
+				this.turn.map((known) -> new Turn(team.scopedId(known.program()), known.budget(), known.maxTokens(),
+						known.previous().map(team::scopedId))),
+				this.prompt, this.promptTokens, this.lastEvent, this.affinityKey.map(team::scopedId),
+				new Origin(this.origin.program().map(team::scopedId), this.origin.key()));
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
@@ -6,7 +6,7 @@
 import io.lentilslip.core.relay.RelayEvent.Connectivity;
 import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import io.lentilslip.core.relay.RequestHead.Turn;
-import io.lentilslip.core.relay.UpstreamChoice.Weighed;
+import io.lentilslip.core.relay.UpstreamSelector.RankedUpstream;
 import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
@@ -31,7 +31,7 @@
 		this.texts = texts;
 		this.ends = ends;
 		this.quotas = new QuotaRules(state, ends, this::admitted);
-		ends.onRemoved(this.quotas::ended);
+		ends.onRemoved(this.quotas::exchangeEnded);
 	}
 
 	QuotaRules quotas() {
@@ -42,7 +42,7 @@
 		if (this.state.table.isEmpty() || !this.state.upstreams.initialized()) {
 			boolean turn = asked.head().turn().isPresent();
 			this.ends.refuseWithoutExchange(asked, Refusal.NOT_READY,
-					Optional.of(turn ? RelaySettings.COME_BACK_WHEN_READ : RelaySettings.COME_BACK_LATER));
+					Optional.of(turn ? RelaySettings.RETRY_AFTER_LOG_READ : RelaySettings.RETRY_AFTER_RECOVERY));
 			return;
 		}
 		RouteTable table = this.state.table.get();
@@ -58,7 +58,7 @@
 		}
 		Exchange exchange = new Exchange(asked, route.get(), caller.get());
 		this.state.exchanges.put(asked.exchange(), exchange);
-		if (this.state.blames.stopped(exchange.digest())) {
+		if (this.state.poisonRequests.isPoison(exchange.digest())) {
 			this.ends.refuse(exchange, Refusal.BLAMED, Optional.empty());
 			return;
 		}
@@ -79,30 +79,30 @@
 		if (!exchange.fetchingTexts()) {
 			this.texts.requestLocations(exchange);
 		}
-		this.state.remind(exchange, exchange.route().target().dividedBy(RelaySettings.CHAIN_WAIT_PART),
+		this.state.remind(exchange, exchange.route().latencyTarget().dividedBy(RelaySettings.CHAIN_TIMEOUT_DIVISOR),
 				TimerKind.CHAIN_LOOKUP);
 	}
 
 	private boolean refuseTurn(Exchange exchange) {
 		// A turn that no record can hold would run and never end: its end waits for the
 		// log, and the entries behind it would wait with it.
-		if (exchange.route().keepsTurns() && exchange.request().body().length > this.state.maxInputBytes) {
+		if (exchange.route().storesTurns() && exchange.request().body().length > this.state.maxInputBytes) {
 			this.ends.refuse(exchange, Refusal.TOO_LONG, Optional.empty());
 			return true;
 		}
 		// Where a text stands is told before it is written. Told by a relay that does
 		// not know the end of its partition, others would look for it from the first
 		// record on, and give up before they find it.
-		boolean placeUnknown = exchange.route().keepsTurns() && this.state.textEndOffset < 0;
+		boolean placeUnknown = exchange.route().storesTurns() && this.state.textEndOffset < 0;
 		if (!this.state.caughtUp || !this.state.membershipKnown() || placeUnknown) {
-			this.ends.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.COME_BACK_WHEN_READ));
+			this.ends.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.RETRY_AFTER_LOG_READ));
 			return true;
 		}
 		// A relay that reaches nobody can't see what a program spends elsewhere, and
 		// would give it more than its budget. Refused here, the caller goes to a relay
 		// that can see.
 		if (this.state.reach == Connectivity.NOTHING) {
-			this.ends.refuse(exchange, Refusal.ISOLATED, Optional.of(RelaySettings.COME_BACK));
+			this.ends.refuse(exchange, Refusal.ISOLATED, Optional.of(RelaySettings.RETRY_AFTER));
 			return true;
 		}
 		return false;
@@ -144,7 +144,7 @@
 				}
 			}
 		}
-		List<Weighed> weighed = weigh(exchange);
+		List<RankedUpstream> weighed = weigh(exchange);
 		if (weighed.isEmpty()) {
 			this.ends.giveUp(exchange, exchange.mayHaveRun() ? Refusal.ANSWER_LOST : Refusal.NO_UPSTREAM);
 			return;
@@ -160,58 +160,58 @@
 	 * @param exchange the exchange
 	 */
 	void replaceSilentUpstream(Exchange exchange) {
-		List<Weighed> next = weigh(exchange).stream().filter(this::free).toList();
-		boolean blamed = this.state.blames.stopped(exchange.digest());
-		if (next.isEmpty() || blamed || exchange.sendCount() >= exchange.route().attempts()) {
+		List<RankedUpstream> next = weigh(exchange).stream().filter(this::free).toList();
+		boolean blamed = this.state.poisonRequests.isPoison(exchange.digest());
+		if (next.isEmpty() || blamed || exchange.sendCount() >= exchange.route().maxAttempts()) {
 			return;
 		}
 		exchange.markMayHaveRun();
 		this.ends.cancelAttempt(exchange);
 		this.state.upstreamOf(exchange).ifPresent((known) -> known.recordFailure(this.state.now));
-		this.state.report(RelayNotices.silent(exchange, this.state.now));
+		this.state.report(RelayNotices.upstreamIdle(exchange, this.state.now));
 		send(exchange, next);
 	}
 
-	private boolean free(Weighed weighed) {
-		UpstreamState known = weighed.candidate();
+	private boolean free(RankedUpstream weighed) {
+		UpstreamState known = weighed.state();
 		return !known.isEjected(this.state.now) && weighed.load() < known.slots();
 	}
 
-	private List<Weighed> weigh(Exchange exchange) {
+	private List<RankedUpstream> weigh(Exchange exchange) {
 		String service = service(exchange.route());
 		boolean engine = this.state.engine(service).isPresent();
-		boolean warm = exchange.route().warm() && !engine;
+		boolean warm = exchange.route().affinity() && !engine;
 		Optional<String> object = exchange.head().affinityKey().filter((name) -> warm);
-		return this.state.choice.weigh(this.state.upstreams.available(service), exchange.triedUpstreams(),
+		return this.state.upstreamSelector.rank(this.state.upstreams.available(service), exchange.triedUpstreams(),
 				exchange.head().prompt(), engine, object, this.state.now);
 	}
 
 	private String service(Route route) {
 		double total = 0;
-		for (Route.WeightedService target : route.targets()) {
+		for (Route.WeightedService target : route.services()) {
 			total += target.weight();
 		}
 		double point = this.state.random.nextDouble() * total;
-		for (Route.WeightedService target : route.targets()) {
+		for (Route.WeightedService target : route.services()) {
 			point -= target.weight();
 			if (point < 0) {
 				return target.service();
 			}
 		}
-		return route.targets().getLast().service();
+		return route.services().getLast().service();
 	}
 
-	private void send(Exchange exchange, List<Weighed> weighed) {
-		UpstreamState known = weighed.getFirst().candidate();
+	private void send(Exchange exchange, List<RankedUpstream> weighed) {
+		UpstreamState known = weighed.getFirst().state();
 		Upstream upstream = known.upstream();
 		exchange.recordSend(upstream, this.state.now);
-		this.state.report(RelayNotices.placed(exchange, weighed, this.state));
+		this.state.report(RelayNotices.requestPlaced(exchange, weighed, this.state));
 		this.state.upstreams.requestSent(exchange.id(), known, this.state.now);
 		List<PromptPart> prompt = exchange.head().prompt();
 		known.addToCache(prompt, this.state.memory(upstream));
 		exchange.head().turn().ifPresent((turn) -> reserve(exchange, turn, upstream, prompt));
 		if (exchange.route().repeatable() && exchange.markWatched()) {
-			this.state.silence.watch(exchange);
+			this.state.idleTimeout.start(exchange);
 		}
 		boolean stream = exchange.route().repeatability() == Repeatability.STREAM;
 		this.state.emit(new RelayEffect.SendRequest(exchange.number(), exchange.attempt(), upstream, exchange.chain(),
@@ -232,10 +232,10 @@
 	 */
 	void retry(Exchange exchange) {
 		boolean allowed = !exchange.mayHaveRun() || exchange.route().repeatable();
-		boolean blamed = this.state.blames.stopped(exchange.digest());
-		if (allowed && !blamed && exchange.sendCount() < exchange.route().attempts()
+		boolean blamed = this.state.poisonRequests.isPoison(exchange.digest());
+		if (allowed && !blamed && exchange.sendCount() < exchange.route().maxAttempts()
 				&& this.state.now < exchange.deadline()) {
-			List<Weighed> next = weigh(exchange);
+			List<RankedUpstream> next = weigh(exchange);
 			if (!next.isEmpty()) {
 				send(exchange, next);
 				return;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
@@ -62,13 +62,13 @@
 			return;
 		}
 		known.ifPresent(UpstreamState::recordSuccess);
-		this.state.silence.ended(exchange);
+		this.state.idleTimeout.recordFirstResponse(exchange);
 		this.ends.settle(exchange, Optional.empty());
 		if (exchange.streamOpened()) {
 			this.ends.abort(exchange, Refusal.ANSWER_LOST);
 			return;
 		}
-		this.state.report(RelayNotices.answered(exchange, head.status(), this.state.now));
+		this.state.report(RelayNotices.requestAnswered(exchange, head.status(), this.state.now));
 		this.ends.recordOutcome(exchange, Outcome.ANSWERED);
 		this.ends.close(exchange, new RelayEffect.SendResponse(exchange.number(), head, answered.body()));
 	}
@@ -114,7 +114,7 @@
 			return;
 		}
 		if (exchange.eventCount() == 0) {
-			this.state.silence.ended(exchange);
+			this.state.idleTimeout.recordFirstResponse(exchange);
 		}
 		exchange.recordEvent(event);
 		this.state.emit(new RelayEffect.ForwardStreamEvent(exchange.number(), event.raw()));
@@ -123,7 +123,7 @@
 	private void streamEnded(Exchange exchange) {
 		this.state.upstreams.requestEnded(exchange.id());
 		this.state.upstreamOf(exchange).ifPresent(UpstreamState::recordSuccess);
-		if (!exchange.route().keepsTurns() || exchange.head().turn().isEmpty()) {
+		if (!exchange.route().storesTurns() || exchange.head().turn().isEmpty()) {
 			this.ends.settle(exchange, Optional.empty());
 			this.ends.endStream(exchange);
 			return;
@@ -139,9 +139,9 @@
 		if (exchange.phase() != Phase.RUNNING) {
 			return;
 		}
-		if (this.state.silence.tooLong(exchange)) {
+		if (this.state.idleTimeout.hasExpired(exchange)) {
 			this.requests.replaceSilentUpstream(exchange);
-			this.state.silence.watch(exchange);
+			this.state.idleTimeout.start(exchange);
 		}
 	}
 
@@ -165,7 +165,7 @@
 			return;
 		}
 		String upstream = exchange.upstream().get().incarnationId();
-		this.state.blames.add(exchange.digest(), upstream);
+		this.state.poisonRequests.recordFailure(exchange.digest(), upstream);
 		this.state.emit(new RelayEffect.AppendEntry(new LedgerEntry.Blamed(exchange.id(), exchange.digest(), upstream),
 				List.copyOf(this.state.linkedPeers)));
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Route.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Route.java
@@ -12,19 +12,19 @@
  * @param prefix the prefix of the path; begins and ends with a slash
  * @param repeatability what may be repeated
  * @param timeout the longest time that a request is kept waiting
- * @param target the time within which an answer is on time
- * @param attempts the most upstreams that one request is sent to
+ * @param latencyTarget the time within which an answer is on time
+ * @param maxAttempts the most upstreams that one request is sent to
  * @param priority the rank; 0 is the highest
  * @param resumable whether a stream may go on at another upstream
- * @param keepsTurns whether turns carry new input only and the relay holds the rest
+ * @param storesTurns whether turns carry new input only and the relay holds the rest
  * @param retention how long turns are kept, and programs remembered
- * @param warm whether an upstream that handled an object lately handles it faster
- * @param open whether callers need no API key
- * @param targets the services that share the route's requests
+ * @param affinity whether an upstream that handled an object lately handles it faster
+ * @param anonymousAllowed whether callers need no API key
+ * @param services the services that share the route's requests
  */
 public record Route(String name, String host, String prefix, Repeatability repeatability, Duration timeout,
-		Duration target, int attempts, int priority, boolean resumable, boolean keepsTurns, Duration retention,
-		boolean warm, boolean open, List<WeightedService> targets) {
+		Duration latencyTarget, int maxAttempts, int priority, boolean resumable, boolean storesTurns,
+		Duration retention, boolean affinity, boolean anonymousAllowed, List<WeightedService> services) {
 
 	/**
 	 * By how many targets a stream may be silent: well above what engines show under full
@@ -39,18 +39,18 @@
 	 * @param prefix the prefix of the path; begins and ends with a slash
 	 * @param repeatability what may be repeated
 	 * @param timeout the longest time that a request is kept waiting
-	 * @param target the time within which an answer is on time
-	 * @param attempts the most upstreams that one request is sent to
+	 * @param latencyTarget the time within which an answer is on time
+	 * @param maxAttempts the most upstreams that one request is sent to
 	 * @param priority the rank; 0 is the highest
 	 * @param resumable whether a stream may go on at another upstream
-	 * @param keepsTurns whether turns carry new input only and the relay holds the rest
+	 * @param storesTurns whether turns carry new input only and the relay holds the rest
 	 * @param retention how long turns are kept, and programs remembered
-	 * @param warm whether an upstream that handled an object lately handles it faster
-	 * @param open whether callers need no API key
-	 * @param targets the services that share the route's requests
+	 * @param affinity whether an upstream that handled an object lately handles it faster
+	 * @param anonymousAllowed whether callers need no API key
+	 * @param services the services that share the route's requests
 	 */
 	public Route {
-		targets = List.copyOf(targets);
+		services = List.copyOf(services);
 	}
 
 	/**
@@ -68,8 +68,9 @@
 	 * engine is silent while it reads a long prompt or waits for a place.
 	 * @return the time
 	 */
-	public Duration patience() {
-		return (this.repeatability == Repeatability.STREAM) ? this.target.multipliedBy(STREAM_PATIENCE) : this.target;
+	public Duration idleTimeout() {
+		return (this.repeatability == Repeatability.STREAM) ? this.latencyTarget.multipliedBy(STREAM_PATIENCE)
+				: this.latencyTarget;
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RouteTable.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RouteTable.java
@@ -61,9 +61,9 @@
 		if (this.teams.isEmpty()) {
 			return Optional.of(new CallerIdentity.Unchecked());
 		}
-		Optional<CallerIdentity> holder = key.flatMap(this.teams.get()::holder).map(CallerIdentity.OfTeam::new);
-		return (holder.isEmpty() && route.filter(Route::open).isPresent()) ? Optional.of(new CallerIdentity.Anonymous())
-				: holder;
+		Optional<CallerIdentity> holder = key.flatMap(this.teams.get()::findByKey).map(CallerIdentity.OfTeam::new);
+		return (holder.isEmpty() && route.filter(Route::anonymousAllowed).isPresent())
+				? Optional.of(new CallerIdentity.Anonymous()) : holder;
 	}
 
 	/**
@@ -73,7 +73,7 @@
 	 * @param connections the most connections that one upstream takes from all callers
 	 * @param engine what its upstreams can do if they are model engines
 	 */
-	public record Service(String name, int connections, Optional<Engine> engine) {
+	public record Service(String name, int maxConnections, Optional<Engine> engine) {
 
 	}
 
@@ -84,7 +84,7 @@
 	 * @param memory the tokens that its memory holds
 	 * @param tokensPerEvent the tokens that one event of a stream counts as
 	 */
-	public record Engine(int slots, long memory, int tokensPerEvent) {
+	public record Engine(int slots, long cacheTokens, int tokensPerEvent) {
 
 	}
 
@@ -96,14 +96,14 @@
 	 * @param headerTimeout the longest time that a head may take to arrive
 	 * @param idleTimeout the longest time that a connection may stay idle
 	 */
-	public record Limits(int headerBytes, int bodyBytes, Duration headerTimeout, Duration idleTimeout) {
+	public record Limits(int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
 
 		/**
 		 * What holds until the first table is known: generous enough to refuse nothing
 		 * that a table would allow, small enough to bound memory.
 		 * @return the limits
 		 */
-		public static Limits beforeFirstTable() {
+		public static Limits defaults() {
 			return new Limits(16 * 1024, 4 * 1024 * 1024, Duration.ofSeconds(3), Duration.ofSeconds(15));
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TableProblem.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RouteTableError.java
@@ -4,7 +4,7 @@
  * Why a table that operators wrote can't be in force. The table before stays in force as
  * a whole. Safe for use by several threads.
  */
-public enum TableProblem {
+public enum RouteTableError {
 
 	/**
 	 * The bytes are no table.
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
@@ -21,7 +21,7 @@
 
 	private final Set<String> complete = new HashSet<>();
 
-	private final ToldProblems problems = new ToldProblems();
+	private final ReportedErrors problems = new ReportedErrors();
 
 	SiteRules(RelayState state, BudgetRules budgets) {
 		this.state = state;
@@ -47,7 +47,7 @@
 	// gave stands in it.
 	private void lookWhetherComplete() {
 		long waited = this.state.now - this.state.caughtUpAt;
-		if (this.state.logWasRecent && waited > RelaySettings.SURVIVORS_WAIT.toMillis()) {
+		if (this.state.logWasRecent && waited > RelaySettings.SYNC_TIMEOUT.toMillis()) {
 			complete();
 			return;
 		}
@@ -61,23 +61,23 @@
 		}
 	}
 
-	void tableRead(RouteTable read) {
+	void routeTableUpdated(RouteTable read) {
 		if (this.state.table.isPresent() && this.state.table.get().version() >= read.version()) {
 			return;
 		}
 		this.state.table = Optional.of(read);
 		this.state.emit(new RelayEffect.ApplyLimits(read.limits()));
-		this.state.report(RelayNotices.accepted(read));
+		this.state.report(RelayNotices.routesAccepted(read));
 	}
 
-	void listed(Upstream upstream) {
+	void upstreamUpdated(Upstream upstream) {
 		Optional<Upstream> before = this.state.upstreams.find(upstream.id()).map(UpstreamState::upstream);
 		if (!this.state.upstreams.put(upstream)) {
-			tellUnusable(upstream.id(), EntryProblem.EARLIER_LIFE);
+			tellUnusable(upstream.id(), UpstreamRecordError.EARLIER_LIFE);
 			return;
 		}
 		if (!before.equals(Optional.of(upstream))) {
-			this.state.report(RelayNotices.listed(upstream));
+			this.state.report(RelayNotices.upstreamListed(upstream));
 		}
 	}
 
@@ -87,22 +87,22 @@
 	 * @param key the key of the record
 	 * @param problem why
 	 */
-	void unusable(String key, EntryProblem problem) {
+	void upstreamInvalid(String key, UpstreamRecordError problem) {
 		tellUnusable(key, problem);
 		if (this.state.upstreams.find(key).isPresent()) {
-			gone(key);
+			upstreamRemoved(key);
 		}
 	}
 
-	private void tellUnusable(String key, EntryProblem problem) {
-		if (this.problems.first(key, problem)) {
-			this.state.report(RelayNotices.unusable(key, problem));
+	private void tellUnusable(String key, UpstreamRecordError problem) {
+		if (this.problems.markReported(key, problem)) {
+			this.state.report(RelayNotices.upstreamInvalid(key, problem));
 		}
 	}
 
-	void gone(String upstream) {
+	void upstreamRemoved(String upstream) {
 		this.state.upstreams.remove(upstream);
-		this.state.report(RelayNotices.gone(upstream));
+		this.state.report(RelayNotices.upstreamRemoved(upstream));
 	}
 
 	/**
@@ -111,8 +111,8 @@
 	 * sleep could pass its budget. So turns wait until the log was read once more.
 	 * @param slept for how long
 	 */
-	void woken(Duration slept) {
-		this.state.report(RelayNotices.woken(slept));
+	void processResumed(Duration slept) {
+		this.state.report(RelayNotices.processResumed(slept));
 		if (this.state.caughtUp) {
 			this.state.stale = true;
 			this.state.emit(new RelayEffect.CatchUp());
@@ -124,16 +124,16 @@
 	 * it was not.
 	 * @param peer the other relay
 	 */
-	void linked(String peer) {
+	void peerConnected(String peer) {
 		this.state.linkedPeers.add(peer);
-		tellUnlogged(peer);
+		sendSync(peer);
 	}
 
 	/**
 	 * Tells another relay what is known here beyond the log of programs that it keeps.
 	 * @param peer the other relay
 	 */
-	void tellUnlogged(String peer) {
+	void sendSync(String peer) {
 		List<LedgerEntry> entries = this.state.unlogged.all();
 		if (this.state.keepers.knows(peer)) {
 			entries = entries.stream()
@@ -149,7 +149,7 @@
 	 * Takes that the link to another relay is lost.
 	 * @param peer the other relay
 	 */
-	void lost(String peer) {
+	void peerDisconnected(String peer) {
 		this.state.linkedPeers.remove(peer);
 	}
 
@@ -161,7 +161,7 @@
 	 * @param peer the other relay
 	 * @param others how many other relays are known
 	 */
-	void told(String peer, int others) {
+	void syncReceived(String peer, int others) {
 		this.complete.add(peer);
 		boolean enough = this.complete.size() >= (others + 2) / 2;
 		if (enough) {
@@ -172,7 +172,7 @@
 	private void complete() {
 		if (!this.state.ledgerComplete) {
 			this.state.ledgerComplete = true;
-			this.state.report(RelayNotices.complete(this.complete.size()));
+			this.state.report(RelayNotices.syncCompleted(this.complete.size()));
 		}
 	}
 
@@ -181,9 +181,9 @@
 	 * out of reach the other relays are asked at once.
 	 * @param reach what it reaches
 	 */
-	void reachChanged(Connectivity reach) {
+	void connectivityChanged(Connectivity reach) {
 		this.state.reach = reach;
-		this.state.report(RelayNotices.reach(reach));
+		this.state.report(RelayNotices.connectivityChanged(reach));
 		if (reach != Connectivity.LOG) {
 			List.copyOf(this.state.contending.values())
 				.forEach((number) -> this.budgets.orderDue(this.state.exchanges.get(number)));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Team.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Team.java
@@ -20,7 +20,7 @@
 	 * @param id the name that a caller gave it
 	 * @return the name
 	 */
-	public String scoped(String id) {
+	public String scopedId(String id) {
 		return this.name.replace("%", "%25").replace("/", "%2F") + "/" + id;
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Teams.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Teams.java
@@ -29,7 +29,7 @@
 	 * @param key the digest of the key
 	 * @return the team, or empty if none holds it
 	 */
-	public Optional<Team> holder(KeyDigest key) {
+	public Optional<Team> findByKey(KeyDigest key) {
 		return Optional.ofNullable(this.byKey.get(key));
 	}
 
@@ -38,7 +38,7 @@
 	 * @param name the name of the team
 	 * @return the team, or empty if none of that name holds a key
 	 */
-	public Optional<Team> named(String name) {
+	public Optional<Team> findByName(String name) {
 		return Optional.ofNullable(this.byName.get(name));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -91,7 +91,8 @@
 		this.state.pendingTurns.put(exchange.id(), new PendingTurn(exchange.number(), text));
 		this.state.emit(new RelayEffect.StoreText(exchange.id(), text));
 		this.ends.settle(exchange, Optional.of(place));
-		Duration pause = (this.state.reach == Connectivity.LOG) ? RelaySettings.ALONE : RelaySettings.TELLING;
+		Duration pause = (this.state.reach == Connectivity.LOG) ? RelaySettings.TURN_WRITE_TIMEOUT
+				: RelaySettings.REPLICATION_DELAY;
 		this.state.remind(exchange, pause, TimerKind.LOG_WRITE);
 	}
 
@@ -106,7 +107,7 @@
 	 */
 	void textsStored(RelayEvent.TextsStored stored) {
 		this.state.textEndOffset = Math.max(this.state.textEndOffset, stored.endOffset());
-		boolean slow = stored.latency().compareTo(RelaySettings.ALONE) > 0;
+		boolean slow = stored.latency().compareTo(RelaySettings.TURN_WRITE_TIMEOUT) > 0;
 		this.state.logSlowAt = slow ? stored.now() : RelayState.NEVER;
 		for (String request : stored.requests()) {
 			pendingStores(request).forEach((turn) -> turn.textStored = true);
@@ -166,7 +167,7 @@
 		}
 		this.state
 			.emit(new RelayEffect.RequestTurnWrite(this.ends.settlement(exchange, Optional.empty()), ending.turn));
-		this.state.remind(exchange, RelaySettings.ALONE.multipliedBy(HELP_PAUSES), TimerKind.LOG_WRITE);
+		this.state.remind(exchange, RelaySettings.TURN_WRITE_TIMEOUT.multipliedBy(HELP_PAUSES), TimerKind.LOG_WRITE);
 	}
 
 	/**
@@ -197,7 +198,7 @@
 	 */
 	boolean resolveChain(Exchange exchange) {
 		Optional<String> previous = exchange.head().turn().flatMap(Turn::previous);
-		if (!exchange.route().keepsTurns() || previous.isEmpty()) {
+		if (!exchange.route().storesTurns() || previous.isEmpty()) {
 			return true;
 		}
 		return switch (this.state.turnCache.chain(previous.get())) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Silence.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
@@ -11,7 +11,7 @@
  * what its route says and by what answers take at this relay. Bounded: the routes that
  * were longest without an answer are forgotten. Used by one thread.
  */
-final class Silence {
+final class UpstreamIdleTimeout {
 
 	/**
 	 * By how much a look may be late. A timer that is later shows that this relay did not
@@ -38,7 +38,7 @@
 		}
 	};
 
-	Silence(RelayState state) {
+	UpstreamIdleTimeout(RelayState state) {
 		this.state = state;
 	}
 
@@ -46,7 +46,7 @@
 	 * Takes that an upstream gave its first sign after a request was sent to it.
 	 * @param exchange the exchange, before it takes the sign
 	 */
-	void ended(Exchange exchange) {
+	void recordFirstResponse(Exchange exchange) {
 		this.waits.computeIfAbsent(exchange.route().name(), (name) -> new Waits())
 			.took(this.state.now - exchange.lastActivityAt());
 	}
@@ -57,7 +57,7 @@
 	 * @param exchange the exchange
 	 * @return whether it has
 	 */
-	boolean tooLong(Exchange exchange) {
+	boolean hasExpired(Exchange exchange) {
 		long patience = patience(exchange.route());
 		long left = exchange.lastActivityAt() + patience - this.state.now;
 		long late = this.state.now - exchange.nextSilenceCheck();
@@ -76,7 +76,7 @@
 	 * Looks at the upstream of an exchange when its patience is over.
 	 * @param exchange the exchange
 	 */
-	void watch(Exchange exchange) {
+	void start(Exchange exchange) {
 		lookAgain(exchange, patience(exchange.route()));
 	}
 
@@ -86,7 +86,7 @@
 	}
 
 	private long patience(Route route) {
-		long least = route.patience().toMillis();
+		long least = route.idleTimeout().toMillis();
 		Waits known = this.waits.get(route.name());
 		return (known != null) ? Math.clamp(known.longest(), least, MOST * least) : least;
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/EntryProblem.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamRecordError.java
@@ -4,7 +4,7 @@
  * Why a record of the list of upstreams names none that can be used. Safe for use by
  * several threads.
  */
-public enum EntryProblem {
+public enum UpstreamRecordError {
 
 	/**
 	 * The bytes are no value, or too many.
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamChoice.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamSelector.java
@@ -19,7 +19,7 @@
  * @param zone the availability zone of this relay
  * @param random breaks ties, so that relays with the same beliefs spread out
  */
-record UpstreamChoice(String zone, RandomGenerator random) {
+record UpstreamSelector(String zone, RandomGenerator random) {
 
 	/**
 	 * The prompt tokens that an engine reads in a millisecond, of the order that the
@@ -78,9 +78,9 @@
 	 * @param now when
 	 * @return the best ones, the best first; empty if there is none to choose
 	 */
-	List<Weighed> weigh(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt, boolean engine,
-			long now) {
-		return weigh(candidates, excluded, prompt, engine, Optional.empty(), now);
+	List<RankedUpstream> rank(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt,
+			boolean engine, long now) {
+		return rank(candidates, excluded, prompt, engine, Optional.empty(), now);
 	}
 
 	/**
@@ -93,12 +93,12 @@
 	 * @param now when
 	 * @return the best ones, the best first; empty if there is none to choose
 	 */
-	List<Weighed> weigh(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt, boolean engine,
-			Optional<String> object, long now) {
+	List<RankedUpstream> rank(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt,
+			boolean engine, Optional<String> object, long now) {
 		Optional<UpstreamState> home = object.flatMap((name) -> home(candidates, name));
-		List<Weighed> best = new ArrayList<>(KEPT + 1);
+		List<RankedUpstream> best = new ArrayList<>(KEPT + 1);
 		for (UpstreamState candidate : draw(candidates, excluded, prompt, home, now)) {
-			insert(best, weigh(candidate, prompt, engine, home.isPresent() && home.get() == candidate, now));
+			insert(best, rank(candidate, prompt, engine, home.isPresent() && home.get() == candidate, now));
 		}
 		return best;
 	}
@@ -145,9 +145,9 @@
 		return home;
 	}
 
-	private static void insert(List<Weighed> best, Weighed next) {
+	private static void insert(List<RankedUpstream> best, RankedUpstream next) {
 		int place = best.size();
-		while (place > 0 && best.get(place - 1).cost() > next.cost()) {
+		while (place > 0 && best.get(place - 1).costMillis() > next.costMillis()) {
 			place--;
 		}
 		if (place < KEPT) {
@@ -158,7 +158,8 @@
 		}
 	}
 
-	private Weighed weigh(UpstreamState candidate, List<PromptPart> prompt, boolean engine, boolean home, long now) {
+	private RankedUpstream rank(UpstreamState candidate, List<PromptPart> prompt, boolean engine, boolean home,
+			long now) {
 		int load = candidate.load(now);
 		long unread = candidate.uncachedTokens(prompt);
 		double cost = this.random.nextDouble();
@@ -166,7 +167,7 @@
 		cost += candidate.upstream().zone().equals(this.zone) ? 0 : MS_OF_OTHER_ZONE;
 		cost -= home ? MS_OF_KNOWN_OBJECT : 0;
 		cost += candidate.isEjected(now) ? MS_OF_AVOIDED : 0;
-		return new Weighed(candidate, load, unread, cost);
+		return new RankedUpstream(candidate, load, unread, cost);
 	}
 
 	// While an engine reads a prompt, all that runs there waits: what is read again costs
@@ -185,7 +186,7 @@
 	 * @param unread the tokens of the prompt that it is believed not to have cached
 	 * @param cost the cost in milliseconds
 	 */
-	record Weighed(UpstreamState candidate, int load, long unread, double cost) {
+	record RankedUpstream(UpstreamState state, int load, long uncachedTokens, double costMillis) {
 
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/BudgetProperties.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/BudgetProperties.java
@@ -67,7 +67,7 @@
 		}
 
 		void wave() {
-			int size = 1 + this.random.nextInt(RelaySettings.TURNS_AT_ONCE);
+			int size = 1 + this.random.nextInt(RelaySettings.ASSUMED_CONCURRENT_TURNS);
 			Map<RelayFixture, List<LedgerEntry>> told = new HashMap<>();
 			for (int i = 0; i < size; i++) {
 				RelayFixture relay = this.relays.get(this.random.nextInt(this.relays.size()));
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
@@ -43,7 +43,7 @@
 		ask("r4", "s");
 		grant(first, 0, true);
 		PermitRequest second = requested().getLast();
-		assertThat(second.beginning()).hasSize(3);
+		assertThat(second.newPrograms()).hasSize(3);
 		List<RelayEffect> granted = grant(second, 0, true, true, false);
 		assertThat(RelayFixture.ofType(granted, RelayEffect.SendRequest.class)).hasSize(2);
 		assertThat(RelayFixture.ofType(granted, RelayEffect.Refuse.class)).singleElement()
@@ -97,7 +97,7 @@
 	private List<RelayEffect> grant(PermitRequest request, int permits, Boolean... admitted) {
 		String peer = RelayFixture.ofType(this.relay.all, RelayEffect.RequestPermits.class).getFirst().peer();
 		return this.relay.handle(new RelayEvent.PermitsGranted(this.relay.now(), peer,
-				new PermitReply("red", request.number(), permits, List.of(admitted), LATER)));
+				new PermitReply("red", request.requestId(), permits, List.of(admitted), LATER)));
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
@@ -130,7 +130,7 @@
 						route("draft", Repeatability.STREAM, true, false, ENGINE),
 						route("look", Repeatability.IDEMPOTENT, false, false, SHOP),
 						route("order", Repeatability.AT_MOST_ONCE, false, false, SHOP)),
-				services, RouteTable.Limits.beforeFirstTable(), Optional.empty());
+				services, RouteTable.Limits.defaults(), Optional.empty());
 	}
 
 	static Route route(String name, Repeatability repeatability, boolean resumable, boolean keeps, String service) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
@@ -64,8 +64,8 @@
 		RelayFixture relay = RelayFixture.unconfigured();
 		RelayEffect.Refuse turn = refuse(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)));
 		RelayEffect.Refuse call = refuse(relay.sendRequest("r1", "look"));
-		assertThat(turn.retryAfter()).contains(RelaySettings.COME_BACK_WHEN_READ);
-		assertThat(call.retryAfter()).contains(RelaySettings.COME_BACK_LATER);
+		assertThat(turn.retryAfter()).contains(RelaySettings.RETRY_AFTER_LOG_READ);
+		assertThat(call.retryAfter()).contains(RelaySettings.RETRY_AFTER_RECOVERY);
 	}
 
 	@Test
@@ -77,8 +77,7 @@
 	@Test
 	void olderTableChangesNothing() {
 		RelayFixture relay = RelayFixture.ready();
-		RouteTable older = new RouteTable(0, List.of(), Map.of(), RouteTable.Limits.beforeFirstTable(),
-				Optional.empty());
+		RouteTable older = new RouteTable(0, List.of(), Map.of(), RouteTable.Limits.defaults(), Optional.empty());
 		assertThat(relay.handle(new RelayEvent.RouteTableUpdated(1, older))).isEmpty();
 		assertThat(sends(relay.sendRequest("r1", "look"))).hasSize(1);
 	}
@@ -206,8 +205,10 @@
 		RelayFixture relay = RelayFixture.ready();
 		List<RelayEffect> effects = new ArrayList<>();
 		for (int i = 0; i < 1000; i++) {
-			effects.addAll(relay.handle(new RelayEvent.UpstreamInvalid(relay.now(), "s1", EntryProblem.ADDRESS)));
-			effects.addAll(relay.handle(new RelayEvent.UpstreamInvalid(relay.now(), "junk", EntryProblem.UNREADABLE)));
+			effects
+				.addAll(relay.handle(new RelayEvent.UpstreamInvalid(relay.now(), "s1", UpstreamRecordError.ADDRESS)));
+			effects.addAll(
+					relay.handle(new RelayEvent.UpstreamInvalid(relay.now(), "junk", UpstreamRecordError.UNREADABLE)));
 		}
 		assertThat(notices(effects, NoticeCode.UPSTREAM_UNUSABLE)).hasSize(2);
 		for (int i = 0; i < 10; i++) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RouteTableTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RouteTableTests.java
@@ -11,7 +11,7 @@
 class RouteTableTests {
 
 	private final RouteTable table = new RouteTable(1, List.of(route("short", "/a/"), route("long", "/a/b/")), Map.of(),
-			RouteTable.Limits.beforeFirstTable(), Optional.empty());
+			RouteTable.Limits.defaults(), Optional.empty());
 
 	@Test
 	void longestPrefixWins() {
@@ -32,9 +32,9 @@
 
 	private static Route route(String name, String prefix) {
 		Route any = RelayFixture.route(name, Repeatability.IDEMPOTENT, false, false, "s");
-		return new Route(name, "host", prefix, any.repeatability(), any.timeout(), any.target(), any.attempts(),
-				any.priority(), any.resumable(), any.keepsTurns(), any.retention(), any.warm(), any.open(),
-				any.targets());
+		return new Route(name, "host", prefix, any.repeatability(), any.timeout(), any.latencyTarget(),
+				any.maxAttempts(), any.priority(), any.resumable(), any.storesTurns(), any.retention(), any.affinity(),
+				any.anonymousAllowed(), any.services());
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TeamTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TeamTests.java
@@ -78,8 +78,8 @@
 
 	@Test
 	void idThatNamesATeamIsAnIdOfTheOwnTeam() {
-		assertThat(new Team("a/b", OptionalInt.empty(), Optional.empty()).scoped("c"))
-			.isNotEqualTo(new Team("a", OptionalInt.empty(), Optional.empty()).scoped("b/c"));
+		assertThat(new Team("a/b", OptionalInt.empty(), Optional.empty()).scopedId("c"))
+			.isNotEqualTo(new Team("a", OptionalInt.empty(), Optional.empty()).scopedId("b/c"));
 	}
 
 	private List<RelayEffect> ask(String id, String route, Optional<String> key, RequestHead.Turn turn) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
@@ -162,7 +162,7 @@
 		relay.open(1);
 		List<RelayEffect.StartTimer> reminds = RelayFixture.ofType(relay.end(1), RelayEffect.StartTimer.class);
 		assertThat(reminds).singleElement()
-			.satisfies((remind) -> assertThat(remind.delay()).isEqualTo(RelaySettings.TELLING));
+			.satisfies((remind) -> assertThat(remind.delay()).isEqualTo(RelaySettings.REPLICATION_DELAY));
 	}
 
 	@Test
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UnloggedEntriesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UnloggedEntriesTests.java
@@ -111,7 +111,7 @@
 			String own = "p" + relay;
 			Set<String> linked = new HashSet<>(all);
 			linked.remove(own);
-			UnloggedEntries others = new UnloggedEntries(random.nextLong(RelaySettings.ADOPTION_SPREAD.toMillis()));
+			UnloggedEntries others = new UnloggedEntries(random.nextLong(RelaySettings.ADOPTION_JITTER.toMillis()));
 			IntStream.range(0, entriesTold)
 				.forEach((turn) -> others.told(RelayFixture.settledTurn("t" + turn, null), "p0", 0));
 			for (long now = 0; now <= 4_000; now += 80) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UpstreamChoiceTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UpstreamSelectorTests.java
@@ -18,7 +18,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class UpstreamChoiceTests {
+class UpstreamSelectorTests {
 
 	private static final long NOW = 1000;
 
@@ -26,7 +26,7 @@
 
 	private final Upstreams upstreams = new Upstreams();
 
-	private final UpstreamChoice choice = new UpstreamChoice("zone-a", new SplittableRandom(1));
+	private final UpstreamSelector choice = new UpstreamSelector("zone-a", new SplittableRandom(1));
 
 	@BeforeEach
 	void listTwo() {
@@ -64,7 +64,7 @@
 		knows.addToCache(session.subList(0, 1), 1_000_000);
 		engines.loadReported(knows, 30, NOW);
 		engines.loadReported(engines.find("engine-1").orElseThrow(), 26, NOW);
-		assertThat(this.choice.weigh(engines.available("s"), Set.of(), session, true, NOW).getFirst().candidate())
+		assertThat(this.choice.rank(engines.available("s"), Set.of(), session, true, NOW).getFirst().state())
 			.isSameAs(knows);
 	}
 
@@ -95,9 +95,9 @@
 				int off = random.nextInt(-4, 5);
 				engines.loadReported(engine, Math.max(0, load.getOrDefault(engine, 0) + off), NOW + turn);
 			}
-			UpstreamState chosen = this.choice.weigh(engines.available("s"), Set.of(), conversation, true, NOW + turn)
+			UpstreamState chosen = this.choice.rank(engines.available("s"), Set.of(), conversation, true, NOW + turn)
 				.getFirst()
-				.candidate();
+				.state();
 			read += chosen.uncachedTokens(conversation);
 			chosen.addToCache(conversation, 1_000_000);
 			load.merge(chosen, 1, Integer::sum);
@@ -147,7 +147,7 @@
 
 	@Test
 	void excludedUpstreamsAreNotChosen() {
-		assertThat(this.choice.weigh(this.upstreams.available("s"), Set.of("a", "b"), List.of(), false, NOW)).isEmpty();
+		assertThat(this.choice.rank(this.upstreams.available("s"), Set.of("a", "b"), List.of(), false, NOW)).isEmpty();
 	}
 
 	@Test
@@ -160,8 +160,8 @@
 				known(id).requestStarted(id + i, NOW);
 			}
 		}
-		assertThat(this.choice.weigh(this.upstreams.available("s"), Set.of(), List.of(), false, NOW))
-			.extracting((weighed) -> weighed.candidate().upstream().id())
+		assertThat(this.choice.rank(this.upstreams.available("s"), Set.of(), List.of(), false, NOW))
+			.extracting((weighed) -> weighed.state().upstream().id())
 			.containsExactly("e", "d", "c");
 	}
 
@@ -171,7 +171,7 @@
 	void requestsAboutOneObjectMeetAtOneUpstreamUnlessItIsBusier() {
 		Set<String> chosen = new HashSet<>();
 		for (int relay = 0; relay < 20; relay++) {
-			chosen.add(chosenFor("tank-7", new UpstreamChoice("zone-a", new SplittableRandom(relay))));
+			chosen.add(chosenFor("tank-7", new UpstreamSelector("zone-a", new SplittableRandom(relay))));
 		}
 		assertThat(chosen).hasSize(1);
 		String home = chosen.iterator().next();
@@ -188,10 +188,10 @@
 		assertThat(chosen).containsExactlyInAnyOrder("a", "b");
 	}
 
-	private String chosenFor(String object, UpstreamChoice by) {
-		return by.weigh(this.upstreams.available("s"), Set.of(), List.of(), false, Optional.of(object), NOW)
+	private String chosenFor(String object, UpstreamSelector by) {
+		return by.rank(this.upstreams.available("s"), Set.of(), List.of(), false, Optional.of(object), NOW)
 			.getFirst()
-			.candidate()
+			.state()
 			.upstream()
 			.id();
 	}
@@ -201,9 +201,9 @@
 	}
 
 	private String chosen(boolean engine) {
-		return this.choice.weigh(this.upstreams.available("s"), Set.of(), PROMPT, engine, NOW)
+		return this.choice.rank(this.upstreams.available("s"), Set.of(), PROMPT, engine, NOW)
 			.getFirst()
-			.candidate()
+			.state()
 			.upstream()
 			.id();
 	}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/CallerConnection.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/CallerConnection.java
@@ -216,7 +216,7 @@
 		this.request = Optional.of(next);
 		this.body = new ByteArrayOutputStream();
 		expectWithin(this.limits.get().idleTimeout());
-		if (HttpUtil.getContentLength(next, 0L) > this.limits.get().bodyBytes()) {
+		if (HttpUtil.getContentLength(next, 0L) > this.limits.get().maxBodyBytes()) {
 			refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
 			return;
 		}
@@ -236,7 +236,7 @@
 				refuse(statusOf(content.decoderResult().cause()));
 				return;
 			}
-			if (this.body.size() + bytes.readableBytes() > this.limits.get().bodyBytes()) {
+			if (this.body.size() + bytes.readableBytes() > this.limits.get().maxBodyBytes()) {
 				refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
 				return;
 			}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/CallerServer.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/CallerServer.java
@@ -22,7 +22,7 @@
 
 	private final Set<CallerConnection> connections = new HashSet<>();
 
-	private RouteTable.Limits limits = RouteTable.Limits.beforeFirstTable();
+	private RouteTable.Limits limits = RouteTable.Limits.defaults();
 
 	private volatile Optional<Channel> port = Optional.empty();
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/StrictRequestDecoder.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/StrictRequestDecoder.java
@@ -13,8 +13,8 @@
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
 	StrictRequestDecoder(RouteTable.Limits limits) {
-		super(new HttpDecoderConfig().setMaxInitialLineLength(limits.headerBytes())
-			.setMaxHeaderSize(limits.headerBytes()));
+		super(new HttpDecoderConfig().setMaxInitialLineLength(limits.maxHeaderBytes())
+			.setMaxHeaderSize(limits.maxHeaderBytes()));
 	}
 
 	@Override
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
@@ -23,7 +23,7 @@
 import io.lentilslip.core.notice.NoticeCode;
 import io.lentilslip.core.quota.PermitReply;
 import io.lentilslip.core.quota.PermitRequest;
-import io.lentilslip.core.relay.EntryProblem;
+import io.lentilslip.core.relay.UpstreamRecordError;
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.core.relay.Member;
 import io.lentilslip.core.relay.TurnLocation;
@@ -162,7 +162,7 @@
 				this.reachability::storeCallCompleted, givenUp::recordDropped);
 		this.reader = new EntryReader(this.store, this.timers, this.random, this::read, this::caughtUp,
 				this.reachability::storeCallCompleted, this.reachability::isolated);
-		this.textWriter = new TextWriter(this.store, this.timers, this.random, setup.settings().textPart(),
+		this.textWriter = new TextWriter(this.store, this.timers, this.random, setup.settings().textPartition(),
 				this::textsStored, givenUp::recordDropped);
 		this.textReader = new TextReader(this.store);
 	}
@@ -483,7 +483,7 @@
 		@Override
 		public void snapshotRead(Map<String, byte[]> values) {
 			List<Upstream> listed = new ArrayList<>();
-			Map<String, EntryProblem> unusable = new HashMap<>();
+			Map<String, UpstreamRecordError> unusable = new HashMap<>();
 			values.forEach(
 					(key, value) -> decode(key, value).peek(listed::add).peekLeft((why) -> unusable.put(key, why)));
 			RelayProcess.this.upstreams.retainUpstreams(listed.stream().map(Upstream::id).collect(Collectors.toSet()));
@@ -503,12 +503,12 @@
 				.peekLeft((problem) -> unusable(key, problem));
 		}
 
-		private void unusable(String key, EntryProblem problem) {
+		private void unusable(String key, UpstreamRecordError problem) {
 			RelayProcess.this.upstreams.removeUpstream(key);
 			on(new RelayEvent.UpstreamInvalid(RelayProcess.this.timers.now(), key, problem));
 		}
 
-		private Either<EntryProblem, Upstream> decode(String key, byte[] value) {
+		private Either<UpstreamRecordError, Upstream> decode(String key, byte[] value) {
 			return RelayProcess.this.setup.storeDecoder().decodeUpstream(key, value);
 		}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/StoreDecoder.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/StoreDecoder.java
@@ -1,8 +1,8 @@
 package io.lentilslip.relay.process;
 
-import io.lentilslip.core.relay.EntryProblem;
+import io.lentilslip.core.relay.UpstreamRecordError;
 import io.lentilslip.core.relay.RouteTable;
-import io.lentilslip.core.relay.TableProblem;
+import io.lentilslip.core.relay.RouteTableError;
 import io.lentilslip.core.relay.Upstream;
 import io.vavr.control.Either;
 
@@ -23,7 +23,7 @@
 	 * @param value the value
 	 * @return the table, or why the value is none that can be in force
 	 */
-	Either<TableProblem, RouteTable> decodeRouteTable(byte[] value);
+	Either<RouteTableError, RouteTable> decodeRouteTable(byte[] value);
 
 	/**
 	 * Decodes what an upstream wrote. Others may write there too, so any bytes may come.
@@ -31,6 +31,6 @@
 	 * @param value the value
 	 * @return the upstream, or why the value names none that can be used
 	 */
-	Either<EntryProblem, Upstream> decodeUpstream(String key, byte[] value);
+	Either<UpstreamRecordError, Upstream> decodeUpstream(String key, byte[] value);
 
 }
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PermitCodec.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PermitCodec.java
@@ -26,14 +26,14 @@
 	static RelayProtocol.PermitRequest message(PermitRequest ask) {
 		return RelayProtocol.PermitRequest.newBuilder()
 			.setTeam(ask.team())
-			.setNumber(ask.number())
+			.setNumber(ask.requestId())
 			.setRatePerSecond(ask.quota().ratePerSecond())
 			.setBurst(ask.quota().burst())
-			.setWanted(ask.wanted())
-			.setAhead(ask.ahead())
-			.setReturned(ask.returned())
-			.addAllUnderWay(ask.underWay())
-			.addAllBeginning(ask.beginning())
+			.setWanted(ask.required())
+			.setAhead(ask.prefetch())
+			.setReturned(ask.expired())
+			.addAllUnderWay(ask.activePrograms())
+			.addAllBeginning(ask.newPrograms())
 			.build();
 	}
 
@@ -50,9 +50,9 @@
 	static RelayProtocol.PermitReply message(PermitReply reply) {
 		return RelayProtocol.PermitReply.newBuilder()
 			.setTeam(reply.team())
-			.setNumber(reply.number())
+			.setNumber(reply.requestId())
 			.setPermits(reply.permits())
-			.addAllAdmitted(reply.admitted())
+			.addAllAdmitted(reply.admissions())
 			.setWait((int) reply.retryAfter().toMillis())
 			.build();
 	}
