--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerChannel.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerChannel.java
@@ -32,23 +32,23 @@
 	/**
 	 * How long a connection is kept that nothing goes over.
 	 */
-	private static final Duration IDLE_TIME = Duration.ofSeconds(60);
+	private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
-	private static final int FRAME_BYTES = 16 * 1024 * 1024;
+	private static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
 	private static final int LENGTH_BYTES = 4;
 
-	private String reason = "closed";
+	private String closeReason = "closed";
 
 	/**
 	 * Puts this handler, and what it needs before it, into a connection's pipeline.
 	 * @param channel the connection
 	 * @param traffic adds up what goes over it
 	 */
-	void setUp(Channel channel, TrafficCounter traffic) {
+	void initialize(Channel channel, TrafficCounter traffic) {
 		channel.pipeline()
-			.addLast(new IdleStateHandler(0, 0, IDLE_TIME.toMillis(), TimeUnit.MILLISECONDS),
-					new LengthFieldBasedFrameDecoder(FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+			.addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS),
+					new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
 					new LengthFieldPrepender(LENGTH_BYTES), new FrameCounter(traffic), this);
 	}
 
@@ -57,14 +57,14 @@
 	 * @param context the connection
 	 * @param message the message
 	 */
-	abstract void take(ChannelHandlerContext context, PeerMessage message);
+	abstract void messageReceived(ChannelHandlerContext context, PeerMessage message);
 
 	/**
 	 * Returns why the connection ended.
 	 * @return the reason
 	 */
-	String reason() {
-		return this.reason;
+	String closeReason() {
+		return this.closeReason;
 	}
 
 	static void send(Channel channel, PeerMessage message) {
@@ -84,26 +84,26 @@
 	protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
 		Either<String, PeerMessage> message = RelayCodec.decodePeerMessage(ByteBufUtil.getBytes(frame));
 		if (message.isLeft()) {
-			end(context, message.getLeft());
+			close(context, message.getLeft());
 			return;
 		}
-		take(context, message.get());
+		messageReceived(context, message.get());
 	}
 
 	@Override
 	public void userEventTriggered(ChannelHandlerContext context, Object event) {
 		if (event instanceof IdleStateEvent) {
-			end(context, IDLE);
+			close(context, IDLE);
 		}
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-		end(context, cause.getMessage());
+		close(context, cause.getMessage());
 	}
 
-	private void end(ChannelHandlerContext context, String why) {
-		this.reason = String.valueOf(why);
+	private void close(ChannelHandlerContext context, String why) {
+		this.closeReason = String.valueOf(why);
 		context.close();
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerLink.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerLink.java
@@ -36,51 +36,51 @@
 	/**
 	 * Takes no random part off a pause: a relay that is back needs all its links at once.
 	 */
-	private static final long WHOLE_PAUSE = 0;
+	private static final long NO_JITTER = 0;
 
 	/**
 	 * How long a relay may be out of reach before its address is dropped from the store:
 	 * twice what a restart takes. Addresses of VMs that were replaced would add up
 	 * otherwise, and be tried for ever. One that lives writes its address again.
 	 */
-	private static final Duration FORGOTTEN = Duration.ofSeconds(8);
+	private static final Duration UNREACHABLE_TIMEOUT = Duration.ofSeconds(8);
 
 	/**
 	 * For how long a link that is down is tried for after it was last needed.
 	 */
-	private static final Duration NEEDED = Duration.ofSeconds(10);
+	private static final Duration RECONNECT_WINDOW = Duration.ofSeconds(10);
 
 	/**
 	 * How long nothing may come back after something was sent before a sign of life is
 	 * asked for. Questions are answered at once, so most links are never asked.
 	 */
-	private static final Duration UNANSWERED = Duration.ofMillis(1200);
+	private static final Duration HEARTBEAT_DELAY = Duration.ofMillis(1200);
 
 	/**
 	 * How long nothing may come back before the link counts as lost. A connection may go
 	 * silent for good without a reset, and a new one works.
 	 */
-	private static final Duration SILENCE = Duration.ofMillis(2000);
+	private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(2000);
 
 	/**
 	 * How recently something must have gone out for it to count as a sign of life itself.
 	 */
-	private static final Duration JUST_SENT = Duration.ofMillis(200);
+	private static final Duration RECENT_SEND = Duration.ofMillis(200);
 
 	/**
 	 * The most bytes that wait for a relay that reads too slowly before its link ends.
 	 */
-	private static final int WAITING_BYTES = 8 * 1024 * 1024;
+	private static final int MAX_PENDING_BYTES = 8 * 1024 * 1024;
 
 	/**
 	 * The most messages that wait for a connection that is being made: some more than are
 	 * sent to one relay in that time. Older ones are of no use to it any more.
 	 */
-	private static final int WAITING_MESSAGES = 64;
+	private static final int MAX_QUEUED_MESSAGES = 64;
 
-	private static final byte[] PULSE = RelayCodec.encode(new PeerMessage.Heartbeat());
+	private static final byte[] HEARTBEAT = RelayCodec.encode(new PeerMessage.Heartbeat());
 
-	private static final long NOTHING = -1;
+	private static final long UNSET = -1;
 
 	private final EventLoop loop;
 
@@ -94,39 +94,39 @@
 
 	private final TrafficCounter traffic;
 
-	private final Supplier<PeerChannel> conversations;
+	private final Supplier<PeerChannel> channelFactory;
 
-	private final Deque<byte[]> waiting = new ArrayDeque<>();
+	private final Deque<byte[]> queue = new ArrayDeque<>();
 
 	private Optional<Channel> channel = Optional.empty();
 
 	private boolean connecting;
 
-	private boolean wanted = true;
+	private boolean mayReconnect = true;
 
 	private int failures;
 
-	private long downSince = NOTHING;
+	private long unreachableSince = UNSET;
 
-	private long usedAt;
+	private long lastUsedAt;
 
-	private long sentAt;
+	private long lastSentAt;
 
-	private long unansweredSince = NOTHING;
+	private long awaitingResponseSince = UNSET;
 
 	PeerLink(EventLoop loop, String address, InetSocketAddress target, PeerListener listener, Timers timers,
-			TrafficCounter traffic, Supplier<PeerChannel> conversations) {
+			TrafficCounter traffic, Supplier<PeerChannel> channelFactory) {
 		this.loop = loop;
 		this.address = address;
 		this.target = target;
 		this.listener = listener;
 		this.timers = timers;
 		this.traffic = traffic;
-		this.conversations = conversations;
-		this.usedAt = timers.now();
+		this.channelFactory = channelFactory;
+		this.lastUsedAt = timers.now();
 	}
 
-	boolean up() {
+	boolean connected() {
 		return this.channel.isPresent() && this.channel.get().isActive();
 	}
 
@@ -134,38 +134,38 @@
 	 * Returns whether the other relay was needed and could not be reached.
 	 * @return whether it was
 	 */
-	boolean down() {
-		return !up() && this.downSince != NOTHING;
+	boolean unreachable() {
+		return !connected() && this.unreachableSince != UNSET;
 	}
 
 	/**
 	 * Sends a message that is encoded already, once for all links that it goes out on.
 	 * @param encoded the bytes of the message; shared, never written to
-	 * @param answered whether something should come back
+	 * @param expectsResponse whether something should come back
 	 */
-	void send(byte[] encoded, boolean answered) {
-		this.usedAt = this.timers.now();
-		if (up()) {
-			write(encoded, answered);
+	void send(byte[] encoded, boolean expectsResponse) {
+		this.lastUsedAt = this.timers.now();
+		if (connected()) {
+			write(encoded, expectsResponse);
 			return;
 		}
-		if (this.waiting.size() == WAITING_MESSAGES) {
-			this.waiting.removeFirst();
+		if (this.queue.size() == MAX_QUEUED_MESSAGES) {
+			this.queue.removeFirst();
 		}
-		this.waiting.add(encoded);
+		this.queue.add(encoded);
 		if (!this.connecting) {
 			connect();
 		}
 	}
 
-	private void write(byte[] encoded, boolean answered) {
-		if (pending() > WAITING_BYTES) {
+	private void write(byte[] encoded, boolean expectsResponse) {
+		if (pendingBytes() > MAX_PENDING_BYTES) {
 			this.channel.get().close();
 			return;
 		}
-		this.sentAt = this.timers.now();
-		if (answered && this.unansweredSince == NOTHING) {
-			this.unansweredSince = this.sentAt;
+		this.lastSentAt = this.timers.now();
+		if (expectsResponse && this.awaitingResponseSince == UNSET) {
+			this.awaitingResponseSince = this.lastSentAt;
 		}
 		PeerChannel.send(this.channel.get(), encoded);
 	}
@@ -174,44 +174,44 @@
 	 * Returns whether less than half of what may wait does.
 	 * @return whether it does
 	 */
-	boolean hasRoom() {
-		return !up() || 2 * pending() < WAITING_BYTES;
+	boolean hasSendCapacity() {
+		return !connected() || 2 * pendingBytes() < MAX_PENDING_BYTES;
 	}
 
-	private long pending() {
+	private long pendingBytes() {
 		return this.channel.orElseThrow().unsafe().outboundBuffer().totalPendingWriteBytes();
 	}
 
 	/**
 	 * Notes that the other relay has said something.
 	 */
-	void heard() {
-		this.unansweredSince = NOTHING;
+	void messageReceived() {
+		this.awaitingResponseSince = UNSET;
 	}
 
 	/**
 	 * Answers a sign of life, unless what was just sent is one.
 	 */
-	void pulsed() {
-		if (up() && this.timers.now() - this.sentAt > JUST_SENT.toMillis()) {
-			write(PULSE, false);
+	void heartbeatReceived() {
+		if (connected() && this.timers.now() - this.lastSentAt > RECENT_SEND.toMillis()) {
+			write(HEARTBEAT, false);
 		}
 	}
 
 	/**
 	 * Looks whether the other relay is silent.
 	 */
-	void look() {
-		if (!up() || this.unansweredSince == NOTHING) {
+	void checkLiveness() {
+		if (!connected() || this.awaitingResponseSince == UNSET) {
 			return;
 		}
-		long silent = this.timers.now() - this.unansweredSince;
-		if (silent > SILENCE.toMillis()) {
+		long silent = this.timers.now() - this.awaitingResponseSince;
+		if (silent > RESPONSE_TIMEOUT.toMillis()) {
 			this.channel.get().close();
 			return;
 		}
-		if (silent > UNANSWERED.toMillis()) {
-			write(PULSE, true);
+		if (silent > HEARTBEAT_DELAY.toMillis()) {
+			write(HEARTBEAT, true);
 		}
 	}
 
@@ -219,17 +219,17 @@
 	 * Makes the link no more after its connection is over.
 	 */
 	void retire() {
-		this.wanted = false;
+		this.mayReconnect = false;
 	}
 
 	private void connect() {
 		this.connecting = true;
-		PeerChannel conversation = this.conversations.get();
+		PeerChannel conversation = this.channelFactory.get();
 		ChannelFuture opening = Sockets.connect(this.loop, this.target, CONNECT_TIMEOUT,
-				(opened) -> conversation.setUp(opened, this.traffic));
+				(opened) -> conversation.initialize(opened, this.traffic));
 		opening.addListener((done) -> {
 			if (!done.isSuccess()) {
-				failed();
+				connectionFailed();
 			}
 		});
 	}
@@ -237,66 +237,66 @@
 	/**
 	 * Takes a connection over which the other relay can be spoken to. Where both made one
 	 * at the same time, the first stays in use, and what comes on the other is heard.
-	 * @param opened the connection
+	 * @param connectionOpened the connection
 	 * @param own whether this relay made it
 	 */
-	void opened(Channel opened, boolean own) {
+	void connectionOpened(Channel opened, boolean own) {
 		this.connecting = this.connecting && !own;
-		if (up()) {
+		if (connected()) {
 			return;
 		}
 		this.channel = Optional.of(opened);
 		this.failures = 0;
-		this.downSince = NOTHING;
-		this.unansweredSince = NOTHING;
-		this.listener.linked(this.address);
-		while (!this.waiting.isEmpty() && up()) {
-			write(this.waiting.removeFirst(), true);
+		this.unreachableSince = UNSET;
+		this.awaitingResponseSince = UNSET;
+		this.listener.peerConnected(this.address);
+		while (!this.queue.isEmpty() && connected()) {
+			write(this.queue.removeFirst(), true);
 		}
 	}
 
 	/**
 	 * Takes that a connection is over.
-	 * @param closed the connection
+	 * @param connectionClosed the connection
 	 * @param reason why
 	 */
-	void closed(Channel closed, String reason) {
+	void connectionClosed(Channel closed, String reason) {
 		if (this.channel.isEmpty() || this.channel.get() != closed) {
 			return;
 		}
 		this.channel = Optional.empty();
-		this.listener.lost(this.address, reason);
-		if (!this.connecting && needed() && !reason.equals(PeerChannel.IDLE)) {
+		this.listener.peerDisconnected(this.address, reason);
+		if (!this.connecting && shouldReconnect() && !reason.equals(PeerChannel.IDLE)) {
 			this.connecting = true;
-			failed();
+			connectionFailed();
 		}
 	}
 
-	private boolean needed() {
-		return this.wanted && this.timers.now() - this.usedAt < NEEDED.toMillis();
+	private boolean shouldReconnect() {
+		return this.mayReconnect && this.timers.now() - this.lastUsedAt < RECONNECT_WINDOW.toMillis();
 	}
 
-	private void failed() {
+	private void connectionFailed() {
 		long now = this.timers.now();
-		if (this.downSince == NOTHING) {
-			this.downSince = now;
+		if (this.unreachableSince == UNSET) {
+			this.unreachableSince = now;
 		}
-		if (this.wanted && now - this.downSince > FORGOTTEN.toMillis()) {
-			this.downSince = now;
-			this.listener.outOfReach(this.address);
+		if (this.mayReconnect && now - this.unreachableSince > UNREACHABLE_TIMEOUT.toMillis()) {
+			this.unreachableSince = now;
+			this.listener.peerUnreachable(this.address);
 		}
-		this.waiting.clear();
+		this.queue.clear();
 		this.failures++;
-		this.timers.schedule(BACKOFF.after(this.failures, WHOLE_PAUSE), this::again);
+		this.timers.schedule(BACKOFF.after(this.failures, NO_JITTER), this::reconnect);
 	}
 
-	private void again() {
-		if (needed() && !up()) {
+	private void reconnect() {
+		if (shouldReconnect() && !connected()) {
 			connect();
 			return;
 		}
 		this.connecting = false;
-		this.downSince = NOTHING;
+		this.unreachableSince = UNSET;
 	}
 
 }
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerListener.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerListener.java
@@ -19,88 +19,88 @@
 	/**
 	 * Entries of another relay.
 	 * @param peer its address
-	 * @param entries the entries
+	 * @param entriesReceived the entries
 	 */
-	void entries(String peer, List<LedgerEntry> entries);
+	void entriesReceived(String peer, List<LedgerEntry> entries);
 
 	/**
 	 * Another relay asks for help with the log.
 	 * @param peer its address
 	 * @param help the turn that it can't write
 	 */
-	void helpAsked(String peer, PeerMessage.Help help);
+	void turnWriteRequested(String peer, PeerMessage.TurnWriteRequest help);
 
 	/**
 	 * Another relay asks where the texts of a chain are.
 	 * @param peer its address
 	 * @param request the last turn of the chain
 	 */
-	void placesAsked(String peer, String request);
+	void textLocationsRequested(String peer, String request);
 
 	/**
 	 * Another relay has told where the texts of a chain are.
 	 * @param peer its address
 	 * @param turns the turns that it knows
 	 */
-	void placesTold(String peer, List<TurnLocation> turns);
+	void textLocationsReceived(String peer, List<TurnLocation> turns);
 
 	/**
 	 * Another relay asks for texts.
 	 * @param peer its address
 	 * @param requests the turns
 	 */
-	void textsAsked(String peer, Set<String> requests);
+	void textsRequested(String peer, Set<String> requests);
 
 	/**
 	 * Another relay has sent texts that this one asked for.
 	 * @param texts the texts
 	 */
-	void textsTold(List<TurnText> texts);
+	void textsReceived(List<TurnText> texts);
 
 	/**
 	 * The log has turns that this relay asked for help with.
 	 * @param requests the turns
 	 */
-	void stored(Set<String> requests);
+	void turnWritesAcknowledged(Set<String> requests);
 
 	/**
 	 * Another relay asks what is taken of a program's budget.
 	 * @param peer its address
 	 * @param question the question
 	 */
-	void takenAsked(String peer, PeerMessage.Question question);
+	void reservationRequested(String peer, PeerMessage.ReservationRequest question);
 
 	/**
 	 * Another relay has answered a question.
 	 * @param peer its address
 	 * @param taken the answer
 	 */
-	void takenTold(String peer, PeerMessage.Taken taken);
+	void usageReceived(String peer, PeerMessage.Usage taken);
 
 	/**
 	 * Another relay can't answer a question, since it may miss turns.
 	 * @param peer its address
 	 * @param request the turn of the question
 	 */
-	void takenUnsure(String peer, String request);
+	void usageUnavailable(String peer, String request);
 
 	/**
 	 * Another relay, which may miss turns, asks for what the log has not shown.
 	 * @param peer its address
 	 */
-	void unloggedAsked(String peer);
+	void syncRequested(String peer);
 
 	/**
 	 * The relays of the site were listed anew.
 	 * @param members all of them, this one included
 	 */
-	void listed(List<Member> members);
+	void membershipUpdated(List<Member> members);
 
 	/**
 	 * Another relay has read from the log whether a budget holds a turn of this one.
 	 * @param place what it read
 	 */
-	void placeTold(PeerMessage.Place place);
+	void logDecisionReceived(PeerMessage.LogDecision place);
 
 	/**
 	 * Another relay asks for permits of a team.
@@ -120,31 +120,31 @@
 	 * Another relay, which misses nothing, has told all that it knows beyond the log.
 	 * @param peer its address
 	 */
-	void allTold(String peer);
+	void syncCompleted(String peer);
 
 	/**
 	 * A link to another relay is up.
 	 * @param peer its address
 	 */
-	void linked(String peer);
+	void peerConnected(String peer);
 
 	/**
 	 * A link to another relay is lost.
 	 * @param peer its address
 	 * @param reason why
 	 */
-	void lost(String peer, String reason);
+	void peerDisconnected(String peer, String reason);
 
 	/**
 	 * A relay has not been reached for so long that its address should be forgotten.
 	 * @param peer its address
 	 */
-	void outOfReach(String peer);
+	void peerUnreachable(String peer);
 
 	/**
 	 * The address of this relay itself was dropped from the store, by one that can't
 	 * reach it.
 	 */
-	void forgotten();
+	void addressRemoved();
 
 }
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/Peers.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/Peers.java
@@ -32,13 +32,13 @@
 	 * How many others are asked for help at once: the store may turn one of them away
 	 * too.
 	 */
-	private static final int HELPERS = 2;
+	private static final int TURN_WRITE_PEERS = 2;
 
 	/**
 	 * The most entries of one message that repeats them: with the longest texts some
 	 * megabytes, below the bound of a message.
 	 */
-	private static final int BATCH = 20;
+	private static final int ENTRIES_PER_MESSAGE = 20;
 
 	private final EventLoop loop;
 
@@ -52,9 +52,9 @@
 
 	private final Map<String, Member> members = new TreeMap<>();
 
-	private int nextHelper;
+	private int nextTurnWritePeer;
 
-	private String own = "";
+	private String localAddress = "";
 
 	/**
 	 * Creates a relay's view of the others.
@@ -78,7 +78,7 @@
 	 */
 	public ChannelFuture open(EventLoopGroup group, InetSocketAddress address) {
 		return Sockets.bind(group, address,
-				(channel) -> new Conversation(Optional.empty()).setUp(channel, this.traffic));
+				(channel) -> new PeerConnection(Optional.empty()).initialize(channel, this.traffic));
 	}
 
 	/**
@@ -86,7 +86,7 @@
 	 * @param setLocalAddress the address and port at which it takes links
 	 */
 	public void setLocalAddress(String name) {
-		this.own = name;
+		this.localAddress = name;
 	}
 
 	/**
@@ -94,7 +94,7 @@
 	 * @param peers their addresses
 	 * @param entry the entry
 	 */
-	public void tell(List<String> peers, LedgerEntry entry) {
+	public void replicate(List<String> peers, LedgerEntry entry) {
 		if (!peers.isEmpty()) {
 			sendAll(peers, new PeerMessage.Batch(List.of(entry)));
 		}
@@ -106,10 +106,11 @@
 	 * @param peer its address
 	 * @param entries the entries
 	 */
-	public void tell(String peer, List<LedgerEntry> entries) {
+	public void replicate(String peer, List<LedgerEntry> entries) {
 		PeerLink link = this.links.get(peer);
-		for (int from = 0; link != null && from < entries.size() && link.hasRoom(); from += BATCH) {
-			List<LedgerEntry> part = entries.subList(from, Math.min(entries.size(), from + BATCH));
+		for (int from = 0; link != null && from < entries.size()
+				&& link.hasSendCapacity(); from += ENTRIES_PER_MESSAGE) {
+			List<LedgerEntry> part = entries.subList(from, Math.min(entries.size(), from + ENTRIES_PER_MESSAGE));
 			send(link, new PeerMessage.Batch(part));
 		}
 	}
@@ -119,14 +120,14 @@
 	 * that are linked first.
 	 * @param help the turn
 	 */
-	public void askForHelp(PeerMessage.Help help) {
-		List<PeerLink> able = this.links.values().stream().filter(PeerLink::up).toList();
-		if (able.size() < HELPERS) {
+	public void requestTurnWrite(PeerMessage.TurnWriteRequest help) {
+		List<PeerLink> able = this.links.values().stream().filter(PeerLink::connected).toList();
+		if (able.size() < TURN_WRITE_PEERS) {
 			able = List.copyOf(this.links.values());
 		}
-		for (int i = 0; i < Math.min(HELPERS, able.size()); i++) {
-			this.nextHelper = (this.nextHelper + 1) % able.size();
-			send(able.get(this.nextHelper), help);
+		for (int i = 0; i < Math.min(TURN_WRITE_PEERS, able.size()); i++) {
+			this.nextTurnWritePeer = (this.nextTurnWritePeer + 1) % able.size();
+			send(able.get(this.nextTurnWritePeer), help);
 		}
 	}
 
@@ -135,7 +136,7 @@
 	 * @param peers their addresses; empty for all
 	 * @param question the question
 	 */
-	public void ask(List<String> peers, PeerMessage question) {
+	public void sendRequest(List<String> peers, PeerMessage question) {
 		sendAll(peers.isEmpty() ? List.copyOf(this.links.keySet()) : peers, question);
 	}
 
@@ -152,7 +153,7 @@
 	}
 
 	private void send(PeerLink link, PeerMessage message) {
-		link.send(RelayCodec.encode(message), answered(message));
+		link.send(RelayCodec.encode(message), expectsResponse(message));
 	}
 
 	private void sendAll(List<String> peers, PeerMessage message) {
@@ -160,21 +161,21 @@
 		for (String peer : peers) {
 			PeerLink link = this.links.get(peer);
 			if (link != null) {
-				link.send(encoded, answered(message));
+				link.send(encoded, expectsResponse(message));
 			}
 		}
 	}
 
 	// Whoever is answered looks after the link itself.
-	private static boolean answered(PeerMessage message) {
+	private static boolean expectsResponse(PeerMessage message) {
 		return switch (message) {
 			case PeerMessage.Batch ignored -> true;
-			case PeerMessage.Question ignored -> true;
-			case PeerMessage.PlacesWanted ignored -> true;
-			case PeerMessage.TextsWanted ignored -> true;
-			case PeerMessage.Help ignored -> true;
-			case PeerMessage.Sync ignored -> true;
-			case PeerMessage.Permits ignored -> true;
+			case PeerMessage.ReservationRequest ignored -> true;
+			case PeerMessage.TextLocationsRequest ignored -> true;
+			case PeerMessage.TextsRequest ignored -> true;
+			case PeerMessage.TurnWriteRequest ignored -> true;
+			case PeerMessage.SyncRequest ignored -> true;
+			case PeerMessage.PermitsRequest ignored -> true;
 			default -> false;
 		};
 	}
@@ -183,7 +184,7 @@
 	 * Looks for links that have gone silent.
 	 */
 	public void checkLiveness() {
-		this.links.values().forEach(PeerLink::look);
+		this.links.values().forEach(PeerLink::checkLiveness);
 	}
 
 	/**
@@ -205,7 +206,7 @@
 	private int count(boolean up) {
 		int count = 0;
 		for (PeerLink link : this.links.values()) {
-			count += (up ? link.up() : link.down()) ? 1 : 0;
+			count += (up ? link.connected() : link.unreachable()) ? 1 : 0;
 		}
 		return count;
 	}
@@ -215,7 +216,7 @@
 	 * @return the number
 	 */
 	public int knownCount() {
-		return this.members.size() - (this.members.containsKey(this.own) ? 1 : 0);
+		return this.members.size() - (this.members.containsKey(this.localAddress) ? 1 : 0);
 	}
 
 	@Override
@@ -226,9 +227,9 @@
 			}
 		}
 		values.forEach(this::add);
-		listed();
-		if (!values.containsKey(this.own)) {
-			this.listener.forgotten();
+		notifyMembershipUpdated();
+		if (!values.containsKey(this.localAddress)) {
+			this.listener.addressRemoved();
 		}
 	}
 
@@ -236,23 +237,23 @@
 	public void recordChanged(String key, Optional<byte[]> value) {
 		if (value.isPresent()) {
 			add(key, value.get());
-			listed();
+			notifyMembershipUpdated();
 			return;
 		}
-		if (key.equals(this.own)) {
-			this.listener.forgotten();
+		if (key.equals(this.localAddress)) {
+			this.listener.addressRemoved();
 			return;
 		}
 		remove(key);
-		listed();
+		notifyMembershipUpdated();
 	}
 
-	private void listed() {
-		this.listener.listed(List.copyOf(this.members.values()));
+	private void notifyMembershipUpdated() {
+		this.listener.membershipUpdated(List.copyOf(this.members.values()));
 	}
 
 	private void add(String address, byte[] value) {
-		if (address.equals(this.own) || link(address).isPresent()) {
+		if (address.equals(this.localAddress) || link(address).isPresent()) {
 			this.members.put(address, RelayCodec.decodeMember(address, value));
 		}
 	}
@@ -260,16 +261,16 @@
 	// A relay may speak before its address is read from the store.
 	private Optional<PeerLink> link(String address) {
 		PeerLink known = this.links.get(address);
-		if (known != null || address.equals(this.own)) {
+		if (known != null || address.equals(this.localAddress)) {
 			return Optional.ofNullable(known);
 		}
-		Optional<PeerLink> added = target(address).map((target) -> new PeerLink(this.loop, address, target,
-				this.listener, this.timers, this.traffic, () -> new Conversation(Optional.of(address))));
+		Optional<PeerLink> added = parseAddress(address).map((target) -> new PeerLink(this.loop, address, target,
+				this.listener, this.timers, this.traffic, () -> new PeerConnection(Optional.of(address))));
 		added.ifPresent((link) -> this.links.put(address, link));
 		return added;
 	}
 
-	private static Optional<InetSocketAddress> target(String address) {
+	private static Optional<InetSocketAddress> parseAddress(String address) {
 		int colon = address.lastIndexOf(':');
 		return Try
 			.of(() -> new InetSocketAddress(address.substring(0, colon),
@@ -283,13 +284,13 @@
 		PeerLink link = this.links.get(address);
 		if (link != null) {
 			link.retire();
-			forgetUnused(address);
+			removeUnusedLink(address);
 		}
 	}
 
-	private void forgetUnused(String address) {
+	private void removeUnusedLink(String address) {
 		PeerLink link = this.links.get(address);
-		if (link != null && !link.up() && !this.members.containsKey(address)) {
+		if (link != null && !link.connected() && !this.members.containsKey(address)) {
 			this.links.remove(address);
 		}
 	}
@@ -298,22 +299,22 @@
 	 * One connection to another relay, whichever of the two made it. Used by the event
 	 * loop's thread.
 	 */
-	private final class Conversation extends PeerChannel {
+	private final class PeerConnection extends PeerChannel {
 
-		private final boolean ours;
+		private final boolean initiatedLocally;
 
 		private String peer;
 
-		Conversation(Optional<String> peer) {
-			this.ours = peer.isPresent();
+		PeerConnection(Optional<String> peer) {
+			this.initiatedLocally = peer.isPresent();
 			this.peer = peer.orElse("");
 		}
 
 		@Override
 		public void channelActive(ChannelHandlerContext context) {
-			if (this.ours) {
-				send(context.channel(), new PeerMessage.Greeting(Peers.this.own));
-				link(this.peer).ifPresent((link) -> link.opened(context.channel(), true));
+			if (this.initiatedLocally) {
+				send(context.channel(), new PeerMessage.Greeting(Peers.this.localAddress));
+				link(this.peer).ifPresent((link) -> link.connectionOpened(context.channel(), true));
 			}
 		}
 
@@ -321,37 +322,42 @@
 		public void channelInactive(ChannelHandlerContext context) {
 			PeerLink link = Peers.this.links.get(this.peer);
 			if (link != null) {
-				link.closed(context.channel(), reason());
-				forgetUnused(this.peer);
+				link.connectionClosed(context.channel(), closeReason());
+				removeUnusedLink(this.peer);
 			}
 		}
 
 		@Override
-		void take(ChannelHandlerContext context, PeerMessage message) {
+		void messageReceived(ChannelHandlerContext context, PeerMessage message) {
 			PeerLink link = Peers.this.links.get(this.peer);
 			if (link != null) {
-				link.heard();
+				link.messageReceived();
 			}
 			switch (message) {
-				case PeerMessage.Greeting greeting -> greeted(context, greeting);
-				case PeerMessage.Batch batch -> Peers.this.listener.entries(this.peer, batch.entries());
-				case PeerMessage.Help help -> Peers.this.listener.helpAsked(this.peer, help);
-				case PeerMessage.PlacesWanted wanted -> Peers.this.listener.placesAsked(this.peer, wanted.request());
-				case PeerMessage.Places places -> Peers.this.listener.placesTold(this.peer, places.turns());
-				case PeerMessage.TextsWanted wanted -> Peers.this.listener.textsAsked(this.peer, wanted.requests());
-				case PeerMessage.Texts texts -> Peers.this.listener.textsTold(texts.turns());
-				case PeerMessage.Stored stored -> Peers.this.listener.stored(stored.requests());
-				case PeerMessage.Question question -> Peers.this.listener.takenAsked(this.peer, question);
-				case PeerMessage.Taken taken -> Peers.this.listener.takenTold(this.peer, taken);
-				case PeerMessage.Unsure unsure -> Peers.this.listener.takenUnsure(this.peer, unsure.request());
-				case PeerMessage.Place place -> Peers.this.listener.placeTold(place);
-				case PeerMessage.Permits ask -> Peers.this.listener.permitsRequested(this.peer, ask.ask());
+				case PeerMessage.Greeting greeting -> greetingReceived(context, greeting);
+				case PeerMessage.Batch batch -> Peers.this.listener.entriesReceived(this.peer, batch.entries());
+				case PeerMessage.TurnWriteRequest help -> Peers.this.listener.turnWriteRequested(this.peer, help);
+				case PeerMessage.TextLocationsRequest wanted ->
+					Peers.this.listener.textLocationsRequested(this.peer, wanted.request());
+				case PeerMessage.TextLocations places ->
+					Peers.this.listener.textLocationsReceived(this.peer, places.turns());
+				case PeerMessage.TextsRequest wanted ->
+					Peers.this.listener.textsRequested(this.peer, wanted.requests());
+				case PeerMessage.Texts texts -> Peers.this.listener.textsReceived(texts.turns());
+				case PeerMessage.TurnWriteAck stored -> Peers.this.listener.turnWritesAcknowledged(stored.requests());
+				case PeerMessage.ReservationRequest question ->
+					Peers.this.listener.reservationRequested(this.peer, question);
+				case PeerMessage.Usage taken -> Peers.this.listener.usageReceived(this.peer, taken);
+				case PeerMessage.UsageUnavailable unsure ->
+					Peers.this.listener.usageUnavailable(this.peer, unsure.request());
+				case PeerMessage.LogDecision place -> Peers.this.listener.logDecisionReceived(place);
+				case PeerMessage.PermitsRequest ask -> Peers.this.listener.permitsRequested(this.peer, ask.request());
 				case PeerMessage.PermitsGranted reply -> Peers.this.listener.permitsGranted(this.peer, reply.reply());
-				case PeerMessage.Sync ignored -> Peers.this.listener.unloggedAsked(this.peer);
-				case PeerMessage.Told ignored -> Peers.this.listener.allTold(this.peer);
+				case PeerMessage.SyncRequest ignored -> Peers.this.listener.syncRequested(this.peer);
+				case PeerMessage.SyncComplete ignored -> Peers.this.listener.syncCompleted(this.peer);
 				case PeerMessage.Heartbeat ignored -> {
 					if (link != null) {
-						link.pulsed();
+						link.heartbeatReceived();
 					}
 				}
 				case PeerMessage.Unknown ignored -> {
@@ -359,13 +365,13 @@
 			}
 		}
 
-		private void greeted(ChannelHandlerContext context, PeerMessage.Greeting greeting) {
-			if (this.ours) {
+		private void greetingReceived(ChannelHandlerContext context, PeerMessage.Greeting greeting) {
+			if (this.initiatedLocally) {
 				return;
 			}
 			this.peer = greeting.address();
-			send(context.channel(), new PeerMessage.Greeting(Peers.this.own));
-			link(this.peer).ifPresent((link) -> link.opened(context.channel(), false));
+			send(context.channel(), new PeerMessage.Greeting(Peers.this.localAddress));
+			link(this.peer).ifPresent((link) -> link.connectionOpened(context.channel(), false));
 		}
 
 	}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Reachability.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/ConnectivityMonitor.java
@@ -10,22 +10,22 @@
  * nothing can't know what programs spend elsewhere: several that are cut off together
  * reach each other, and still not those that spend. Used by the event loop's thread.
  */
-final class Reachability {
+final class ConnectivityMonitor {
 
 	/**
 	 * How long the store may have been silent before it counts as out of reach: more than
 	 * a slow answer, less than a second turn of a looping program takes.
 	 */
-	private static final long STORE_PATIENCE_MS = 1500;
+	private static final long STORE_SILENCE_TIMEOUT_MS = 1500;
 
 	/**
 	 * How many calls in a row, and for how long, the store has to turn away before it
 	 * counts as out of reach. It says so at once, so nothing is gained by waiting; a
 	 * single refusal or reset is no outage.
 	 */
-	private static final int REFUSED_CALLS = 4;
+	private static final int MIN_FAILED_CALLS = 4;
 
-	private static final long REFUSING_MS = 200;
+	private static final long MIN_FAILURE_DURATION_MS = 200;
 
 	private final Timers timers;
 
@@ -33,27 +33,27 @@
 
 	private final Exchanges.EventSink events;
 
-	private long storeAnsweredAt;
+	private long lastStoreSuccessAt;
 
 	private long failingSince;
 
 	private int failures;
 
-	private Connectivity reach = Connectivity.LOG;
+	private Connectivity connectivity = Connectivity.LOG;
 
-	Reachability(Timers timers, Peers peers, Exchanges.EventSink events) {
+	ConnectivityMonitor(Timers timers, Peers peers, Exchanges.EventSink events) {
 		this.timers = timers;
 		this.peers = peers;
 		this.events = events;
-		this.storeAnsweredAt = timers.now();
+		this.lastStoreSuccessAt = timers.now();
 	}
 
-	void storeCallCompleted(boolean well) {
+	void storeCallCompleted(boolean succeeded) {
 		long now = this.timers.now();
-		if (well) {
-			this.storeAnsweredAt = now;
+		if (succeeded) {
+			this.lastStoreSuccessAt = now;
 			this.failures = 0;
-			if (this.reach != Connectivity.LOG) {
+			if (this.connectivity != Connectivity.LOG) {
 				check();
 			}
 			return;
@@ -65,25 +65,25 @@
 	}
 
 	void check() {
-		Connectivity now = reach();
-		if (now != this.reach) {
-			this.reach = now;
+		Connectivity now = connectivity();
+		if (now != this.connectivity) {
+			this.connectivity = now;
 			this.events.on(new RelayEvent.ConnectivityChanged(this.timers.now(), now));
 		}
 	}
 
-	private Connectivity reach() {
-		if (!storeLost()) {
+	private Connectivity connectivity() {
+		if (!storeUnreachable()) {
 			return Connectivity.LOG;
 		}
 		return isolated() ? Connectivity.NOTHING : Connectivity.RELAYS;
 	}
 
-	private boolean storeLost() {
+	private boolean storeUnreachable() {
 		long now = this.timers.now();
-		boolean silent = now - this.storeAnsweredAt > STORE_PATIENCE_MS;
-		boolean refusing = this.failures >= REFUSED_CALLS && now - this.failingSince > REFUSING_MS;
-		return silent || refusing;
+		boolean silent = now - this.lastStoreSuccessAt > STORE_SILENCE_TIMEOUT_MS;
+		boolean failing = this.failures >= MIN_FAILED_CALLS && now - this.failingSince > MIN_FAILURE_DURATION_MS;
+		return silent || failing;
 	}
 
 	/**
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
@@ -34,9 +34,9 @@
 
 	private final EventSink events;
 
-	private final Map<Long, Open> open = new HashMap<>();
+	private final Map<Long, OpenExchange> open = new HashMap<>();
 
-	private long last;
+	private long lastExchange;
 
 	Exchanges(Dialect dialect, UpstreamClient upstreams, Timers timers, EventSink events) {
 		this.dialect = dialect;
@@ -51,11 +51,12 @@
 
 	@Override
 	public long onRequest(CallerConnection connection, HttpRequest request, byte[] body) {
-		this.last++;
+		this.lastExchange++;
 		RequestHead head = this.dialect.decodeRequest(request);
-		this.open.put(this.last, new Open(connection, request, body, head.id()));
-		this.events.on(new RelayEvent.RequestReceived(this.timers.now(), this.last, head, body, digest(request, body)));
-		return this.last;
+		this.open.put(this.lastExchange, new OpenExchange(connection, request, body, head.id()));
+		this.events.on(new RelayEvent.RequestReceived(this.timers.now(), this.lastExchange, head, body,
+				digest(request, body)));
+		return this.lastExchange;
 	}
 
 	@Override
@@ -68,7 +69,7 @@
 	 * Ends an exchange on which no decision was reached.
 	 * @param exchange the exchange
 	 */
-	void breakOff(long exchange) {
+	void abort(long exchange) {
 		remove(exchange).ifPresent((known) -> known.connection().abort());
 	}
 
@@ -89,7 +90,7 @@
 				find(event.exchange()).ifPresent((exchange) -> exchange.connection().writeContent(event.raw()));
 			case RelayEffect.EndStream end ->
 				remove(end.exchange()).ifPresent((exchange) -> exchange.connection().endStream());
-			case RelayEffect.AbortConnection broken -> breakOff(broken.exchange());
+			case RelayEffect.AbortConnection broken -> abort(broken.exchange());
 			case RelayEffect.Refuse refuse -> remove(refuse.exchange()).ifPresent((exchange) -> exchange.connection()
 				.respond(this.dialect.encodeRefusal(refuse.refusal(), refuse.retryAfter())));
 			default -> {
@@ -99,16 +100,16 @@
 		return true;
 	}
 
-	private void send(Open exchange, RelayEffect.SendRequest send) {
+	private void send(OpenExchange exchange, RelayEffect.SendRequest send) {
 		this.upstreams.send(send, exchange.id(), exchange.request(), exchange.body(),
 				new Attempt(send.exchange(), send.attempt()));
 	}
 
-	private Optional<Open> find(long exchange) {
+	private Optional<OpenExchange> find(long exchange) {
 		return Optional.ofNullable(this.open.get(exchange));
 	}
 
-	private Optional<Open> remove(long exchange) {
+	private Optional<OpenExchange> remove(long exchange) {
 		return Optional.ofNullable(this.open.remove(exchange));
 	}
 
@@ -148,7 +149,7 @@
 	 * @param body its body
 	 * @param id the id of the caller's attempt
 	 */
-	private record Open(CallerConnection connection, HttpRequest request, byte[] body, String id) {
+	private record OpenExchange(CallerConnection connection, HttpRequest request, byte[] body, String id) {
 
 	}
 
@@ -168,30 +169,30 @@
 
 		@Override
 		public void onResponse(ResponseHead head, byte[] body) {
-			tell(new RelayEvent.ResponseReceived(now(), this.exchange, this.attempt, head, body));
+			emit(new RelayEvent.ResponseReceived(now(), this.exchange, this.attempt, head, body));
 		}
 
 		@Override
 		public void onStreamStart(ResponseHead head) {
-			tell(new RelayEvent.StreamOpened(now(), this.exchange, this.attempt, head));
+			emit(new RelayEvent.StreamOpened(now(), this.exchange, this.attempt, head));
 		}
 
 		@Override
 		public void onEvent(long number, byte[] raw, byte[] data) {
-			tell(new RelayEvent.StreamEventReceived(now(), this.exchange, this.attempt, number, raw, data));
+			emit(new RelayEvent.StreamEventReceived(now(), this.exchange, this.attempt, number, raw, data));
 		}
 
 		@Override
 		public void onStreamEnd() {
-			tell(new RelayEvent.StreamEnded(now(), this.exchange, this.attempt));
+			emit(new RelayEvent.StreamEnded(now(), this.exchange, this.attempt));
 		}
 
 		@Override
 		public void onFailure(FailureCause cause) {
-			tell(new RelayEvent.AttemptFailed(now(), this.exchange, this.attempt, cause));
+			emit(new RelayEvent.AttemptFailed(now(), this.exchange, this.attempt, cause));
 		}
 
-		private void tell(RelayEvent event) {
+		private void emit(RelayEvent event) {
 			Exchanges.this.events.on(event);
 		}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/PauseDetector.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/PauseDetector.java
@@ -15,15 +15,15 @@
 	 * By how much a look may be late. Pauses of the collector and a quota that is used up
 	 * stay below it; what other relays tell in this time is less than a turn.
 	 */
-	private static final long LATE_MS = 400;
+	private static final long TOLERANCE_MS = 400;
 
 	private final long interval;
 
-	private long steady;
+	private long lastMonotonicMillis;
 
-	private long ofDay;
+	private long lastWallClockMillis;
 
-	private boolean looked;
+	private boolean checked;
 
 	/**
 	 * Creates a watch.
@@ -35,18 +35,18 @@
 
 	/**
 	 * Looks.
-	 * @param now milliseconds of the steady clock
-	 * @param time milliseconds of the clock of the day
+	 * @param monotonicMillis milliseconds of the steady clock
+	 * @param wallClockMillis milliseconds of the clock of the day
 	 * @return how long the process slept, if it did since the look before
 	 */
-	Optional<Duration> check(long now, long time) {
-		long gap = now - this.steady;
-		long missing = Math.abs(time - this.ofDay - gap);
-		boolean slept = this.looked && (gap > this.interval + LATE_MS || missing > LATE_MS);
-		this.steady = now;
-		this.ofDay = time;
-		this.looked = true;
-		return slept ? Optional.of(Duration.ofMillis(gap + missing)) : Optional.empty();
+	Optional<Duration> check(long monotonicMillis, long wallClockMillis) {
+		long gap = monotonicMillis - this.lastMonotonicMillis;
+		long divergence = Math.abs(wallClockMillis - this.lastWallClockMillis - gap);
+		boolean paused = this.checked && (gap > this.interval + TOLERANCE_MS || divergence > TOLERANCE_MS);
+		this.lastMonotonicMillis = monotonicMillis;
+		this.lastWallClockMillis = wallClockMillis;
+		this.checked = true;
+		return paused ? Optional.of(Duration.ofMillis(gap + divergence)) : Optional.empty();
 	}
 
 }
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
@@ -69,23 +69,23 @@
 	/**
 	 * How often it is looked whether anything is reached.
 	 */
-	private static final Duration REACH_INTERVAL = Duration.ofMillis(250);
+	private static final Duration CONNECTIVITY_CHECK_INTERVAL = Duration.ofMillis(250);
 
 	/**
 	 * How long a relay that drains still takes connections: the platform needs up to two
 	 * of its questions, a second apart, to send no more.
 	 */
-	private static final Duration STILL_TAKING = Duration.ofMillis(2600);
+	private static final Duration DRAIN_ACCEPT_TIME = Duration.ofMillis(2600);
 
 	/**
 	 * How long a relay lives on at least after it began to drain: callers that were sent
 	 * here by the last question have been answered by then.
 	 */
-	private static final Duration SHORTEST_DRAIN = Duration.ofMillis(3200);
+	private static final Duration MIN_DRAIN_TIME = Duration.ofMillis(3200);
 
 	private static final String ROLE = "relay";
 
-	private static final Duration DRAIN_INTERVAL = Duration.ofMillis(50);
+	private static final Duration DRAIN_CHECK_INTERVAL = Duration.ofMillis(50);
 
 	private static final Logger logger = LoggerFactory.getLogger(RelayProcess.class);
 
@@ -95,7 +95,7 @@
 
 	private final EventLoop loop = this.group.next();
 
-	private final Timers timers = new LoopTimers();
+	private final Timers timers = new EventLoopTimers();
 
 	private final SplittableRandom random;
 
@@ -121,11 +121,11 @@
 
 	private final Peers peers;
 
-	private final Reachability reachability;
+	private final ConnectivityMonitor connectivityMonitor;
 
-	private final PauseDetector sleep = new PauseDetector(REACH_INTERVAL);
+	private final PauseDetector pauseDetector = new PauseDetector(CONNECTIVITY_CHECK_INTERVAL);
 
-	private final TimerDelayMonitor late;
+	private final TimerDelayMonitor timerDelayMonitor;
 
 	private final TrafficCounter traffic = new TrafficCounter();
 
@@ -148,7 +148,7 @@
 	public RelayProcess(Setup setup) {
 		this.setup = setup;
 		this.notices = setup.notices();
-		this.late = new TimerDelayMonitor(setup.measurements(), this.notices);
+		this.timerDelayMonitor = new TimerDelayMonitor(setup.measurements(), this.notices);
 		this.random = new SplittableRandom(setup.settings().seed());
 		this.relay = new Relay(setup.settings());
 		this.store = new MeteredStore(setup.store().apply(this.loop), this.traffic);
@@ -156,12 +156,12 @@
 		this.exchanges = new Exchanges(setup.dialect(), this.upstreams, this.timers, this::on);
 		this.callers = new CallerServer(this.exchanges);
 		this.peers = new Peers(this.loop, new PeerEvents(), this.timers, this.traffic);
-		this.reachability = new Reachability(this.timers, this.peers, this::on);
+		this.connectivityMonitor = new ConnectivityMonitor(this.timers, this.peers, this::on);
 		DroppedEntryReporter givenUp = new DroppedEntryReporter(this.timers, this.notices, setup.measurements());
-		this.writer = new EntryWriter(this.store, this.timers, this.random, this::stored, this::contendersStored,
-				this.reachability::storeCallCompleted, givenUp::recordDropped);
-		this.reader = new EntryReader(this.store, this.timers, this.random, this::read, this::caughtUp,
-				this.reachability::storeCallCompleted, this.reachability::isolated);
+		this.writer = new EntryWriter(this.store, this.timers, this.random, this::turnsStored, this::contendersStored,
+				this.connectivityMonitor::storeCallCompleted, givenUp::recordDropped);
+		this.reader = new EntryReader(this.store, this.timers, this.random, this::entriesRead, this::caughtUp,
+				this.connectivityMonitor::storeCallCompleted, this.connectivityMonitor::isolated);
 		this.textWriter = new TextWriter(this.store, this.timers, this.random, setup.settings().textPartition(),
 				this::textsStored, givenUp::recordDropped);
 		this.textReader = new TextReader(this.store);
@@ -181,7 +181,7 @@
 			this.name = open.name();
 			this.peers.setLocalAddress(this.name);
 			on(new RelayEvent.ListenerStarted(this.timers.now(), this.name));
-			follow();
+			consume();
 		});
 		return open;
 	}
@@ -211,18 +211,18 @@
 		this.group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
 	}
 
-	private void follow() {
-		follow(Topic.ROUTES, new Routes());
-		follow(Topic.UPSTREAMS, new UpstreamList());
+	private void consume() {
+		consume(Topic.ROUTES, new RouteTableListener());
+		consume(Topic.UPSTREAMS, new UpstreamListener());
 		this.reader.read();
 		this.textWriter.start();
-		announce(() -> follow(Topic.RELAYS, this.peers));
-		checkReach();
+		register(() -> consume(Topic.RELAYS, this.peers));
+		checkConnectivity();
 	}
 
-	private void follow(Topic topic, CompactedTopicConsumer.Listener listener) {
+	private void consume(Topic topic, CompactedTopicConsumer.Listener listener) {
 		new CompactedTopicConsumer(this.store, this.timers, this.random, topic, listener,
-				this.reachability::storeCallCompleted)
+				this.connectivityMonitor::storeCallCompleted)
 			.start();
 	}
 
@@ -230,20 +230,20 @@
 	 * Writes this relay's address to the store, and tries until it is there.
 	 * @param then runs when it is there
 	 */
-	private void announce(Runnable then) {
+	private void register(Runnable then) {
 		Member self = new Member(this.name, this.setup.settings().zone(), this.setup.settings().weight());
 		this.store.put(Topic.RELAYS, this.name, Optional.of(RelayCodec.encode(self)), (outcome) -> {
 			if (outcome instanceof Store.AppendResult.Success) {
 				then.run();
 				return;
 			}
-			this.timers.schedule(REACH_INTERVAL, () -> announceUnlessDraining(then));
+			this.timers.schedule(CONNECTIVITY_CHECK_INTERVAL, () -> registerUnlessDraining(then));
 		});
 	}
 
-	private void announceUnlessDraining(Runnable then) {
+	private void registerUnlessDraining(Runnable then) {
 		if (!this.draining) {
-			announce(then);
+			register(then);
 		}
 	}
 
@@ -251,26 +251,26 @@
 	 * Looks before each event, not only at intervals: after a sleep, what arrived
 	 * meanwhile is read before any timer runs.
 	 */
-	private void lookForSleep() {
-		this.sleep.check(this.timers.now(), System.currentTimeMillis())
+	private void detectPause() {
+		this.pauseDetector.check(this.timers.now(), System.currentTimeMillis())
 			.ifPresent((slept) -> this.pending.add(new RelayEvent.ProcessResumed(this.timers.now(), slept)));
 	}
 
-	private void checkReach() {
-		this.late.recordRun(this.timers.now());
-		lookForSleep();
+	private void checkConnectivity() {
+		this.timerDelayMonitor.recordRun(this.timers.now());
+		detectPause();
 		this.peers.checkLiveness();
-		this.reachability.check();
+		this.connectivityMonitor.check();
 		this.setup.measurements()
 			.accept(new Measurement.LinkState(Measurement.LinkState.Kind.RELAY, this.peers.connectedCount(),
 					this.peers.connectedCount() + this.peers.unreachableCount()));
 		this.traffic.publish(this.setup.measurements());
-		this.late.expectRun(this.timers.now() + REACH_INTERVAL.toMillis());
-		this.timers.schedule(REACH_INTERVAL, this::checkReach);
+		this.timerDelayMonitor.expectRun(this.timers.now() + CONNECTIVITY_CHECK_INTERVAL.toMillis());
+		this.timers.schedule(CONNECTIVITY_CHECK_INTERVAL, this::checkConnectivity);
 	}
 
 	private void on(RelayEvent event) {
-		lookForSleep();
+		detectPause();
 		this.pending.add(event);
 		if (this.reducing) {
 			return;
@@ -297,7 +297,7 @@
 				.with(FieldName.CALL, event.getClass().getSimpleName()));
 			logger.error("a decision failed", ex);
 			if (event instanceof RelayEvent.ExchangeEvent of) {
-				this.exchanges.breakOff(of.exchange());
+				this.exchanges.abort(of.exchange());
 			}
 		}
 	}
@@ -308,41 +308,44 @@
 		}
 		switch (effect) {
 			case RelayEffect.AppendEntry write -> {
-				this.peers.tell(write.replicas(), write.entry());
+				this.peers.replicate(write.replicas(), write.entry());
 				this.writer.write(write.entry());
 			}
 			case RelayEffect.StoreText turn -> this.textWriter.write(new TurnText(turn.request(), turn.text()));
 			case RelayEffect.ReadText read -> this.textReader.read(read.request(), read.locations(),
 					(text) -> on(new RelayEvent.TextRead(this.timers.now(), read.request(), text)));
 			case RelayEffect.RequestTextLocations ask ->
-				this.peers.ask(ask.peers(), new PeerMessage.PlacesWanted(ask.request()));
+				this.peers.sendRequest(ask.peers(), new PeerMessage.TextLocationsRequest(ask.request()));
 			case RelayEffect.SendTextLocations tell ->
-				this.peers.send(tell.peer(), new PeerMessage.Places(tell.turns()));
+				this.peers.send(tell.peer(), new PeerMessage.TextLocations(tell.turns()));
 			case RelayEffect.RequestTexts ask ->
-				this.peers.send(ask.peer(), new PeerMessage.TextsWanted(Set.copyOf(ask.requests())));
+				this.peers.send(ask.peer(), new PeerMessage.TextsRequest(Set.copyOf(ask.requests())));
 			case RelayEffect.SendTexts tell -> this.peers.send(tell.peer(), new PeerMessage.Texts(tell.texts()));
 			case RelayEffect.RequestTurnWrite help ->
-				this.peers.askForHelp(new PeerMessage.Help(help.settlement(), help.text()));
+				this.peers.requestTurnWrite(new PeerMessage.TurnWriteRequest(help.settlement(), help.text()));
 			case RelayEffect.AcknowledgeTurnWrite tell ->
-				this.peers.send(tell.peer(), new PeerMessage.Stored(Set.of(tell.request())));
-			case RelayEffect.RequestReservation ask -> this.peers.ask(ask.peers(),
-					new PeerMessage.Question(ask.request(), ask.program(), ask.maxTokens(), ask.budget(), false));
-			case RelayEffect.RequestSync ignored -> this.peers.ask(List.of(), new PeerMessage.Sync());
-			case RelayEffect.RequestLogReservation ask -> this.peers.send(ask.peer(),
-					new PeerMessage.Question(ask.request(), ask.program(), ask.maxTokens(), ask.budget(), true));
+				this.peers.send(tell.peer(), new PeerMessage.TurnWriteAck(Set.of(tell.request())));
+			case RelayEffect.RequestReservation ask ->
+				this.peers.sendRequest(ask.peers(), new PeerMessage.ReservationRequest(ask.request(), ask.program(),
+						ask.maxTokens(), ask.budget(), false));
+			case RelayEffect.RequestSync ignored -> this.peers.sendRequest(List.of(), new PeerMessage.SyncRequest());
+			case RelayEffect.RequestLogReservation ask ->
+				this.peers.send(ask.peer(), new PeerMessage.ReservationRequest(ask.request(), ask.program(),
+						ask.maxTokens(), ask.budget(), true));
 			case RelayEffect.SendUsage tell -> {
-				this.peers.tell(tell.peer(), tell.entries());
-				this.peers.send(tell.peer(), new PeerMessage.Taken(tell.request(), tell.tokens(), tell.uncommitted(),
+				this.peers.replicate(tell.peer(), tell.entries());
+				this.peers.send(tell.peer(), new PeerMessage.Usage(tell.request(), tell.tokens(), tell.uncommitted(),
 						tell.logReachable(), tell.loads()));
 			}
-			case RelayEffect.RequestPermits ask -> this.peers.send(ask.peer(), new PeerMessage.Permits(ask.request()));
+			case RelayEffect.RequestPermits ask ->
+				this.peers.send(ask.peer(), new PeerMessage.PermitsRequest(ask.request()));
 			case RelayEffect.GrantPermits grant ->
 				this.peers.send(grant.peer(), new PeerMessage.PermitsGranted(grant.reply()));
 			case RelayEffect.SendUsageUnavailable tell ->
-				this.peers.send(tell.peer(), new PeerMessage.Unsure(tell.request()));
+				this.peers.send(tell.peer(), new PeerMessage.UsageUnavailable(tell.request()));
 			case RelayEffect.SendLogDecision tell ->
-				this.peers.send(tell.peer(), new PeerMessage.Place(tell.request(), tell.admitted()));
-			case RelayEffect.SendSync tell -> tellUnlogged(tell);
+				this.peers.send(tell.peer(), new PeerMessage.LogDecision(tell.request(), tell.admitted()));
+			case RelayEffect.SendSync tell -> sendSync(tell);
 			case RelayEffect.ReadLog ignored -> this.reader.read();
 			case RelayEffect.CatchUp ignored -> this.reader.catchUp();
 			case RelayEffect.StartTimer remind -> this.timers.schedule(remind.delay(),
@@ -358,15 +361,15 @@
 	// What was told while the link was down is neither on it nor, while the store is
 	// away,
 	// in the log: the other relay would give a program more than its budget.
-	private void tellUnlogged(RelayEffect.SendSync tell) {
-		this.peers.tell(tell.peer(), this.writer.unacknowledged());
-		this.peers.tell(tell.peer(), tell.entries());
+	private void sendSync(RelayEffect.SendSync tell) {
+		this.peers.replicate(tell.peer(), this.writer.unacknowledged());
+		this.peers.replicate(tell.peer(), tell.entries());
 		if (tell.complete()) {
-			this.peers.send(tell.peer(), new PeerMessage.Told());
+			this.peers.send(tell.peer(), new PeerMessage.SyncComplete());
 		}
 	}
 
-	private void stored(Set<String> requests) {
+	private void turnsStored(Set<String> requests) {
 		on(new RelayEvent.SettlementsStored(this.timers.now(), requests));
 	}
 
@@ -374,7 +377,7 @@
 		on(new RelayEvent.TextsStored(this.timers.now(), requests, end, took));
 	}
 
-	private void read(List<LedgerEntry> entries) {
+	private void entriesRead(List<LedgerEntry> entries) {
 		on(new RelayEvent.EntriesReceived(this.timers.now(), entries, Optional.empty()));
 	}
 
@@ -396,8 +399,8 @@
 			// Where this fails, the others find a closed port, and try ever more seldom.
 		});
 		long began = this.timers.now();
-		this.timers.schedule(STILL_TAKING, this.callers::stopAccepting);
-		this.timers.schedule(SHORTEST_DRAIN, () -> endDrain(began));
+		this.timers.schedule(DRAIN_ACCEPT_TIME, this.callers::stopAccepting);
+		this.timers.schedule(MIN_DRAIN_TIME, () -> endDrain(began));
 	}
 
 	private void endDrain(long began) {
@@ -412,7 +415,7 @@
 			return;
 		}
 		this.callers.stopAccepting();
-		this.timers.schedule(DRAIN_INTERVAL, () -> endDrain(began));
+		this.timers.schedule(DRAIN_CHECK_INTERVAL, () -> endDrain(began));
 	}
 
 	/**
@@ -437,7 +440,7 @@
 	/**
 	 * Runs steps on the event loop. Used by its thread.
 	 */
-	private final class LoopTimers implements Timers {
+	private final class EventLoopTimers implements Timers {
 
 		@Override
 		public void schedule(Duration delay, Runnable step) {
@@ -454,7 +457,7 @@
 	/**
 	 * Follows what operators set. Used by the event loop's thread.
 	 */
-	private final class Routes implements CompactedTopicConsumer.Listener {
+	private final class RouteTableListener implements CompactedTopicConsumer.Listener {
 
 		@Override
 		public void snapshotRead(Map<String, byte[]> values) {
@@ -478,7 +481,7 @@
 	/**
 	 * Follows the list of upstreams. Used by the event loop's thread.
 	 */
-	private final class UpstreamList implements CompactedTopicConsumer.Listener {
+	private final class UpstreamListener implements CompactedTopicConsumer.Listener {
 
 		@Override
 		public void snapshotRead(Map<String, byte[]> values) {
@@ -520,66 +523,66 @@
 	private final class PeerEvents implements PeerListener {
 
 		@Override
-		public void entries(String peer, List<LedgerEntry> entries) {
+		public void entriesReceived(String peer, List<LedgerEntry> entries) {
 			on(new RelayEvent.EntriesReceived(RelayProcess.this.timers.now(), entries, Optional.of(peer)));
 		}
 
 		@Override
-		public void helpAsked(String peer, PeerMessage.Help help) {
-			on(new RelayEvent.TurnWriteRequested(RelayProcess.this.timers.now(), peer, help.end(), help.text()));
+		public void turnWriteRequested(String peer, PeerMessage.TurnWriteRequest help) {
+			on(new RelayEvent.TurnWriteRequested(RelayProcess.this.timers.now(), peer, help.settlement(), help.text()));
 		}
 
 		@Override
-		public void placesAsked(String peer, String request) {
+		public void textLocationsRequested(String peer, String request) {
 			on(new RelayEvent.TextLocationsRequested(RelayProcess.this.timers.now(), peer, request));
 		}
 
 		@Override
-		public void placesTold(String peer, List<TurnLocation> turns) {
+		public void textLocationsReceived(String peer, List<TurnLocation> turns) {
 			on(new RelayEvent.TextLocationsReceived(RelayProcess.this.timers.now(), peer, turns));
 		}
 
 		@Override
-		public void textsAsked(String peer, Set<String> requests) {
+		public void textsRequested(String peer, Set<String> requests) {
 			on(new RelayEvent.TextsRequested(RelayProcess.this.timers.now(), peer, requests));
 		}
 
 		@Override
-		public void textsTold(List<TurnText> texts) {
+		public void textsReceived(List<TurnText> texts) {
 			on(new RelayEvent.TextsReceived(RelayProcess.this.timers.now(), texts));
 		}
 
 		@Override
-		public void takenAsked(String peer, PeerMessage.Question question) {
+		public void reservationRequested(String peer, PeerMessage.ReservationRequest question) {
 			on(new RelayEvent.ReservationRequested(RelayProcess.this.timers.now(), peer, question.request(),
-					question.program(), question.most(), question.budget(), question.place()));
+					question.program(), question.maxTokens(), question.budget(), question.throughLog()));
 		}
 
 		@Override
-		public void takenTold(String peer, PeerMessage.Taken taken) {
+		public void usageReceived(String peer, PeerMessage.Usage taken) {
 			on(new RelayEvent.LoadsReceived(RelayProcess.this.timers.now(), taken.loads()));
 			on(new RelayEvent.UsageReceived(RelayProcess.this.timers.now(), peer, taken.request(), taken.tokens(),
-					taken.unlogged(), taken.log(), RelayProcess.this.peers.knownCount()));
+					taken.uncommitted(), taken.logReachable(), RelayProcess.this.peers.knownCount()));
 		}
 
 		@Override
-		public void takenUnsure(String peer, String request) {
+		public void usageUnavailable(String peer, String request) {
 			on(new RelayEvent.UsageUnavailable(RelayProcess.this.timers.now(), peer, request));
 		}
 
 		@Override
-		public void unloggedAsked(String peer) {
+		public void syncRequested(String peer) {
 			on(new RelayEvent.SyncRequested(RelayProcess.this.timers.now(), peer));
 		}
 
 		@Override
-		public void listed(List<Member> members) {
+		public void membershipUpdated(List<Member> members) {
 			on(new RelayEvent.MembershipUpdated(RelayProcess.this.timers.now(), members));
 		}
 
 		@Override
-		public void placeTold(PeerMessage.Place place) {
-			on(new RelayEvent.LogDecisionReceived(RelayProcess.this.timers.now(), place.request(), place.held()));
+		public void logDecisionReceived(PeerMessage.LogDecision place) {
+			on(new RelayEvent.LogDecisionReceived(RelayProcess.this.timers.now(), place.request(), place.admitted()));
 		}
 
 		@Override
@@ -593,18 +596,18 @@
 		}
 
 		@Override
-		public void allTold(String peer) {
+		public void syncCompleted(String peer) {
 			on(new RelayEvent.SyncCompleted(RelayProcess.this.timers.now(), peer,
 					RelayProcess.this.peers.knownCount()));
 		}
 
 		@Override
-		public void stored(Set<String> requests) {
+		public void turnWritesAcknowledged(Set<String> requests) {
 			on(new RelayEvent.TurnWritesAcknowledged(RelayProcess.this.timers.now(), requests));
 		}
 
 		@Override
-		public void outOfReach(String peer) {
+		public void peerUnreachable(String peer) {
 			RelayProcess.this.notices.write(NoticeCode.PEER_FORGOTTEN.with(FieldName.ADDRESS, peer));
 			RelayProcess.this.store.put(Topic.RELAYS, peer, Optional.empty(), (outcome) -> {
 				// Where this fails, the address is tried on, and dropped later.
@@ -612,22 +615,22 @@
 		}
 
 		@Override
-		public void forgotten() {
+		public void addressRemoved() {
 			// One that can't reach this relay has dropped its address; those that can
 			// need
 			// it.
-			announceUnlessDraining(() -> {
+			registerUnlessDraining(() -> {
 			});
 		}
 
 		@Override
-		public void linked(String peer) {
+		public void peerConnected(String peer) {
 			RelayProcess.this.notices.write(NoticeCode.PEER_LINKED.with(FieldName.ADDRESS, peer));
 			on(new RelayEvent.PeerConnected(RelayProcess.this.timers.now(), peer));
 		}
 
 		@Override
-		public void lost(String peer, String reason) {
+		public void peerDisconnected(String peer, String reason) {
 			RelayProcess.this.notices
 				.write(NoticeCode.PEER_LOST.with(FieldName.ADDRESS, peer).with(FieldName.REASON, reason));
 			on(new RelayEvent.PeerDisconnected(RelayProcess.this.timers.now(), peer));
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/TimerDelayMonitor.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/TimerDelayMonitor.java
@@ -19,7 +19,7 @@
 	/**
 	 * The least that is told: collector pauses of a process that is well stay below it.
 	 */
-	private static final long LATE_MS = 100;
+	private static final long MIN_REPORTED_DELAY_MS = 100;
 
 	private static final long NOTICE_INTERVAL_MS = 1000;
 
@@ -27,11 +27,11 @@
 
 	private final Notices notices;
 
-	private OptionalLong planned = OptionalLong.empty();
+	private OptionalLong expectedAt = OptionalLong.empty();
 
-	private long largest;
+	private long maxDelay;
 
-	private long untilNotice = Long.MIN_VALUE;
+	private long nextNoticeAt = Long.MIN_VALUE;
 
 	TimerDelayMonitor(Consumer<Measurement> measurements, Notices notices) {
 		this.measurements = measurements;
@@ -43,7 +43,7 @@
 	 * @param at milliseconds of the steady clock
 	 */
 	void expectRun(long at) {
-		this.planned = OptionalLong.of(at);
+		this.expectedAt = OptionalLong.of(at);
 	}
 
 	/**
@@ -51,22 +51,22 @@
 	 * @param now milliseconds of the steady clock
 	 */
 	void recordRun(long now) {
-		if (this.planned.isEmpty()) {
+		if (this.expectedAt.isEmpty()) {
 			return;
 		}
-		long late = Math.max(0, now - this.planned.getAsLong());
-		this.planned = OptionalLong.empty();
-		this.measurements.accept(new Measurement.TimerRan(Duration.ofMillis(late)));
-		this.largest = Math.max(this.largest, late);
-		if (this.largest >= LATE_MS && now >= this.untilNotice) {
-			tell(now);
+		long delay = Math.max(0, now - this.expectedAt.getAsLong());
+		this.expectedAt = OptionalLong.empty();
+		this.measurements.accept(new Measurement.TimerRan(Duration.ofMillis(delay)));
+		this.maxDelay = Math.max(this.maxDelay, delay);
+		if (this.maxDelay >= MIN_REPORTED_DELAY_MS && now >= this.nextNoticeAt) {
+			report(now);
 		}
 	}
 
-	private void tell(long now) {
-		this.notices.write(NoticeCode.RELAY_LATE.with(FieldName.MILLISECONDS, this.largest));
-		this.largest = 0;
-		this.untilNotice = now + NOTICE_INTERVAL_MS;
+	private void report(long now) {
+		this.notices.write(NoticeCode.RELAY_LATE.with(FieldName.MILLISECONDS, this.maxDelay));
+		this.maxDelay = 0;
+		this.nextNoticeAt = now + NOTICE_INTERVAL_MS;
 	}
 
 }
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/AppendQueue.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/AppendQueue.java
@@ -24,56 +24,56 @@
 	/**
 	 * The most bytes of one call, below the store's bound.
 	 */
-	private static final int CALL_BYTES = 1024 * 1024;
+	private static final int MAX_CALL_BYTES = 1024 * 1024;
 
 	/**
 	 * The most records of one call.
 	 */
-	private static final int CALL_RECORDS = 512;
+	private static final int MAX_CALL_RECORDS = 512;
 
-	private final Appender appending;
+	private final Appender appender;
 
-	private final RecordStamper stamp;
+	private final RecordStamper stamper;
 
 	private final Timers timers;
 
-	private final RetryBackoff pauses;
+	private final RetryBackoff backoff;
 
-	private final long bound;
+	private final long maxQueuedBytes;
 
-	private final AppendListener<T> stored;
+	private final AppendListener<T> listener;
 
-	private final Consumer<Boolean> health;
+	private final Consumer<Boolean> callListener;
 
-	private final IntConsumer givenUp;
+	private final IntConsumer dropListener;
 
-	private final Deque<QueuedRecord<T>> waiting = new ArrayDeque<>();
+	private final Deque<QueuedRecord<T>> queue = new ArrayDeque<>();
 
 	private List<QueuedRecord<T>> inFlight = List.of();
 
-	private long bytes;
+	private long queuedBytes;
 
 	/**
 	 * Creates an empty queue.
-	 * @param appending appends records to the partition
-	 * @param stamp puts into a record how long it waited
+	 * @param appender appends records to the partition
+	 * @param stamper puts into a record how long it waited
 	 * @param timers runs steps later
 	 * @param random spreads out tries
-	 * @param bound the most bytes that wait
-	 * @param stored takes what the store has
-	 * @param health takes whether the store answered a call as it should
-	 * @param givenUp takes how many records wait no longer, each time that any do
+	 * @param maxQueuedBytes the most bytes that wait
+	 * @param listener takes what the store has
+	 * @param callListener takes whether the store answered a call as it should
+	 * @param dropListener takes how many records wait no longer, each time that any do
 	 */
-	AppendQueue(Appender appending, RecordStamper stamp, Timers timers, RandomGenerator random, long bound,
-			AppendListener<T> stored, Consumer<Boolean> health, IntConsumer givenUp) {
-		this.appending = appending;
-		this.stamp = stamp;
+	AppendQueue(Appender appender, RecordStamper stamper, Timers timers, RandomGenerator random, long maxQueuedBytes,
+			AppendListener<T> listener, Consumer<Boolean> callListener, IntConsumer dropListener) {
+		this.appender = appender;
+		this.stamper = stamper;
 		this.timers = timers;
-		this.pauses = new RetryBackoff(random);
-		this.bound = bound;
-		this.stored = stored;
-		this.health = health;
-		this.givenUp = givenUp;
+		this.backoff = new RetryBackoff(random);
+		this.maxQueuedBytes = maxQueuedBytes;
+		this.listener = listener;
+		this.callListener = callListener;
+		this.dropListener = dropListener;
 	}
 
 	/**
@@ -83,24 +83,24 @@
 	 * @param encoded its bytes
 	 */
 	void add(T item, byte[] encoded) {
-		this.waiting.add(new QueuedRecord<>(item, encoded, this.timers.now()));
-		this.bytes += encoded.length;
+		this.queue.add(new QueuedRecord<>(item, encoded, this.timers.now()));
+		this.queuedBytes += encoded.length;
 		dropOldest();
 	}
 
 	private void dropOldest() {
 		int dropped = 0;
-		while (this.bytes > this.bound) {
-			this.bytes -= this.waiting.pollFirst().encoded().length;
+		while (this.queuedBytes > this.maxQueuedBytes) {
+			this.queuedBytes -= this.queue.pollFirst().encoded().length;
 			dropped++;
 		}
 		if (dropped > 0) {
-			this.givenUp.accept(dropped);
+			this.dropListener.accept(dropped);
 		}
 	}
 
 	int size() {
-		return this.waiting.size();
+		return this.queue.size();
 	}
 
 	/**
@@ -108,7 +108,7 @@
 	 * @return the items, the oldest first
 	 */
 	List<T> unacknowledged() {
-		return Stream.concat(this.inFlight.stream(), this.waiting.stream()).map(QueuedRecord::item).toList();
+		return Stream.concat(this.inFlight.stream(), this.queue.stream()).map(QueuedRecord::item).toList();
 	}
 
 	boolean hasCallInFlight() {
@@ -119,20 +119,20 @@
 	 * Appends what waits, unless a call is under way.
 	 */
 	void flush() {
-		if (hasCallInFlight() || this.waiting.isEmpty()) {
+		if (hasCallInFlight() || this.queue.isEmpty()) {
 			return;
 		}
 		List<QueuedRecord<T>> batch = new ArrayList<>();
 		int size = 0;
-		while (!this.waiting.isEmpty() && batch.size() < CALL_RECORDS) {
-			int next = this.waiting.peekFirst().encoded().length;
-			if (!batch.isEmpty() && size + next > CALL_BYTES) {
+		while (!this.queue.isEmpty() && batch.size() < MAX_CALL_RECORDS) {
+			int next = this.queue.peekFirst().encoded().length;
+			if (!batch.isEmpty() && size + next > MAX_CALL_BYTES) {
 				break;
 			}
 			size += next;
-			batch.add(this.waiting.pollFirst());
+			batch.add(this.queue.pollFirst());
 		}
-		this.bytes -= size;
+		this.queuedBytes -= size;
 		this.inFlight = batch;
 		append();
 	}
@@ -141,23 +141,23 @@
 		long began = this.timers.now();
 		List<byte[]> records = new ArrayList<>();
 		for (QueuedRecord<T> next : this.inFlight) {
-			records.add(this.stamp.stamp(next.encoded(), Duration.ofMillis(began - next.since())));
+			records.add(this.stamper.stamp(next.encoded(), Duration.ofMillis(began - next.queuedAt())));
 		}
-		this.appending.append(records, (outcome) -> {
-			this.health.accept(outcome instanceof Store.AppendResult.Success);
+		this.appender.append(records, (outcome) -> {
+			this.callListener.accept(outcome instanceof Store.AppendResult.Success);
 			if (outcome instanceof Store.AppendResult.Success done) {
-				done(done, Duration.ofMillis(this.timers.now() - began));
+				appendSucceeded(done, Duration.ofMillis(this.timers.now() - began));
 				return;
 			}
-			this.timers.schedule(this.pauses.nextDelay(), this::append);
+			this.timers.schedule(this.backoff.nextDelay(), this::append);
 		});
 	}
 
-	private void done(Store.AppendResult.Success done, Duration took) {
-		this.pauses.reset();
+	private void appendSucceeded(Store.AppendResult.Success done, Duration took) {
+		this.backoff.reset();
 		List<T> items = this.inFlight.stream().map(QueuedRecord::item).toList();
 		this.inFlight = List.of();
-		this.stored.stored(items, done.offset(), took);
+		this.listener.stored(items, done.offset(), took);
 		flush();
 	}
 
@@ -218,7 +218,7 @@
 	 * @param encoded its bytes
 	 * @param since since when it waits
 	 */
-	private record QueuedRecord<T>(T item, byte[] encoded, long since) {
+	private record QueuedRecord<T>(T item, byte[] encoded, long queuedAt) {
 
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/CompactedTopicConsumer.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/CompactedTopicConsumer.java
@@ -20,7 +20,7 @@
 	 * How long a read waits for a change. A connection that has gone silent is found out
 	 * after this and the store's time to answer, well within the bound of a change.
 	 */
-	private static final Duration WAIT = Duration.ofMillis(1000);
+	private static final Duration READ_WAIT = Duration.ofMillis(1000);
 
 	private final Store store;
 
@@ -30,13 +30,13 @@
 
 	private final Listener listener;
 
-	private final Consumer<Boolean> health;
+	private final Consumer<Boolean> callListener;
 
-	private final RetryBackoff pauses;
+	private final RetryBackoff backoff;
 
 	private final Map<String, Long> offsets = new HashMap<>();
 
-	private long next = -1;
+	private long nextOffset = -1;
 
 	/**
 	 * Creates a follower.
@@ -45,43 +45,43 @@
 	 * @param random spreads out tries
 	 * @param topic a topic with keys
 	 * @param listener takes what was read
-	 * @param health takes whether the store answered a call as it should
+	 * @param callListener takes whether the store answered a call as it should
 	 */
 	public CompactedTopicConsumer(Store store, Timers timers, RandomGenerator random, Topic topic, Listener listener,
-			Consumer<Boolean> health) {
+			Consumer<Boolean> callListener) {
 		this.store = store;
 		this.timers = timers;
 		this.topic = topic;
 		this.listener = listener;
-		this.health = health;
-		this.pauses = new RetryBackoff(random);
+		this.callListener = callListener;
+		this.backoff = new RetryBackoff(random);
 	}
 
 	/**
 	 * Begins to follow.
 	 */
 	public void start() {
-		this.store.readLatest(this.topic, this::newest);
+		this.store.readLatest(this.topic, this::handleLatest);
 	}
 
-	private void newest(Store.LatestResult outcome) {
-		this.health.accept(outcome instanceof Store.LatestResult.Records);
+	private void handleLatest(Store.LatestResult outcome) {
+		this.callListener.accept(outcome instanceof Store.LatestResult.Records);
 		switch (outcome) {
-			case Store.LatestResult.Failed ignored -> startLater();
+			case Store.LatestResult.Failed ignored -> restartAfterBackoff();
 			case Store.LatestResult.Records records -> {
-				if (records.endOffset() < this.next) {
-					startLater();
+				if (records.endOffset() < this.nextOffset) {
+					restartAfterBackoff();
 					return;
 				}
-				this.pauses.reset();
-				takeAll(records);
-				this.next = records.endOffset();
+				this.backoff.reset();
+				applySnapshot(records);
+				this.nextOffset = records.endOffset();
 				read();
 			}
 		}
 	}
 
-	private void takeAll(Store.LatestResult.Records records) {
+	private void applySnapshot(Store.LatestResult.Records records) {
 		Map<String, byte[]> values = new HashMap<>();
 		for (Store.StoredRecord item : records.records()) {
 			item.key().ifPresent((key) -> {
@@ -94,23 +94,23 @@
 	}
 
 	private void read() {
-		this.store.read(this.topic, this.next, WAIT, this::take);
+		this.store.read(this.topic, this.nextOffset, READ_WAIT, this::handle);
 	}
 
-	private void take(Store.ReadResult outcome) {
-		this.health.accept(!(outcome instanceof Store.ReadResult.Failed));
+	private void handle(Store.ReadResult outcome) {
+		this.callListener.accept(!(outcome instanceof Store.ReadResult.Failed));
 		switch (outcome) {
-			case Store.ReadResult.Failed ignored -> startLater();
+			case Store.ReadResult.Failed ignored -> restartAfterBackoff();
 			case Store.ReadResult.Deleted ignored -> start();
 			case Store.ReadResult.Records records -> {
-				records.records().forEach(this::take);
-				this.next = records.nextOffset();
+				records.records().forEach(this::handle);
+				this.nextOffset = records.nextOffset();
 				read();
 			}
 		}
 	}
 
-	private void take(Store.StoredRecord item) {
+	private void handle(Store.StoredRecord item) {
 		if (item.key().isEmpty()) {
 			return;
 		}
@@ -122,8 +122,8 @@
 		this.listener.recordChanged(key, item.value());
 	}
 
-	private void startLater() {
-		this.timers.schedule(this.pauses.nextDelay(), this::start);
+	private void restartAfterBackoff() {
+		this.timers.schedule(this.backoff.nextDelay(), this::start);
 	}
 
 	/**
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/DroppedEntryReporter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/DroppedEntryReporter.java
@@ -22,9 +22,9 @@
 
 	private final Consumer<Measurement> measurements;
 
-	private long untold;
+	private long unreported;
 
-	private boolean pausing;
+	private boolean throttled;
 
 	/**
 	 * Creates a teller.
@@ -44,18 +44,18 @@
 	 */
 	public void recordDropped(int entries) {
 		this.measurements.accept(new Measurement.EntriesGivenUp(entries));
-		this.untold += entries;
-		if (!this.pausing) {
-			tell();
+		this.unreported += entries;
+		if (!this.throttled) {
+			report();
 		}
 	}
 
-	private void tell() {
-		this.pausing = this.untold > 0;
-		if (this.pausing) {
-			this.notices.write(NoticeCode.ENTRIES_GIVEN_UP.with(FieldName.COUNT, this.untold));
-			this.untold = 0;
-			this.timers.schedule(INTERVAL, this::tell);
+	private void report() {
+		this.throttled = this.unreported > 0;
+		if (this.throttled) {
+			this.notices.write(NoticeCode.ENTRIES_GIVEN_UP.with(FieldName.COUNT, this.unreported));
+			this.unreported = 0;
+			this.timers.schedule(INTERVAL, this::report);
 		}
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryReader.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryReader.java
@@ -28,20 +28,20 @@
 	/**
 	 * The pause between reads while the links bring what can't wait. Each call is priced.
 	 */
-	private static final Duration PAUSE = Duration.ofMillis(500);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
 
 	/**
 	 * The pause while most links are down. What others give to a program is then seen
 	 * only here, and a program may begin several turns within half a second: read this
 	 * often, a relay lags behind by less than one turn.
 	 */
-	private static final Duration PAUSE_ALONE = Duration.ofMillis(80);
+	private static final Duration ISOLATED_POLL_INTERVAL = Duration.ofMillis(80);
 
 	/**
 	 * How long after an outage all relays have written what had waited: some times the
 	 * longest pause between their tries.
 	 */
-	private static final Duration ALL_WRITTEN = Duration.ofSeconds(2);
+	private static final Duration BACKLOG_FLUSH_TIME = Duration.ofSeconds(2);
 
 	private static final Logger logger = LoggerFactory.getLogger(EntryReader.class);
 
@@ -49,72 +49,72 @@
 
 	private final Timers timers;
 
-	private final Consumer<List<LedgerEntry>> entries;
+	private final Consumer<List<LedgerEntry>> entryListener;
 
-	private final CaughtUpListener caughtUp;
+	private final CaughtUpListener caughtUpListener;
 
-	private final Consumer<Boolean> health;
+	private final Consumer<Boolean> callListener;
 
-	private final BooleanSupplier alone;
+	private final BooleanSupplier isolated;
 
-	private final RetryBackoff pauses;
+	private final RetryBackoff backoff;
 
-	private long next;
+	private long nextOffset;
 
-	private boolean calling;
+	private boolean callInFlight;
 
-	private boolean again;
+	private boolean readAgain;
 
-	private boolean complete;
+	private boolean reachedEnd;
 
-	private OptionalLong newest = OptionalLong.empty();
+	private OptionalLong latestWriteTime = OptionalLong.empty();
 
-	private long longestPause;
+	private long longestWriteGap;
 
-	private long longestLate;
+	private long longestAppendDelay;
 
-	private long lateUntil;
+	private long lastDelayedAppend;
 
-	private long lastAppended;
+	private long lastAppend;
 
-	private long since;
+	private long catchUpStartedAt;
 
-	private long scheduled;
+	private long readNumber;
 
 	/**
 	 * Creates a reader.
 	 * @param store the store
 	 * @param timers runs steps later
 	 * @param random spreads out tries
-	 * @param entries takes what was read, also where that is nothing
-	 * @param caughtUp runs when the end was reached for the first time, and again after
-	 * each {@link #catchUp()}
-	 * @param health takes whether the store answered a call as it should
-	 * @param alone tells whether most links to other relays are down
+	 * @param entryListener takes what was read, also where that is nothing
+	 * @param caughtUpListener runs when the end was reached for the first time, and again
+	 * after each {@link #catchUp()}
+	 * @param callListener takes whether the store answered a call as it should
+	 * @param isolated tells whether most links to other relays are down
 	 */
-	public EntryReader(Store store, Timers timers, RandomGenerator random, Consumer<List<LedgerEntry>> entries,
-			CaughtUpListener caughtUp, Consumer<Boolean> health, BooleanSupplier alone) {
+	public EntryReader(Store store, Timers timers, RandomGenerator random, Consumer<List<LedgerEntry>> entryListener,
+			CaughtUpListener caughtUpListener, Consumer<Boolean> callListener, BooleanSupplier isolated) {
 		this.store = store;
 		this.timers = timers;
-		this.entries = entries;
-		this.caughtUp = caughtUp;
-		this.health = health;
-		this.alone = alone;
-		this.since = timers.now();
-		this.pauses = new RetryBackoff(random);
+		this.entryListener = entryListener;
+		this.caughtUpListener = caughtUpListener;
+		this.callListener = callListener;
+		this.isolated = isolated;
+		this.catchUpStartedAt = timers.now();
+		this.backoff = new RetryBackoff(random);
 	}
 
 	/**
 	 * Reads now, or once more if a read is under way that may miss what is newest.
 	 */
 	public void read() {
-		if (this.calling) {
-			this.again = true;
+		if (this.callInFlight) {
+			this.readAgain = true;
 			return;
 		}
-		this.calling = true;
-		this.scheduled++;
-		this.store.read(Topic.ENTRIES, this.next, Duration.ZERO, this::take);
+		this.callInFlight = true;
+		this.readNumber++;
+		this.store.read(Topic.ENTRIES, this.nextOffset, Duration.ZERO, this::handleResult);
 	}
 
 	/**
@@ -123,72 +123,73 @@
 	 * process slept.
 	 */
 	public void catchUp() {
-		this.complete = false;
-		this.since = this.timers.now();
+		this.reachedEnd = false;
+		this.catchUpStartedAt = this.timers.now();
 		read();
 	}
 
-	private void take(Store.ReadResult outcome) {
-		this.calling = false;
-		this.health.accept(!(outcome instanceof Store.ReadResult.Failed));
+	private void handleResult(Store.ReadResult outcome) {
+		this.callInFlight = false;
+		this.callListener.accept(!(outcome instanceof Store.ReadResult.Failed));
 		switch (outcome) {
-			case Store.ReadResult.Records records -> took(records);
+			case Store.ReadResult.Records records -> handleRecords(records);
 			case Store.ReadResult.Deleted deleted -> {
-				this.next = Math.max(this.next, deleted.firstOffset());
+				this.nextOffset = Math.max(this.nextOffset, deleted.firstOffset());
 				read();
 			}
-			case Store.ReadResult.Failed ignored -> readAfter(this.pauses.nextDelay());
+			case Store.ReadResult.Failed ignored -> scheduleRead(this.backoff.nextDelay());
 		}
 	}
 
-	private void took(Store.ReadResult.Records records) {
-		this.pauses.reset();
-		this.next = records.nextOffset();
-		this.entries.accept(decode(records.records()));
-		boolean atEnd = this.next >= records.endOffset();
-		if (atEnd && !this.complete && !this.again) {
-			this.complete = true;
-			this.caughtUp.caughtUp(this.next, Duration.ofMillis(this.timers.now() - this.since), age());
+	private void handleRecords(Store.ReadResult.Records records) {
+		this.backoff.reset();
+		this.nextOffset = records.nextOffset();
+		this.entryListener.accept(decode(records.records()));
+		boolean atEnd = this.nextOffset >= records.endOffset();
+		if (atEnd && !this.reachedEnd && !this.readAgain) {
+			this.reachedEnd = true;
+			this.caughtUpListener.caughtUp(this.nextOffset,
+					Duration.ofMillis(this.timers.now() - this.catchUpStartedAt), idleTime());
 		}
-		if (!atEnd || this.again) {
-			this.again = false;
+		if (!atEnd || this.readAgain) {
+			this.readAgain = false;
 			read();
 			return;
 		}
-		readAfter(this.alone.getAsBoolean() ? PAUSE_ALONE : PAUSE);
+		scheduleRead(this.isolated.getAsBoolean() ? ISOLATED_POLL_INTERVAL : POLL_INTERVAL);
 	}
 
 	// Of relays that are all lost in an outage some start sooner, and what they write is
 	// new when the others read it. The pause before it tells of the outage all the same.
-	private void note(EntryTimestamp time) {
-		long before = this.newest.orElse(time.writtenAt());
-		this.longestPause = Math.max(this.longestPause, time.writtenAt() - before);
-		this.newest = OptionalLong.of(Math.max(before, time.writtenAt()));
-		this.lastAppended = Math.max(this.lastAppended, time.appendedAt());
+	private void recordTimestamp(EntryTimestamp time) {
+		long before = this.latestWriteTime.orElse(time.writtenAt());
+		this.longestWriteGap = Math.max(this.longestWriteGap, time.writtenAt() - before);
+		this.latestWriteTime = OptionalLong.of(Math.max(before, time.writtenAt()));
+		this.lastAppend = Math.max(this.lastAppend, time.appendedAt());
 		if (!time.appendDelay().isZero()) {
-			boolean other = time.appendedAt() - this.lateUntil > ALL_WRITTEN.toMillis();
-			this.longestLate = Math.max(other ? 0 : this.longestLate, time.appendDelay().toMillis());
-			this.lateUntil = Math.max(this.lateUntil, time.appendedAt());
+			boolean other = time.appendedAt() - this.lastDelayedAppend > BACKLOG_FLUSH_TIME.toMillis();
+			this.longestAppendDelay = Math.max(other ? 0 : this.longestAppendDelay, time.appendDelay().toMillis());
+			this.lastDelayedAppend = Math.max(this.lastDelayedAppend, time.appendedAt());
 		}
 	}
 
-	private Optional<Duration> age() {
-		return this.newest.stream().mapToObj((time) -> {
-			long pause = Math.max(this.longestPause, Math.abs(this.timers.wallClockMillis() - time));
-			return Duration.ofMillis(Math.max(pause, lateAtTheEnd()));
+	private Optional<Duration> idleTime() {
+		return this.latestWriteTime.stream().mapToObj((time) -> {
+			long pause = Math.max(this.longestWriteGap, Math.abs(this.timers.wallClockMillis() - time));
+			return Duration.ofMillis(Math.max(pause, trailingAppendDelay()));
 		}).findFirst();
 	}
 
 	// An outage that ended just before all relays were lost: some could still write what
 	// had waited, and what others held is gone.
-	private long lateAtTheEnd() {
-		return (this.lastAppended - this.lateUntil < ALL_WRITTEN.toMillis()) ? this.longestLate : 0;
+	private long trailingAppendDelay() {
+		return (this.lastAppend - this.lastDelayedAppend < BACKLOG_FLUSH_TIME.toMillis()) ? this.longestAppendDelay : 0;
 	}
 
-	private void readAfter(Duration pause) {
-		long turn = this.scheduled;
+	private void scheduleRead(Duration pause) {
+		long turn = this.readNumber;
 		this.timers.schedule(pause, () -> {
-			if (turn == this.scheduled) {
+			if (turn == this.readNumber) {
 				read();
 			}
 		});
@@ -198,8 +199,8 @@
 		List<LedgerEntry> read = new ArrayList<>();
 		for (Store.StoredRecord stored : records) {
 			DecodedEntry logged = RelayCodec.decodeEntry(stored.value().orElse(new byte[0]));
-			if (!this.complete) {
-				logged.timestamp().ifPresent(this::note);
+			if (!this.reachedEnd) {
+				logged.timestamp().ifPresent(this::recordTimestamp);
 			}
 			if (logged.entry().isLeft()) {
 				// Another version's entry: skipped, since stopping here would stop all.
@@ -220,12 +221,12 @@
 		/**
 		 * The end was reached.
 		 * @param offset the offset after the last entry
-		 * @param took how long it took
-		 * @param age the longest time for which nothing was written or entries waited
-		 * that may not all be there, up to now, by the clocks of writers and this
+		 * @param handleRecords how long it took
+		 * @param idleTime the longest time for which nothing was written or entries
+		 * waited that may not all be there, up to now, by the clocks of writers and this
 		 * process; empty if there is no entry
 		 */
-		void caughtUp(long offset, Duration took, Optional<Duration> age);
+		void caughtUp(long offset, Duration duration, Optional<Duration> idle);
 
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
@@ -22,20 +22,20 @@
 	/**
 	 * The most bytes that wait: some minutes of an outage at today's load.
 	 */
-	private static final long WAITING_BYTES = 24L * 1024 * 1024;
+	private static final long MAX_QUEUED_BYTES = 24L * 1024 * 1024;
 
 	/**
 	 * How long entries that nobody waits for are gathered: calls are priced. What is lost
 	 * with all relays at once within this time is the count of turns that have hardly
 	 * begun; it is far less than the one turn by which a budget may be passed.
 	 */
-	private static final Duration GATHER = Duration.ofMillis(100);
+	private static final Duration LINGER = Duration.ofMillis(100);
 
 	/**
 	 * How long an entry may wait without saying so: several times what it waits while the
 	 * log answers. Those that wait longer show whoever reads them that it was away.
 	 */
-	private static final Duration SOON = Duration.ofMillis(500);
+	private static final Duration MIN_RECORDED_DELAY = Duration.ofMillis(500);
 
 	private final Timers timers;
 
@@ -45,7 +45,7 @@
 
 	private final AppendQueue<LedgerEntry> queue;
 
-	private boolean gathering;
+	private boolean flushScheduled;
 
 	/**
 	 * Creates a writer.
@@ -54,21 +54,22 @@
 	 * @param random spreads out tries
 	 * @param turnsStored takes the kept turns whose ends are in the store
 	 * @param contendersStored runs when turns that contend have their places there
-	 * @param health takes whether the store answered a call as it should
-	 * @param givenUp takes how many entries wait no longer, at each write that drops any
+	 * @param callListener takes whether the store answered a call as it should
+	 * @param dropListener takes how many entries wait no longer, at each write that drops
+	 * any
 	 */
 	public EntryWriter(Store store, Timers timers, RandomGenerator random, Consumer<Set<String>> turnsStored,
-			Runnable contendersStored, Consumer<Boolean> health, IntConsumer givenUp) {
+			Runnable contendersStored, Consumer<Boolean> callListener, IntConsumer dropListener) {
 		this.timers = timers;
 		this.turnsStored = turnsStored;
 		this.contendersStored = contendersStored;
 		this.queue = new AppendQueue<>((records, then) -> store.append(Topic.ENTRIES, records, then),
-				EntryWriter::stamp, timers, random, WAITING_BYTES, (entries, offset, took) -> stored(entries), health,
-				givenUp);
+				EntryWriter::stampDelay, timers, random, MAX_QUEUED_BYTES, (entries, offset, took) -> stored(entries),
+				callListener, dropListener);
 	}
 
-	private static byte[] stamp(byte[] encoded, Duration waited) {
-		return (waited.compareTo(SOON) < 0) ? encoded : RelayCodec.withAppendDelay(encoded, waited);
+	private static byte[] stampDelay(byte[] encoded, Duration waited) {
+		return (waited.compareTo(MIN_RECORDED_DELAY) < 0) ? encoded : RelayCodec.withAppendDelay(encoded, waited);
 	}
 
 	/**
@@ -80,11 +81,11 @@
 		if (this.queue.hasCallInFlight()) {
 			return;
 		}
-		if (awaited(entry)) {
+		if (needsImmediateFlush(entry)) {
 			this.queue.flush();
 			return;
 		}
-		gather();
+		scheduleFlush();
 	}
 
 	/**
@@ -103,7 +104,7 @@
 		return this.queue.unacknowledged();
 	}
 
-	private static boolean awaited(LedgerEntry entry) {
+	private static boolean needsImmediateFlush(LedgerEntry entry) {
 		return switch (entry) {
 			case LedgerEntry.Reserved reserved -> reserved.contending();
 			case LedgerEntry.Settled settled -> settled.text().isPresent();
@@ -111,11 +112,11 @@
 		};
 	}
 
-	private void gather() {
-		if (!this.gathering) {
-			this.gathering = true;
-			this.timers.schedule(GATHER, () -> {
-				this.gathering = false;
+	private void scheduleFlush() {
+		if (!this.flushScheduled) {
+			this.flushScheduled = true;
+			this.timers.schedule(LINGER, () -> {
+				this.flushScheduled = false;
 				this.queue.flush();
 			});
 		}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextReader.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextReader.java
@@ -22,13 +22,13 @@
 	 * one: records that may stand before it. These are few, but for texts that waited for
 	 * a store that was away.
 	 */
-	private static final int MORE_BYTES = 16 * 1024;
+	private static final int INITIAL_EXTRA_BYTES = 16 * 1024;
 
 	/**
 	 * How many calls look for one text at one place: behind four megabytes at last,
 	 * several times what two relays keep waiting while callers wait for their ends.
 	 */
-	private static final int CALLS = 8;
+	private static final int MAX_CALLS_PER_LOCATION = 8;
 
 	private final Store store;
 
@@ -47,7 +47,7 @@
 	 * @param then takes the text, or empty if it was not found
 	 */
 	public void read(String request, List<TextLocation> places, Consumer<Optional<StoredTurn>> then) {
-		new Search(request, new ArrayDeque<>(places), then).next();
+		new Search(request, new ArrayDeque<>(places), then).searchNextLocation();
 	}
 
 	/**
@@ -57,7 +57,7 @@
 
 		private final String request;
 
-		private final Deque<TextLocation> places;
+		private final Deque<TextLocation> locations;
 
 		private final Consumer<Optional<StoredTurn>> then;
 
@@ -65,35 +65,35 @@
 
 		Search(String request, Deque<TextLocation> places, Consumer<Optional<StoredTurn>> then) {
 			this.request = request;
-			this.places = places;
+			this.locations = places;
 			this.then = then;
 		}
 
-		void next() {
-			if (this.places.isEmpty()) {
+		void searchNextLocation() {
+			if (this.locations.isEmpty()) {
 				this.then.accept(Optional.empty());
 				return;
 			}
 			this.calls = 0;
-			TextLocation place = this.places.pollFirst();
-			look(place, place.minOffset());
+			TextLocation place = this.locations.pollFirst();
+			readFrom(place, place.minOffset());
 		}
 
-		private void look(TextLocation place, long from) {
-			if (this.calls == CALLS) {
-				next();
+		private void readFrom(TextLocation place, long from) {
+			if (this.calls == MAX_CALLS_PER_LOCATION) {
+				searchNextLocation();
 				return;
 			}
-			int more = MORE_BYTES << this.calls;
+			int more = INITIAL_EXTRA_BYTES << this.calls;
 			this.calls++;
 			TextReader.this.store.readTexts(place.partition(), from, place.bytes() + more,
-					(outcome) -> take(place, outcome));
+					(outcome) -> handleResult(place, outcome));
 		}
 
-		private void take(TextLocation place, Store.ReadResult outcome) {
+		private void handleResult(TextLocation place, Store.ReadResult outcome) {
 			switch (outcome) {
-				case Store.ReadResult.Failed ignored -> next();
-				case Store.ReadResult.Deleted deleted -> look(place, deleted.firstOffset());
+				case Store.ReadResult.Failed ignored -> searchNextLocation();
+				case Store.ReadResult.Deleted deleted -> readFrom(place, deleted.firstOffset());
 				case Store.ReadResult.Records records -> {
 					Optional<StoredTurn> found = find(records.records());
 					if (found.isPresent()) {
@@ -101,10 +101,10 @@
 						return;
 					}
 					if (records.nextOffset() < records.endOffset()) {
-						look(place, records.nextOffset());
+						readFrom(place, records.nextOffset());
 						return;
 					}
-					next();
+					searchNextLocation();
 				}
 			}
 		}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextWriter.java
@@ -19,17 +19,17 @@
 	 * The most bytes that wait: some times what a relay is given in the seconds that
 	 * callers wait for an end.
 	 */
-	private static final long WAITING_BYTES = 16L * 1024 * 1024;
+	private static final long MAX_QUEUED_BYTES = 16L * 1024 * 1024;
 
 	private final Store store;
 
 	private final Timers timers;
 
-	private final int part;
+	private final int partition;
 
 	private final Listener listener;
 
-	private final RetryBackoff pauses;
+	private final RetryBackoff backoff;
 
 	private final AppendQueue<String> queue;
 
@@ -38,24 +38,25 @@
 	 * @param store the store
 	 * @param timers runs steps later
 	 * @param random spreads out tries
-	 * @param part the partition to which texts are written
+	 * @param partition the partition to which texts are written
 	 * @param listener takes what the store has
-	 * @param givenUp takes how many texts wait no longer, at each write that drops any
+	 * @param dropListener takes how many texts wait no longer, at each write that drops
+	 * any
 	 */
-	public TextWriter(Store store, Timers timers, RandomGenerator random, int part, Listener listener,
-			IntConsumer givenUp) {
+	public TextWriter(Store store, Timers timers, RandomGenerator random, int partition, Listener listener,
+			IntConsumer dropListener) {
 		this.store = store;
 		this.timers = timers;
-		this.part = part;
+		this.partition = partition;
 		this.listener = listener;
-		this.pauses = new RetryBackoff(random);
-		this.queue = new AppendQueue<>((records, then) -> store.appendTexts(part, records, then),
-				(encoded, waited) -> encoded, timers, random, WAITING_BYTES,
+		this.backoff = new RetryBackoff(random);
+		this.queue = new AppendQueue<>((records, then) -> store.appendTexts(partition, records, then),
+				(encoded, waited) -> encoded, timers, random, MAX_QUEUED_BYTES,
 				(turns, offset, took) -> listener.stored(Set.copyOf(turns), offset + turns.size(), took), (well) -> {
 					// A partition of the texts says nothing of the one that the order of
 					// turns is read
 					// from: only that decides what this relay reaches.
-				}, givenUp);
+				}, dropListener);
 	}
 
 	/**
@@ -63,17 +64,17 @@
 	 * told to look from there on.
 	 */
 	public void start() {
-		askEnd(0);
+		readEndOffset(0);
 	}
 
-	private void askEnd(long from) {
-		this.store.readTexts(this.part, from, 0, (outcome) -> {
+	private void readEndOffset(long from) {
+		this.store.readTexts(this.partition, from, 0, (outcome) -> {
 			switch (outcome) {
 				case Store.ReadResult.Records records ->
 					this.listener.stored(Set.of(), records.endOffset(), Duration.ZERO);
-				case Store.ReadResult.Deleted deleted -> askEnd(deleted.firstOffset());
+				case Store.ReadResult.Deleted deleted -> readEndOffset(deleted.firstOffset());
 				case Store.ReadResult.Failed ignored ->
-					this.timers.schedule(this.pauses.nextDelay(), () -> askEnd(from));
+					this.timers.schedule(this.backoff.nextDelay(), () -> readEndOffset(from));
 			}
 		});
 	}
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/FrameCounterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/FrameCounterTests.java
@@ -30,7 +30,7 @@
 	private final EmbeddedChannel channel = new EmbeddedChannel();
 
 	FrameCounterTests() {
-		new Taking().setUp(this.channel, this.traffic);
+		new Taking().initialize(this.channel, this.traffic);
 	}
 
 	@Test
@@ -72,7 +72,7 @@
 	private final class Taking extends PeerChannel {
 
 		@Override
-		void take(ChannelHandlerContext context, PeerMessage message) {
+		void messageReceived(ChannelHandlerContext context, PeerMessage message) {
 			FrameCounterTests.this.taken.add(message);
 		}
 
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
@@ -74,7 +74,7 @@
 			away = "127.0.0.1:" + socket.getLocalPort();
 		}
 		onLoop(() -> this.peers.recordChanged(away, Optional.of(PRESENT)));
-		onLoop(() -> this.peers.send(away, new PeerMessage.Sync()));
+		onLoop(() -> this.peers.send(away, new PeerMessage.SyncRequest()));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("out of reach " + away);
 		onLoop(() -> this.peers.recordChanged(away, Optional.empty()));
 		assertThat(onLoop(this.peers::knownCount)).isZero();
@@ -101,7 +101,7 @@
 		for (int i = 0; i < 50; i++) {
 			entries.add(new LedgerEntry.Settled("r" + i, "p", 1, Optional.empty()));
 		}
-		onLoop(() -> this.peers.tell(address, entries));
+		onLoop(() -> this.peers.replicate(address, entries));
 		for (int i = 0; i < 50; i++) {
 			assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("r" + i);
 		}
@@ -115,11 +115,11 @@
 		open();
 		String keeper = listed();
 		String other = listed();
-		onLoop(() -> this.peers.tell(List.of(keeper), reserved("r")));
+		onLoop(() -> this.peers.replicate(List.of(keeper), reserved("r")));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + keeper);
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("r");
 		assertThat(onLoop(this.peers::connectedCount)).isOne();
-		onLoop(() -> this.peers.tell(List.of(other), reserved("s")));
+		onLoop(() -> this.peers.replicate(List.of(other), reserved("s")));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + other);
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("s");
 	}
@@ -129,8 +129,9 @@
 	void questionFollowsWhatWasToldBefore() throws Exception {
 		open();
 		String keeper = listed();
-		onLoop(() -> this.peers.tell(List.of(keeper), reserved("r")));
-		onLoop(() -> this.peers.ask(List.of(keeper), new PeerMessage.Question("t", "p", 1, 2, false)));
+		onLoop(() -> this.peers.replicate(List.of(keeper), reserved("r")));
+		onLoop(() -> this.peers.sendRequest(List.of(keeper),
+				new PeerMessage.ReservationRequest("t", "p", 1, 2, false)));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + keeper);
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("r");
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("asked t of p");
@@ -156,9 +157,10 @@
 		String leaving = this.peer;
 		onLoop(() -> this.peers.recordChanged(leaving, Optional.empty()));
 		assertThat(onLoop(this.peers::knownCount)).isZero();
-		onLoop(() -> this.others.getFirst().send(this.own, new PeerMessage.Question("last", "p", 1, 2, false)));
+		onLoop(() -> this.others.getFirst()
+			.send(this.own, new PeerMessage.ReservationRequest("last", "p", 1, 2, false)));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("asked last of p");
-		onLoop(() -> this.peers.send(leaving, new PeerMessage.Question("back", "p", 1, 2, false)));
+		onLoop(() -> this.peers.send(leaving, new PeerMessage.ReservationRequest("back", "p", 1, 2, false)));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("asked back of p");
 	}
 
@@ -169,7 +171,7 @@
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			String address = "127.0.0.1:" + silent.getLocalPort();
 			onLoop(() -> this.peers.recordChanged(address, Optional.of(PRESENT)));
-			onLoop(() -> this.peers.send(address, new PeerMessage.Sync()));
+			onLoop(() -> this.peers.send(address, new PeerMessage.SyncRequest()));
 			assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + address);
 			onLoop(this.peers::checkLiveness);
 			assertThat(onLoop(this.peers::connectedCount)).isOne();
@@ -223,7 +225,7 @@
 			Thread.onSpinWait();
 		}
 		onLoop(() -> this.others.getFirst()
-			.send(this.own, new PeerMessage.Taken("t", 7, 0, true, List.of(new UpstreamLoad(1, 2, 3)))));
+			.send(this.own, new PeerMessage.Usage("t", 7, 0, true, List.of(new UpstreamLoad(1, 2, 3)))));
 		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("told t 7");
 	}
 
@@ -297,89 +299,89 @@
 		}
 
 		@Override
-		public void entries(String peer, List<LedgerEntry> entries) {
+		public void entriesReceived(String peer, List<LedgerEntry> entries) {
 			entries.forEach((entry) -> PeersTests.this.heard.add(entry.request()));
 		}
 
 		@Override
-		public void helpAsked(String peer, PeerMessage.Help help) {
+		public void turnWriteRequested(String peer, PeerMessage.TurnWriteRequest help) {
 		}
 
 		@Override
-		public void placesAsked(String peer, String request) {
+		public void textLocationsRequested(String peer, String request) {
 		}
 
 		@Override
-		public void placesTold(String peer, List<TurnLocation> turns) {
+		public void textLocationsReceived(String peer, List<TurnLocation> turns) {
 		}
 
 		@Override
-		public void textsAsked(String peer, Set<String> requests) {
+		public void textsRequested(String peer, Set<String> requests) {
 			PeersTests.this.heard.add("texts of " + requests);
 		}
 
 		@Override
-		public void textsTold(List<TurnText> texts) {
+		public void textsReceived(List<TurnText> texts) {
 			texts.forEach((turn) -> PeersTests.this.heard.add("text of " + turn.request()));
 		}
 
 		@Override
-		public void stored(Set<String> requests) {
+		public void turnWritesAcknowledged(Set<String> requests) {
 		}
 
 		@Override
-		public void takenAsked(String peer, PeerMessage.Question question) {
+		public void reservationRequested(String peer, PeerMessage.ReservationRequest question) {
 			PeersTests.this.heard.add("asked " + question.request() + " of " + question.program());
 		}
 
 		@Override
-		public void takenTold(String peer, PeerMessage.Taken taken) {
+		public void usageReceived(String peer, PeerMessage.Usage taken) {
 			PeersTests.this.heard.add("told " + taken.request() + " " + taken.tokens());
 		}
 
 		@Override
-		public void takenUnsure(String peer, String request) {
+		public void usageUnavailable(String peer, String request) {
 			PeersTests.this.heard.add("unsure " + request);
 		}
 
 		@Override
-		public void unloggedAsked(String peer) {
+		public void syncRequested(String peer) {
 		}
 
 		@Override
-		public void listed(List<Member> listed) {
+		public void membershipUpdated(List<Member> listed) {
 			PeersTests.this.members = listed;
 		}
 
 		@Override
-		public void placeTold(PeerMessage.Place place) {
-			PeersTests.this.heard.add("place " + place.request() + " " + place.held());
+		public void logDecisionReceived(PeerMessage.LogDecision place) {
+			PeersTests.this.heard.add("place " + place.request() + " " + place.admitted());
 		}
 
 		@Override
-		public void allTold(String peer) {
+		public void syncCompleted(String peer) {
 			PeersTests.this.heard.add("all told");
 		}
 
 		@Override
-		public void linked(String peer) {
+		public void peerConnected(String peer) {
 			if (!peer.equals(PeersTests.this.own)) {
 				PeersTests.this.heard.add("linked " + peer);
 			}
 		}
 
 		@Override
-		public void lost(String peer, String reason) {
+		public void peerDisconnected(String peer, String reason) {
 			PeersTests.this.heard.add("lost " + peer);
 		}
 
 		@Override
-		public void outOfReach(String peer) {
+		public void peerUnreachable(String peer) {
 			PeersTests.this.heard.add("out of reach " + peer);
 		}
 
 		@Override
-		public void forgotten() {
+		public void addressRemoved() {
 			PeersTests.this.heard.add("forgotten");
 		}
 
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PeerMessage.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PeerMessage.java
@@ -49,7 +49,7 @@
 	 * @param end what the turn has taken of its program's budget
 	 * @param text its text
 	 */
-	record Help(LedgerEntry.Settled end, StoredTurn text) implements PeerMessage {
+	record TurnWriteRequest(LedgerEntry.Settled settlement, StoredTurn text) implements PeerMessage {
 
 	}
 
@@ -58,7 +58,7 @@
 	 *
 	 * @param request the last turn of the chain
 	 */
-	record PlacesWanted(String request) implements PeerMessage {
+	record TextLocationsRequest(String request) implements PeerMessage {
 
 	}
 
@@ -67,13 +67,13 @@
 	 *
 	 * @param turns the turns of the chain that the relay knows
 	 */
-	record Places(List<TurnLocation> turns) implements PeerMessage {
+	record TextLocations(List<TurnLocation> turns) implements PeerMessage {
 
 		/**
 		 * Creates a message.
 		 * @param turns the turns of the chain that the relay knows
 		 */
-		public Places {
+		public TextLocations {
 			turns = List.copyOf(turns);
 		}
 
@@ -84,13 +84,13 @@
 	 *
 	 * @param requests the turns
 	 */
-	record TextsWanted(Set<String> requests) implements PeerMessage {
+	record TextsRequest(Set<String> requests) implements PeerMessage {
 
 		/**
 		 * Creates a message.
 		 * @param requests the turns
 		 */
-		public TextsWanted {
+		public TextsRequest {
 			requests = Set.copyOf(requests);
 		}
 
@@ -118,13 +118,13 @@
 	 *
 	 * @param requests the turns
 	 */
-	record Stored(Set<String> requests) implements PeerMessage {
+	record TurnWriteAck(Set<String> requests) implements PeerMessage {
 
 		/**
 		 * Creates a message.
 		 * @param requests the turns
 		 */
-		public Stored {
+		public TurnWriteAck {
 			requests = Set.copyOf(requests);
 		}
 
@@ -141,7 +141,8 @@
 	 * @param budget the program's budget
 	 * @param place whether a place in the log is asked for, instead of an answer at once
 	 */
-	record Question(String request, String program, int most, long budget, boolean place) implements PeerMessage {
+	record ReservationRequest(String request, String program, int maxTokens, long budget,
+			boolean throughLog) implements PeerMessage {
 
 	}
 
@@ -154,7 +155,7 @@
 	 * @param log whether the relay reaches the log, and can get the turn a place there
 	 * @param loads what upstreams said of their load last
 	 */
-	record Taken(String request, long tokens, long unlogged, boolean log,
+	record Usage(String request, long tokens, long uncommitted, boolean logReachable,
 			List<UpstreamLoad> loads) implements PeerMessage {
 
 		/**
@@ -166,7 +167,7 @@
 		 * there
 		 * @param loads what upstreams said of their load last
 		 */
-		public Taken {
+		public Usage {
 			loads = List.copyOf(loads);
 		}
 
@@ -178,14 +179,14 @@
 	 *
 	 * @param request the turn
 	 */
-	record Unsure(String request) implements PeerMessage {
+	record UsageUnavailable(String request) implements PeerMessage {
 
 	}
 
 	/**
 	 * The relay may miss turns, and asks for what the log has not shown.
 	 */
-	record Sync() implements PeerMessage {
+	record SyncRequest() implements PeerMessage {
 
 	}
 
@@ -195,7 +196,7 @@
 	 * @param request the turn
 	 * @param held whether the program's budget holds it
 	 */
-	record Place(String request, boolean held) implements PeerMessage {
+	record LogDecision(String request, boolean admitted) implements PeerMessage {
 
 	}
 
@@ -203,7 +204,7 @@
 	 * All that the relay knows beyond the log was told before this, by a relay that
 	 * misses nothing itself.
 	 */
-	record Told() implements PeerMessage {
+	record SyncComplete() implements PeerMessage {
 
 	}
 
@@ -212,7 +213,7 @@
 	 *
 	 * @param ask what it asks for
 	 */
-	record Permits(PermitRequest ask) implements PeerMessage {
+	record PermitsRequest(PermitRequest request) implements PeerMessage {
 
 	}
 
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PermitCodec.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PermitCodec.java
@@ -18,7 +18,7 @@
 	/**
 	 * The most permits of one message that are believed.
 	 */
-	private static final int MOST = 10_000;
+	private static final int MAX_PERMITS = 10_000;
 
 	private PermitCodec() {
 	}
@@ -37,7 +37,7 @@
 			.build();
 	}
 
-	static Either<String, PermitRequest> ask(RelayProtocol.PermitRequest message) {
+	static Either<String, PermitRequest> request(RelayProtocol.PermitRequest message) {
 		if (!(message.getRatePerSecond() > 0) || !(message.getBurst() >= 0)) {
 			return Either.left("a request for permits without a quota");
 		}
@@ -63,7 +63,7 @@
 	}
 
 	private static int bounded(int number) {
-		return Math.clamp(number, 0, MOST);
+		return Math.clamp(number, 0, MAX_PERMITS);
 	}
 
 }
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
@@ -114,34 +114,36 @@
 			case PeerMessage.Greeting greeting -> builder.getGreetingBuilder().setAddress(greeting.address());
 			case PeerMessage.Batch batch ->
 				batch.entries().forEach((entry) -> builder.getBatchBuilder().addEntries(message(entry)));
-			case PeerMessage.Help help ->
-				builder.getHelpBuilder().setEnd(message(help.end())).setText(message(help.text()));
-			case PeerMessage.TextsWanted wanted -> builder.getTextsWantedBuilder().addAllRequest(wanted.requests());
+			case PeerMessage.TurnWriteRequest help ->
+				builder.getHelpBuilder().setEnd(message(help.settlement())).setText(message(help.text()));
+			case PeerMessage.TextsRequest wanted -> builder.getTextsWantedBuilder().addAllRequest(wanted.requests());
 			case PeerMessage.Texts texts ->
 				texts.turns().forEach((turn) -> builder.getTextsBuilder().addTurns(message(turn)));
-			case PeerMessage.Stored stored -> builder.getStoredBuilder().addAllRequest(stored.requests());
-			case PeerMessage.Question question -> builder.getQuestionBuilder()
+			case PeerMessage.TurnWriteAck stored -> builder.getStoredBuilder().addAllRequest(stored.requests());
+			case PeerMessage.ReservationRequest question -> builder.getQuestionBuilder()
 				.setRequest(question.request())
 				.setProgram(question.program())
-				.setMost(question.most())
+				.setMost(question.maxTokens())
 				.setBudget(question.budget())
-				.setPlace(question.place());
-			case PeerMessage.Taken taken -> {
+				.setPlace(question.throughLog());
+			case PeerMessage.Usage taken -> {
 				RelayProtocol.Taken.Builder answer = builder.getTakenBuilder()
 					.setRequest(taken.request())
 					.setTokens(taken.tokens())
-					.setUnlogged(taken.unlogged())
-					.setLog(taken.log());
+					.setUnlogged(taken.uncommitted())
+					.setLog(taken.logReachable());
 				taken.loads().forEach((load) -> answer.addLoads(message(load)));
 			}
-			case PeerMessage.PlacesWanted wanted -> builder.getPlacesWantedBuilder().addRequest(wanted.request());
-			case PeerMessage.Places places ->
+			case PeerMessage.TextLocationsRequest wanted ->
+				builder.getPlacesWantedBuilder().addRequest(wanted.request());
+			case PeerMessage.TextLocations places ->
 				places.turns().forEach((turn) -> builder.getPlacesBuilder().addTurns(message(turn)));
-			case PeerMessage.Unsure unsure -> builder.getUnsureBuilder().setRequest(unsure.request());
-			case PeerMessage.Sync ignored -> builder.getSyncBuilder();
-			case PeerMessage.Place place -> builder.getPlaceBuilder().setRequest(place.request()).setHeld(place.held());
-			case PeerMessage.Told ignored -> builder.getToldBuilder();
-			case PeerMessage.Permits ask -> builder.setPermitRequest(PermitCodec.message(ask.ask()));
+			case PeerMessage.UsageUnavailable unsure -> builder.getUnsureBuilder().setRequest(unsure.request());
+			case PeerMessage.SyncRequest ignored -> builder.getSyncBuilder();
+			case PeerMessage.LogDecision place ->
+				builder.getPlaceBuilder().setRequest(place.request()).setHeld(place.admitted());
+			case PeerMessage.SyncComplete ignored -> builder.getToldBuilder();
+			case PeerMessage.PermitsRequest ask -> builder.setPermitRequest(PermitCodec.message(ask.request()));
 			case PeerMessage.PermitsGranted reply -> builder.setPermitReply(PermitCodec.message(reply.reply()));
 			case PeerMessage.Unknown ignored -> {
 				// Only read, never written.
@@ -162,31 +164,33 @@
 			return switch (message.getMessageCase()) {
 				case GREETING -> Either.right(new PeerMessage.Greeting(message.getGreeting().getAddress()));
 				case BATCH -> batch(message.getBatch());
-				case HELP -> help(message.getHelp());
+				case HELP -> turnWriteRequest(message.getHelp());
 				case TEXTS_WANTED ->
-					Either.right(new PeerMessage.TextsWanted(Set.copyOf(message.getTextsWanted().getRequestList())));
+					Either.right(new PeerMessage.TextsRequest(Set.copyOf(message.getTextsWanted().getRequestList())));
 				case TEXTS -> Either.right(new PeerMessage.Texts(
 						message.getTexts().getTurnsList().stream().map(RelayCodec::turn).toList()));
-				case STORED -> Either.right(new PeerMessage.Stored(Set.copyOf(message.getStored().getRequestList())));
-				case QUESTION -> Either.right(question(message.getQuestion()));
-				case TAKEN -> Either.right(new PeerMessage.Taken(message.getTaken().getRequest(),
+				case STORED ->
+					Either.right(new PeerMessage.TurnWriteAck(Set.copyOf(message.getStored().getRequestList())));
+				case QUESTION -> Either.right(reservationRequest(message.getQuestion()));
+				case TAKEN -> Either.right(new PeerMessage.Usage(message.getTaken().getRequest(),
 						message.getTaken().getTokens(), message.getTaken().getUnlogged(), message.getTaken().getLog(),
 						message.getTaken().getLoadsList().stream().map(RelayCodec::load).toList()));
 				case PLACES_WANTED -> (message.getPlacesWanted().getRequestCount() == 1)
-						? Either.right(new PeerMessage.PlacesWanted(message.getPlacesWanted().getRequest(0)))
+						? Either.right(new PeerMessage.TextLocationsRequest(message.getPlacesWanted().getRequest(0)))
 						: Either.left("a question for the places of no chain");
-				case PLACES -> Either.right(new PeerMessage.Places(
-						message.getPlaces().getTurnsList().stream().map(RelayCodec::placed).toList()));
-				case UNSURE -> Either.right(new PeerMessage.Unsure(message.getUnsure().getRequest()));
-				case SYNC -> Either.right(new PeerMessage.Sync());
-				case PLACE ->
-					Either.right(new PeerMessage.Place(message.getPlace().getRequest(), message.getPlace().getHeld()));
-				case TOLD -> Either.right(new PeerMessage.Told());
+				case PLACES -> Either.right(new PeerMessage.TextLocations(
+						message.getPlaces().getTurnsList().stream().map(RelayCodec::turnLocation).toList()));
+				case UNSURE -> Either.right(new PeerMessage.UsageUnavailable(message.getUnsure().getRequest()));
+				case SYNC -> Either.right(new PeerMessage.SyncRequest());
+				case PLACE -> Either
+					.right(new PeerMessage.LogDecision(message.getPlace().getRequest(), message.getPlace().getHeld()));
+				case TOLD -> Either.right(new PeerMessage.SyncComplete());
 				case PULSE -> Either.right(new PeerMessage.Heartbeat());
-				case PERMIT_REQUEST -> PermitCodec.ask(message.getPermitRequest()).map(PeerMessage.Permits::new);
+				case PERMIT_REQUEST ->
+					PermitCodec.request(message.getPermitRequest()).map(PeerMessage.PermitsRequest::new);
 				case PERMIT_REPLY ->
 					Either.right(new PeerMessage.PermitsGranted(PermitCodec.reply(message.getPermitReply())));
-				case MESSAGE_NOT_SET -> unknown(message);
+				case MESSAGE_NOT_SET -> unknownMessage(message);
 			};
 		}
 		catch (InvalidProtocolBufferException ex) {
@@ -232,8 +236,8 @@
 			.build();
 	}
 
-	private static TurnLocation placed(RelayProtocol.PlacedTurn message) {
-		return new TurnLocation(message.getRequest(), place(message.getPlace()));
+	private static TurnLocation turnLocation(RelayProtocol.PlacedTurn message) {
+		return new TurnLocation(message.getRequest(), textLocation(message.getPlace()));
 	}
 
 	private static RelayProtocol.UpstreamLoad message(UpstreamLoad load) {
@@ -250,14 +254,14 @@
 
 	// While relays are replaced by a newer version, their links must hold: a message that
 	// is new there is passed over.
-	private static Either<String, PeerMessage> unknown(RelayProtocol.PeerMessage message) {
+	private static Either<String, PeerMessage> unknownMessage(RelayProtocol.PeerMessage message) {
 		return message.getUnknownFields().asMap().isEmpty() ? Either.left("a message without content")
 				: Either.right(new PeerMessage.Unknown());
 	}
 
-	private static Either<String, PeerMessage> help(RelayProtocol.Help help) {
+	private static Either<String, PeerMessage> turnWriteRequest(RelayProtocol.Help help) {
 		return entry(help.getEnd()).flatMap((end) -> (end instanceof LedgerEntry.Settled settled)
-				? Either.right(new PeerMessage.Help(settled, text(help.getText())))
+				? Either.right(new PeerMessage.TurnWriteRequest(settled, text(help.getText())))
 				: Either.left("help with an entry that ends no turn"));
 	}
 
@@ -278,16 +282,16 @@
 	}
 
 	private static StoredTurn text(RelayProtocol.TurnText message) {
-		return new StoredTurn(named(message.getPrevious()), message.getInput().toByteArray(),
+		return new StoredTurn(nonEmpty(message.getPrevious()), message.getInput().toByteArray(),
 				message.getOutput().toByteArray());
 	}
 
-	private static Optional<String> named(String text) {
+	private static Optional<String> nonEmpty(String text) {
 		return Optional.of(text).filter((name) -> !name.isEmpty());
 	}
 
-	private static PeerMessage question(RelayProtocol.Question question) {
-		return new PeerMessage.Question(question.getRequest(), question.getProgram(), question.getMost(),
+	private static PeerMessage reservationRequest(RelayProtocol.Question question) {
+		return new PeerMessage.ReservationRequest(question.getRequest(), question.getProgram(), question.getMost(),
 				question.getBudget(), question.getPlace());
 	}
 
@@ -359,7 +363,7 @@
 	private static LedgerEntry settled(String request, RelayProtocol.Settlement message) {
 		Optional<TextLocation> place = Optional.of(message)
 			.filter(RelayProtocol.Settlement::hasPlace)
-			.map((settlement) -> place(settlement.getPlace()));
+			.map((settlement) -> textLocation(settlement.getPlace()));
 		return new LedgerEntry.Settled(request, message.getProgram(), message.getTokens(), place);
 	}
 
@@ -373,9 +377,9 @@
 			.build();
 	}
 
-	private static TextLocation place(RelayProtocol.TextPlace message) {
-		return new TextLocation(named(message.getPrevious()), message.getBytes(), message.getPart(), message.getFrom(),
-				named(message.getHolder()));
+	private static TextLocation textLocation(RelayProtocol.TextPlace message) {
+		return new TextLocation(nonEmpty(message.getPrevious()), message.getBytes(), message.getPart(),
+				message.getFrom(), nonEmpty(message.getHolder()));
 	}
 
 }
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
@@ -45,7 +45,8 @@
 		Optional<String> previous = first ? Optional.empty() : Optional.of("before");
 		TurnText turn = new TurnText("r", new StoredTurn(previous, input, output));
 		assertThat(RelayCodec.decodeText(RelayCodec.encode(turn)).get()).usingRecursiveComparison().isEqualTo(turn);
-		PeerMessage help = new PeerMessage.Help(new LedgerEntry.Settled("r", "p", 9, Optional.empty()), turn.text());
+		PeerMessage help = new PeerMessage.TurnWriteRequest(new LedgerEntry.Settled("r", "p", 9, Optional.empty()),
+				turn.text());
 		for (PeerMessage message : List.of(new PeerMessage.Texts(List.of(turn)), help)) {
 			assertThat(RelayCodec.decodePeerMessage(RelayCodec.encode(message)).get()).usingRecursiveComparison()
 				.isEqualTo(message);
@@ -62,8 +63,8 @@
 	@Property(tries = 200)
 	void permitsAreReadAsWritten(@ForAll long number, @ForAll int program,
 			@ForAll @IntRange(min = 0, max = 10_000) int permits, @ForAll boolean admitted) {
-		PeerMessage ask = new PeerMessage.Permits(new PermitRequest("red", number, new Quota(1.5, 3), permits, 2, 1,
-				List.of(program), List.of(program, 7)));
+		PeerMessage ask = new PeerMessage.PermitsRequest(new PermitRequest("red", number, new Quota(1.5, 3), permits, 2,
+				1, List.of(program), List.of(program, 7)));
 		PeerMessage reply = new PeerMessage.PermitsGranted(
 				new PermitReply("red", number, permits, List.of(admitted, true), Duration.ofMillis(250)));
 		for (PeerMessage message : List.of(ask, reply)) {
@@ -118,13 +119,14 @@
 	void messagesOfLinksAreReadAsWritten() {
 		List<PeerMessage> messages = List.of(new PeerMessage.Greeting("10.0.0.1:7"),
 				new PeerMessage.Batch(List.of(new LedgerEntry.Blamed("r", -3, "u"))),
-				new PeerMessage.TextsWanted(Set.of("a", "b")), new PeerMessage.Stored(Set.of("a")),
-				new PeerMessage.Heartbeat(), new PeerMessage.Question("r", "p", 588, 1L << 41, true),
-				new PeerMessage.Taken("r", 1L << 40, 40, true, List.of(new UpstreamLoad(-7, 3, 250))),
-				new PeerMessage.Unsure("r"), new PeerMessage.Sync(), new PeerMessage.PlacesWanted("t"),
-				new PeerMessage.Places(List.of(new TurnLocation("t",
+				new PeerMessage.TextsRequest(Set.of("a", "b")), new PeerMessage.TurnWriteAck(Set.of("a")),
+				new PeerMessage.Heartbeat(), new PeerMessage.ReservationRequest("r", "p", 588, 1L << 41, true),
+				new PeerMessage.Usage("r", 1L << 40, 40, true, List.of(new UpstreamLoad(-7, 3, 250))),
+				new PeerMessage.UsageUnavailable("r"), new PeerMessage.SyncRequest(),
+				new PeerMessage.TextLocationsRequest("t"),
+				new PeerMessage.TextLocations(List.of(new TurnLocation("t",
 						new TextLocation(Optional.of("s"), 9, 5, 1L << 40, Optional.of("10.0.0.1:7"))))),
-				new PeerMessage.Place("r", true), new PeerMessage.Told());
+				new PeerMessage.LogDecision("r", true), new PeerMessage.SyncComplete());
 		for (PeerMessage message : messages) {
 			assertThat(RelayCodec.decodePeerMessage(RelayCodec.encode(message)).get()).isEqualTo(message);
 		}
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
@@ -64,13 +64,14 @@
 	private static List<byte[]> valid() {
 		List<byte[]> valid = new ArrayList<>();
 		List.of(new PeerMessage.Greeting("10.0.0.1:7380"), new PeerMessage.Batch(List.of(RESERVED, SETTLED)),
-				new PeerMessage.Help(SETTLED, TEXT), new PeerMessage.TextsWanted(Set.of("t0", "t1")),
-				new PeerMessage.Texts(List.of(new TurnText("t1", TEXT))), new PeerMessage.Stored(Set.of("t1")),
-				new PeerMessage.Question("t1", "p", 588, 1L << 40, false),
-				new PeerMessage.Taken("t1", 1200, 40, true, List.of(new UpstreamLoad(-7, 3, 250))),
-				new PeerMessage.Unsure("t1"), new PeerMessage.Sync(), new PeerMessage.PlacesWanted("t1"),
-				new PeerMessage.Places(List.of(new TurnLocation("t1", PLACE))), new PeerMessage.Place("t1", true),
-				new PeerMessage.Told(), new PeerMessage.Heartbeat())
+				new PeerMessage.TurnWriteRequest(SETTLED, TEXT), new PeerMessage.TextsRequest(Set.of("t0", "t1")),
+				new PeerMessage.Texts(List.of(new TurnText("t1", TEXT))), new PeerMessage.TurnWriteAck(Set.of("t1")),
+				new PeerMessage.ReservationRequest("t1", "p", 588, 1L << 40, false),
+				new PeerMessage.Usage("t1", 1200, 40, true, List.of(new UpstreamLoad(-7, 3, 250))),
+				new PeerMessage.UsageUnavailable("t1"), new PeerMessage.SyncRequest(),
+				new PeerMessage.TextLocationsRequest("t1"),
+				new PeerMessage.TextLocations(List.of(new TurnLocation("t1", PLACE))),
+				new PeerMessage.LogDecision("t1", true), new PeerMessage.SyncComplete(), new PeerMessage.Heartbeat())
 			.forEach((message) -> valid.add(RelayCodec.encode(message)));
 		List.of(RESERVED, SETTLED, new LedgerEntry.Blamed("t1", -3, "e1@17"))
 			.forEach((entry) -> valid.add(RelayCodec.encode(entry, 1_790_000_000_000L)));
