--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
@@ -131,7 +131,8 @@
 	private void hold(Exchange exchange, Turn turn, Poll poll) {
 		exchange.markReserved();
 		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
-		this.state.recordUnlogged(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), false));
+		this.state
+			.recordUncommitted(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), false));
 		this.state.polls.put(exchange.id(), poll);
 	}
 
@@ -184,7 +185,7 @@
 		Turn turn = exchange.head().turn().orElseThrow();
 		this.state.contending.put(exchange.id(), exchange.number());
 		this.state.write(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), true));
-		this.state.remind(exchange, RelaySettings.LOG_DECISION_TIMEOUT, TimerKind.BUDGET_DECISION);
+		this.state.startTimer(exchange, RelaySettings.LOG_DECISION_TIMEOUT, TimerKind.BUDGET_DECISION);
 	}
 
 	/**
@@ -211,7 +212,7 @@
 
 	private void remind(Exchange exchange, Poll poll, Duration delay) {
 		poll.remind();
-		this.state.remind(exchange, delay, TimerKind.BUDGET_DECISION);
+		this.state.startTimer(exchange, delay, TimerKind.BUDGET_DECISION);
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
@@ -31,7 +31,7 @@
 
 	private Phase phase = Phase.WAITING_FOR_CHAIN;
 
-	private byte[] chain = new byte[0];
+	private byte[] prefix = new byte[0];
 
 	private int attempt;
 
@@ -155,12 +155,12 @@
 		this.phase = next;
 	}
 
-	byte[] chain() {
-		return this.chain;
+	byte[] prefix() {
+		return this.prefix;
 	}
 
-	void setChain(byte[] found) {
-		this.chain = found;
+	void setPrefix(byte[] found) {
+		this.prefix = found;
 	}
 
 	int attempt() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -108,7 +108,7 @@
 		}
 		exchange.transitionTo(Phase.WAITING_FOR_PERMIT);
 		queue.waiting.put(exchange.number(), exchange);
-		this.state.remind(exchange, ANSWER_WAIT, TimerKind.PERMIT);
+		this.state.startTimer(exchange, ANSWER_WAIT, TimerKind.PERMIT);
 		askIfFree(queue);
 		return false;
 	}
@@ -338,7 +338,7 @@
 			return;
 		}
 		TeamQueue queue = this.queues.get(exchange.team().orElseThrow().name());
-		this.state.remind(exchange, ANSWER_WAIT, TimerKind.PERMIT);
+		this.state.startTimer(exchange, ANSWER_WAIT, TimerKind.PERMIT);
 		if (queue.pending.isEmpty()) {
 			askIfFree(queue);
 			return;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
@@ -79,7 +79,7 @@
 				this.requests.dispatchWaiting();
 			}
 			case RelayEvent.TextRead read -> {
-				this.texts.read(read);
+				this.texts.textRead(read);
 				this.requests.dispatchWaiting();
 			}
 			case RelayEvent.ReservationRequested asked -> this.budgets.asked(asked);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
@@ -203,7 +203,7 @@
 	 * @param report the relays
 	 */
 	void write(LedgerEntry entry, List<String> tell) {
-		recordUnlogged(entry);
+		recordUncommitted(entry);
 		emit(new RelayEffect.AppendEntry(entry, tell));
 	}
 
@@ -212,7 +212,7 @@
 	 * there on.
 	 * @param entry the entry
 	 */
-	void recordUnlogged(LedgerEntry entry) {
+	void recordUncommitted(LedgerEntry entry) {
 		if (!(entry instanceof LedgerEntry.Reserved reserved) || !reserved.contending()) {
 			this.unlogged.told(entry, this.name, this.now);
 		}
@@ -276,7 +276,7 @@
 		return engine(upstream.service()).map(RouteTable.Engine::cacheTokens).orElse(0L);
 	}
 
-	void remind(Exchange exchange, Duration delay, TimerKind reminder) {
+	void startTimer(Exchange exchange, Duration delay, TimerKind reminder) {
 		emit(new RelayEffect.StartTimer(exchange.number(), delay, reminder));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
@@ -62,7 +62,7 @@
 			this.ends.refuse(exchange, Refusal.BLAMED, Optional.empty());
 			return;
 		}
-		this.state.remind(exchange, exchange.remaining(this.state.now), TimerKind.DEADLINE);
+		this.state.startTimer(exchange, exchange.remaining(this.state.now), TimerKind.DEADLINE);
 		if ((exchange.head().turn().isPresent() && refuseTurn(exchange)) || !this.quotas.admit(exchange)) {
 			return;
 		}
@@ -79,7 +79,7 @@
 		if (!exchange.fetchingTexts()) {
 			this.texts.requestLocations(exchange);
 		}
-		this.state.remind(exchange, exchange.route().latencyTarget().dividedBy(RelaySettings.CHAIN_TIMEOUT_DIVISOR),
+		this.state.startTimer(exchange, exchange.route().latencyTarget().dividedBy(RelaySettings.CHAIN_TIMEOUT_DIVISOR),
 				TimerKind.CHAIN_LOOKUP);
 	}
 
@@ -214,7 +214,7 @@
 			this.state.idleTimeout.start(exchange);
 		}
 		boolean stream = exchange.route().repeatability() == Repeatability.STREAM;
-		this.state.emit(new RelayEffect.SendRequest(exchange.number(), exchange.attempt(), upstream, exchange.chain(),
+		this.state.emit(new RelayEffect.SendRequest(exchange.number(), exchange.attempt(), upstream, exchange.prefix(),
 				exchange.remaining(this.state.now), exchange.lastEvent(), stream, exchange.caller()));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -93,7 +93,7 @@
 		this.ends.settle(exchange, Optional.of(place));
 		Duration pause = (this.state.reach == Connectivity.LOG) ? RelaySettings.TURN_WRITE_TIMEOUT
 				: RelaySettings.REPLICATION_DELAY;
-		this.state.remind(exchange, pause, TimerKind.LOG_WRITE);
+		this.state.startTimer(exchange, pause, TimerKind.LOG_WRITE);
 	}
 
 	private TextLocation place(StoredTurn text, String holder) {
@@ -167,7 +167,8 @@
 		}
 		this.state
 			.emit(new RelayEffect.RequestTurnWrite(this.ends.settlement(exchange, Optional.empty()), ending.turn));
-		this.state.remind(exchange, RelaySettings.TURN_WRITE_TIMEOUT.multipliedBy(HELP_PAUSES), TimerKind.LOG_WRITE);
+		this.state.startTimer(exchange, RelaySettings.TURN_WRITE_TIMEOUT.multipliedBy(HELP_PAUSES),
+				TimerKind.LOG_WRITE);
 	}
 
 	/**
@@ -203,7 +204,7 @@
 		}
 		return switch (this.state.turnCache.chain(previous.get())) {
 			case Chain.Complete whole -> {
-				exchange.setChain(whole.text());
+				exchange.setPrefix(whole.text());
 				yield true;
 			}
 			case Chain.Incomplete elsewhere -> {
@@ -261,11 +262,12 @@
 		Optional<String> holder = this.state.turnCache.origin(elsewhere.missing().getFirst())
 			.filter((relay) -> this.state.linkedPeers.contains(relay) || this.state.keepers.knows(relay));
 		if (holder.isEmpty()) {
-			read(exchange, elsewhere);
+			textRead(exchange, elsewhere);
 			return;
 		}
 		this.state.emit(new RelayEffect.RequestTexts(holder.get(), elsewhere.missing()));
-		this.state.remind(exchange, HOLDER_WAIT.plusMillis(bytes(elsewhere) / LINK_BYTES_PER_MS), TimerKind.TEXT_FETCH);
+		this.state.startTimer(exchange, HOLDER_WAIT.plusMillis(bytes(elsewhere) / LINK_BYTES_PER_MS),
+				TimerKind.TEXT_FETCH);
 	}
 
 	private long bytes(Chain.Incomplete elsewhere) {
@@ -275,13 +277,13 @@
 			.sum();
 	}
 
-	private void read(Exchange exchange, Chain.Incomplete elsewhere) {
+	private void textRead(Exchange exchange, Chain.Incomplete elsewhere) {
 		for (String request : elsewhere.missing()) {
 			if (this.state.pendingReads.add(request)) {
 				this.state.emit(new RelayEffect.ReadText(request, this.state.turnCache.locations(request)));
 			}
 		}
-		this.state.remind(exchange, READ_WAIT, TimerKind.TEXT_FETCH);
+		this.state.startTimer(exchange, READ_WAIT, TimerKind.TEXT_FETCH);
 	}
 
 	/**
@@ -290,7 +292,7 @@
 	 */
 	void textsTimedOut(Exchange exchange) {
 		if (exchange.phase() == Phase.WAITING_FOR_CHAIN && chain(exchange) instanceof Chain.Incomplete elsewhere) {
-			read(exchange, elsewhere);
+			textRead(exchange, elsewhere);
 		}
 	}
 
@@ -303,7 +305,7 @@
 		boolean exists = exchange.phase() == Phase.WAITING_FOR_CHAIN && !this.state.stale
 				&& chain(exchange) instanceof Chain.Incomplete;
 		if (exists && exchange.extendWait()) {
-			this.state.remind(exchange, exchange.remaining(this.state.now).dividedBy(TEXTS_WAIT_PART),
+			this.state.startTimer(exchange, exchange.remaining(this.state.now).dividedBy(TEXTS_WAIT_PART),
 					TimerKind.CHAIN_LOOKUP);
 			return;
 		}
@@ -340,7 +342,7 @@
 		told.texts().forEach((found) -> this.state.turnCache.add(found.request(), found.text()));
 	}
 
-	void read(RelayEvent.TextRead read) {
+	void textRead(RelayEvent.TextRead read) {
 		this.state.pendingReads.remove(read.request());
 		read.text().ifPresent((text) -> this.state.turnCache.add(read.request(), text));
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
@@ -82,7 +82,7 @@
 
 	private void lookAgain(Exchange exchange, long delay) {
 		exchange.nextSilenceCheck(this.state.now + delay);
-		this.state.remind(exchange, Duration.ofMillis(delay), TimerKind.UPSTREAM_IDLE);
+		this.state.startTimer(exchange, Duration.ofMillis(delay), TimerKind.UPSTREAM_IDLE);
 	}
 
 	private long patience(Route route) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
@@ -56,15 +56,16 @@
 	void nextRelayIsAskedWhereTheFirstDoesNotAnswer() {
 		ask("r1", "p");
 		this.relay.advance(60);
-		this.relay.remind(TimerKind.PERMIT);
+		this.relay.fireTimer(TimerKind.PERMIT);
 		assertThat(RelayFixture.ofType(this.relay.all, RelayEffect.RequestPermits.class))
 			.extracting(RelayEffect.RequestPermits::peer)
 			.doesNotHaveDuplicates()
 			.hasSize(2);
 		this.relay.advance(60);
-		this.relay.remind(TimerKind.PERMIT);
+		this.relay.fireTimer(TimerKind.PERMIT);
 		this.relay.advance(60);
-		assertThat(RelayFixture.ofType(this.relay.remind(TimerKind.PERMIT), RelayEffect.Refuse.class)).singleElement()
+		assertThat(RelayFixture.ofType(this.relay.fireTimer(TimerKind.PERMIT), RelayEffect.Refuse.class))
+			.singleElement()
 			.extracting(RelayEffect.Refuse::refusal)
 			.isEqualTo(Refusal.QUOTA_UNKNOWN);
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
@@ -214,7 +214,7 @@
 		return handle(new RelayEvent.AttemptFailed(this.now, this.exchange, attempt, cause));
 	}
 
-	List<RelayEffect> remind(RelayEvent.TimerKind reminder) {
+	List<RelayEffect> fireTimer(RelayEvent.TimerKind reminder) {
 		return handle(new RelayEvent.TimerFired(this.now, this.exchange, reminder));
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
@@ -248,7 +248,7 @@
 	void requestWithoutAnswerIsEndedWhenItIsDue() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "order");
-		List<RelayEffect> effects = relay.remind(TimerKind.DEADLINE);
+		List<RelayEffect> effects = relay.fireTimer(TimerKind.DEADLINE);
 		assertThat(RelayFixture.ofType(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
 		assertThat(refusal(effects)).contains(Refusal.NO_ANSWER_IN_TIME);
 	}
@@ -378,11 +378,11 @@
 	void contendingTurnIsRefusedAsNotRunIfLogAndRelaysAreSilent() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		List<RelayEffect> asked = relay.remind(TimerKind.BUDGET_DECISION);
+		List<RelayEffect> asked = relay.fireTimer(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(asked)).isEmpty();
 		assertThat(RelayFixture.ofType(asked, RelayEffect.RequestReservation.class)).hasSize(1);
-		assertThat(refusal(relay.remind(TimerKind.BUDGET_DECISION))).isEmpty();
-		List<RelayEffect> effects = relay.remind(TimerKind.BUDGET_DECISION);
+		assertThat(refusal(relay.fireTimer(TimerKind.BUDGET_DECISION))).isEmpty();
+		List<RelayEffect> effects = relay.fireTimer(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(effects)).contains(Refusal.LOG_LOST);
 		assertThat(RelayFixture.settled(effects).tokens()).isZero();
 	}
@@ -402,7 +402,7 @@
 			.satisfies((ask) -> assertThat(ask.peers()).containsExactlyInAnyOrder("a", "b", "c"));
 		relay.handle(new RelayEvent.UsageUnavailable(relay.now(), "a", "t1"));
 		List<RelayEffect> contends = relay.handle(new RelayEvent.UsageUnavailable(relay.now(), "b", "t1"));
-		assertThat(relay.remind(TimerKind.BUDGET_DECISION)).isEmpty();
+		assertThat(relay.fireTimer(TimerKind.BUDGET_DECISION)).isEmpty();
 		assertThat(sends(relay.readFromLog(RelayFixture.written(contends).getFirst()))).hasSize(1);
 	}
 
@@ -455,7 +455,7 @@
 		List<RelayEffect> asked = relay.sendTurn("t2", "draft", RelayFixture.turn("q", 100, 100, null));
 		assertThat(RelayFixture.ofType(asked, RelayEffect.RequestReservation.class)).hasSize(1);
 		assertThat(sends(asked)).isEmpty();
-		List<RelayEffect> due = relay.remind(TimerKind.BUDGET_DECISION);
+		List<RelayEffect> due = relay.fireTimer(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(due)).contains(Refusal.LOG_LOST);
 		assertThat(RelayFixture.settled(due).tokens()).isZero();
 		assertThat(sends(relay.sendTurn("t3", "draft", RelayFixture.turn("r", 1000, 100, null)))).hasSize(1);
@@ -573,9 +573,9 @@
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
 		relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, true, 2));
 		assertThat(relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, true, 2))).isEmpty();
-		assertThat(relay.remind(TimerKind.BUDGET_DECISION))
+		assertThat(relay.fireTimer(TimerKind.BUDGET_DECISION))
 			.contains(new RelayEffect.RequestLogReservation("b", "t1", "p", 100, 100));
-		assertThat(refusal(relay.remind(TimerKind.BUDGET_DECISION))).contains(Refusal.LOG_LOST);
+		assertThat(refusal(relay.fireTimer(TimerKind.BUDGET_DECISION))).contains(Refusal.LOG_LOST);
 	}
 
 	@Test
@@ -648,7 +648,7 @@
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ProcessResumed(relay.now(), Duration.ofSeconds(4)));
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null));
-		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).contains(Refusal.NOT_READY);
+		assertThat(refusal(relay.fireTimer(TimerKind.CHAIN_LOOKUP))).contains(Refusal.NOT_READY);
 		assertThat(sends(relay.sendRequest("r1", "look"))).hasSize(1);
 	}
 
@@ -700,7 +700,7 @@
 		RelayFixture relay = RelayFixture.ready();
 		String first = sends(relay.sendRequest("r1", "look")).getFirst().upstream().id();
 		relay.advance(200);
-		List<RelayEffect> effects = relay.remind(TimerKind.UPSTREAM_IDLE);
+		List<RelayEffect> effects = relay.fireTimer(TimerKind.UPSTREAM_IDLE);
 		assertThat(RelayFixture.ofType(effects, RelayEffect.CancelAttempt.class)).hasSize(1);
 		assertThat(sends(effects)).singleElement()
 			.satisfies((send) -> assertThat(send.upstream().id()).isNotEqualTo(first));
@@ -726,7 +726,7 @@
 			relay.sendRequest("r" + i, "look");
 		}
 		relay.advance(200);
-		List<RelayEffect> effects = relay.remind(TimerKind.UPSTREAM_IDLE);
+		List<RelayEffect> effects = relay.fireTimer(TimerKind.UPSTREAM_IDLE);
 		assertThat(sends(effects)).isEmpty();
 		assertThat(RelayFixture.ofType(effects, RelayEffect.StartTimer.class)).hasSize(1);
 	}
@@ -742,9 +742,9 @@
 		relay.event(1, 1);
 		relay.event(1, 2);
 		relay.advance(300);
-		assertThat(sends(relay.remind(TimerKind.UPSTREAM_IDLE))).isEmpty();
+		assertThat(sends(relay.fireTimer(TimerKind.UPSTREAM_IDLE))).isEmpty();
 		relay.advance(700);
-		RelayEffect.SendRequest again = sends(relay.remind(TimerKind.UPSTREAM_IDLE)).getFirst();
+		RelayEffect.SendRequest again = sends(relay.fireTimer(TimerKind.UPSTREAM_IDLE)).getFirst();
 		assertThat(again.lastEvent()).hasValue(2);
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/ResponseRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ResponseRulesTests.java
@@ -18,7 +18,7 @@
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "look");
 		relay.advance(700);
-		List<RelayEffect> late = relay.remind(TimerKind.UPSTREAM_IDLE);
+		List<RelayEffect> late = relay.fireTimer(TimerKind.UPSTREAM_IDLE);
 		assertThat(RelayFixture.ofType(late, RelayEffect.SendRequest.class)).isEmpty();
 		assertThat(RelayFixture.ofType(relay.respond(1, RelayFixture.SIGNED), RelayEffect.SendResponse.class))
 			.hasSize(1);
@@ -32,10 +32,10 @@
 		relay.sendRequest("r1", "look");
 		relay.advance(700);
 		RelayEffect.StartTimer again = RelayFixture
-			.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.StartTimer.class)
+			.ofType(relay.fireTimer(TimerKind.UPSTREAM_IDLE), RelayEffect.StartTimer.class)
 			.getFirst();
 		relay.advance(again.delay().toMillis());
-		assertThat(RelayFixture.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class))
+		assertThat(RelayFixture.ofType(relay.fireTimer(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class))
 			.hasSize(1);
 	}
 
@@ -55,11 +55,11 @@
 		relay.sendRequest("r", "look");
 		relay.advance(200);
 		RelayEffect.StartTimer again = RelayFixture
-			.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.StartTimer.class)
+			.ofType(relay.fireTimer(TimerKind.UPSTREAM_IDLE), RelayEffect.StartTimer.class)
 			.getFirst();
 		relay.advance(again.delay().toMillis());
 		assertThat(relay.now() - asked).isGreaterThan(300);
-		assertThat(RelayFixture.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class))
+		assertThat(RelayFixture.ofType(relay.fireTimer(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class))
 			.hasSize(1);
 	}
 
@@ -72,9 +72,10 @@
 		}
 		relay.sendRequest("r", "look");
 		relay.advance(199);
-		assertThat(RelayFixture.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class)).isEmpty();
+		assertThat(RelayFixture.ofType(relay.fireTimer(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class))
+			.isEmpty();
 		relay.advance(1);
-		assertThat(RelayFixture.ofType(relay.remind(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class))
+		assertThat(RelayFixture.ofType(relay.fireTimer(TimerKind.UPSTREAM_IDLE), RelayEffect.SendRequest.class))
 			.hasSize(1);
 	}
 
@@ -87,11 +88,11 @@
 		relay.sendRequest("r1", "look");
 		long asked = relay.now();
 		relay.advance(230);
-		List<RelayEffect> effects = relay.remind(TimerKind.UPSTREAM_IDLE);
+		List<RelayEffect> effects = relay.fireTimer(TimerKind.UPSTREAM_IDLE);
 		while (RelayFixture.ofType(effects, RelayEffect.SendRequest.class).isEmpty() && relay.now() - asked < 2_000) {
 			relay
 				.advance(RelayFixture.ofType(effects, RelayEffect.StartTimer.class).getFirst().delay().toMillis() + 30);
-			effects = relay.remind(TimerKind.UPSTREAM_IDLE);
+			effects = relay.fireTimer(TimerKind.UPSTREAM_IDLE);
 		}
 		assertThat(RelayFixture.ofType(effects, RelayEffect.SendRequest.class)).hasSize(1);
 		assertThat(relay.now() - asked).isLessThan(4 * 230);
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
@@ -106,7 +106,7 @@
 	void turnWhoseChainIsNotFoundIsCalledUncertain() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
-		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).contains(Refusal.TURN_UNCERTAIN);
+		assertThat(refusal(relay.fireTimer(TimerKind.CHAIN_LOOKUP))).contains(Refusal.TURN_UNCERTAIN);
 	}
 
 	// A relay that dies right after a caller saw the end of a turn must not take the turn
@@ -146,7 +146,7 @@
 		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.end(1);
-		List<RelayEffect> due = relay.remind(TimerKind.LOG_WRITE);
+		List<RelayEffect> due = relay.fireTimer(TimerKind.LOG_WRITE);
 		assertThat(RelayFixture.ofType(due, RelayEffect.RequestTurnWrite.class)).hasSize(1);
 		assertThat(ends(due)).isEmpty();
 		assertThat(ends(relay.handle(new RelayEvent.TurnWritesAcknowledged(relay.now(), Set.of("t1"))))).hasSize(1);
@@ -220,7 +220,7 @@
 		assertThat(RelayFixture.ofType(effects, RelayEffect.ReadText.class)).isEmpty();
 		relay.handle(
 				new RelayEvent.TextsReceived(relay.now(), List.of(RelayFixture.turnText("t2", "t1", "in2;", "out2;"))));
-		List<RelayEffect> due = relay.remind(TimerKind.TEXT_FETCH);
+		List<RelayEffect> due = relay.fireTimer(TimerKind.TEXT_FETCH);
 		assertThat(RelayFixture.ofType(due, RelayEffect.ReadText.class)).singleElement()
 			.satisfies((read) -> assertThat(read.request()).isEqualTo("t1"));
 		List<RelayEffect> read = relay.handle(new RelayEvent.TextRead(relay.now(), "t1",
@@ -263,8 +263,8 @@
 		RelayFixture relay = RelayFixture.ready();
 		relay.readFromLog(RelayFixture.settledTurn("t1", null));
 		relay.sendTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
-		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).isEmpty();
-		assertThat(refusal(relay.remind(TimerKind.CHAIN_LOOKUP))).contains(Refusal.TURN_UNCERTAIN);
+		assertThat(refusal(relay.fireTimer(TimerKind.CHAIN_LOOKUP))).isEmpty();
+		assertThat(refusal(relay.fireTimer(TimerKind.CHAIN_LOOKUP))).contains(Refusal.TURN_UNCERTAIN);
 	}
 
 	@Test
@@ -273,7 +273,8 @@
 		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
 		relay.end(1);
-		assertThat(RelayFixture.ofType(relay.remind(TimerKind.DEADLINE), RelayEffect.AbortConnection.class)).hasSize(1);
+		assertThat(RelayFixture.ofType(relay.fireTimer(TimerKind.DEADLINE), RelayEffect.AbortConnection.class))
+			.hasSize(1);
 	}
 
 	// The log was slow for this relay once, and it has kept no turn since. Minutes later
@@ -298,7 +299,7 @@
 		relay.end(1);
 		relay.handle(new RelayEvent.TextsReceived(relay.now(),
 				List.of(RelayFixture.turnText("other", null, "x".repeat(1_000_000), ""))));
-		assertThat(RelayFixture.ofType(relay.remind(TimerKind.LOG_WRITE), RelayEffect.RequestTurnWrite.class))
+		assertThat(RelayFixture.ofType(relay.fireTimer(TimerKind.LOG_WRITE), RelayEffect.RequestTurnWrite.class))
 			.hasSize(1);
 	}
 
