--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/CallerConnection.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/CallerConnection.java
@@ -46,7 +46,7 @@
 	/**
 	 * The most messages that wait while an answer is under way.
 	 */
-	private static final int WAITING = 64;
+	private static final int MAX_QUEUED_MESSAGES = 64;
 
 	private final CallerListener listener;
 
@@ -54,7 +54,7 @@
 
 	private final BooleanSupplier draining;
 
-	private final Deque<Object> waiting = new ArrayDeque<>();
+	private final Deque<Object> queue = new ArrayDeque<>();
 
 	private ChannelHandlerContext context;
 
@@ -64,13 +64,13 @@
 
 	private Optional<ScheduledFuture<?>> timer = Optional.empty();
 
-	private boolean answering;
+	private boolean responding;
 
-	private boolean ending;
+	private boolean closing;
 
-	private boolean closeAfter;
+	private boolean closeAfterResponse;
 
-	private boolean chunked;
+	private boolean supportsChunked;
 
 	private long exchange;
 
@@ -83,25 +83,25 @@
 	/**
 	 * Answers with the whole answer of an upstream.
 	 * @param head the head
-	 * @param content the body
+	 * @param responseBody the body
 	 */
-	public void respond(ResponseHead head, byte[] content) {
-		FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-				HttpResponseStatus.valueOf(head.status()), Unpooled.wrappedBuffer(content));
-		copy(head, answer);
-		respond(answer);
+	public void respond(ResponseHead head, byte[] responseBody) {
+		FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+				HttpResponseStatus.valueOf(head.status()), Unpooled.wrappedBuffer(responseBody));
+		copyHeaders(head, response);
+		respond(response);
 	}
 
 	/**
 	 * Answers with an answer of the relay's own.
 	 * @param respond the answer
 	 */
-	public void respond(FullHttpResponse answer) {
-		if (mayHaveBody(answer)) {
-			HttpUtil.setContentLength(answer, answer.content().readableBytes());
+	public void respond(FullHttpResponse response) {
+		if (mayHaveBody(response)) {
+			HttpUtil.setContentLength(response, response.content().readableBytes());
 		}
-		persist(answer);
-		this.context.writeAndFlush(answer).addListener((done) -> ended());
+		setConnectionHeader(response);
+		this.context.writeAndFlush(response).addListener((done) -> responseSent());
 	}
 
 	/**
@@ -109,16 +109,17 @@
 	 * @param head the head of the upstream's answer
 	 */
 	public void startStream(ResponseHead head) {
-		HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(head.status()));
-		copy(head, answer);
-		if (this.chunked) {
-			HttpUtil.setTransferEncodingChunked(answer, true);
+		HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1,
+				HttpResponseStatus.valueOf(head.status()));
+		copyHeaders(head, response);
+		if (this.supportsChunked) {
+			HttpUtil.setTransferEncodingChunked(response, true);
 		}
 		else {
-			this.closeAfter = true;
+			this.closeAfterResponse = true;
 		}
-		persist(answer);
-		this.context.writeAndFlush(answer);
+		setConnectionHeader(response);
+		this.context.writeAndFlush(response);
 	}
 
 	/**
@@ -133,15 +134,15 @@
 	 * Ends a stream as complete.
 	 */
 	public void endStream() {
-		this.context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener((done) -> ended());
+		this.context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener((done) -> responseSent());
 	}
 
 	/**
 	 * Closes the connection in the middle of an answer.
 	 */
 	public void abort() {
-		this.answering = false;
-		this.ending = true;
+		this.responding = false;
+		this.closing = true;
 		this.context.close();
 	}
 
@@ -149,100 +150,100 @@
 	 * Closes the connection if it is idle, and otherwise after its answer.
 	 */
 	void drain() {
-		this.closeAfter = true;
-		if (!this.answering && this.request.isEmpty()) {
+		this.closeAfterResponse = true;
+		if (!this.responding && this.request.isEmpty()) {
 			this.context.close();
 		}
 	}
 
 	@Override
-	public void handlerAdded(ChannelHandlerContext added) {
-		this.context = added;
+	public void handlerAdded(ChannelHandlerContext ctx) {
+		this.context = ctx;
 	}
 
 	@Override
-	public void channelActive(ChannelHandlerContext active) {
-		expectWithin(this.limits.get().idleTimeout());
+	public void channelActive(ChannelHandlerContext ctx) {
+		startTimer(this.limits.get().idleTimeout());
 	}
 
 	@Override
-	public void channelRead(ChannelHandlerContext reading, Object message) {
-		if (this.ending) {
+	public void channelRead(ChannelHandlerContext ctx, Object message) {
+		if (this.closing) {
 			ReferenceCountUtil.release(message);
 			return;
 		}
-		if (this.answering) {
-			this.waiting.add(message);
-			if (this.waiting.size() >= WAITING) {
-				reading.channel().config().setAutoRead(false);
+		if (this.responding) {
+			this.queue.add(message);
+			if (this.queue.size() >= MAX_QUEUED_MESSAGES) {
+				ctx.channel().config().setAutoRead(false);
 			}
 			return;
 		}
-		take(message);
+		process(message);
 	}
 
 	@Override
-	public void channelInactive(ChannelHandlerContext inactive) {
+	public void channelInactive(ChannelHandlerContext ctx) {
 		cancelTimer();
-		this.waiting.forEach(ReferenceCountUtil::release);
-		this.waiting.clear();
-		if (this.answering) {
-			this.answering = false;
+		this.queue.forEach(ReferenceCountUtil::release);
+		this.queue.clear();
+		if (this.responding) {
+			this.responding = false;
 			this.listener.onDisconnect(this.exchange);
 		}
-		this.ending = true;
+		this.closing = true;
 	}
 
 	@Override
-	public void exceptionCaught(ChannelHandlerContext failed, Throwable cause) {
+	public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
 		// A reset by the caller; the close tells whoever works for it.
-		failed.close();
+		ctx.close();
 	}
 
-	private void take(Object message) {
+	private void process(Object message) {
 		if (message instanceof HttpRequest next) {
-			begin(next);
+			beginRequest(next);
 		}
 		if (message instanceof HttpContent content) {
-			add(content);
+			addContent(content);
 		}
 	}
 
-	private void begin(HttpRequest next) {
-		if (next.decoderResult().isFailure()) {
-			refuse(statusOf(next.decoderResult().cause()));
+	private void beginRequest(HttpRequest received) {
+		if (received.decoderResult().isFailure()) {
+			reject(statusFor(received.decoderResult().cause()));
 			return;
 		}
-		this.request = Optional.of(next);
+		this.request = Optional.of(received);
 		this.body = new ByteArrayOutputStream();
-		expectWithin(this.limits.get().idleTimeout());
-		if (HttpUtil.getContentLength(next, 0L) > this.limits.get().maxBodyBytes()) {
-			refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+		startTimer(this.limits.get().idleTimeout());
+		if (HttpUtil.getContentLength(received, 0L) > this.limits.get().maxBodyBytes()) {
+			reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
 			return;
 		}
-		if (HttpUtil.is100ContinueExpected(next)) {
+		if (HttpUtil.is100ContinueExpected(received)) {
 			this.context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
 					Unpooled.EMPTY_BUFFER));
 		}
 	}
 
-	private void add(HttpContent content) {
+	private void addContent(HttpContent content) {
 		ByteBuf bytes = content.content();
 		try {
-			if (this.ending || this.request.isEmpty()) {
+			if (this.closing || this.request.isEmpty()) {
 				return;
 			}
 			if (content.decoderResult().isFailure()) {
-				refuse(statusOf(content.decoderResult().cause()));
+				reject(statusFor(content.decoderResult().cause()));
 				return;
 			}
 			if (this.body.size() + bytes.readableBytes() > this.limits.get().maxBodyBytes()) {
-				refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+				reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
 				return;
 			}
 			this.body.writeBytes(ByteBufUtil.getBytes(bytes));
 			if (content instanceof LastHttpContent) {
-				complete();
+				completeRequest();
 			}
 		}
 		finally {
@@ -250,81 +251,81 @@
 		}
 	}
 
-	private void complete() {
-		HttpRequest whole = this.request.orElseThrow();
+	private void completeRequest() {
+		HttpRequest completed = this.request.orElseThrow();
 		this.request = Optional.empty();
 		cancelTimer();
-		this.answering = true;
-		this.chunked = whole.protocolVersion().isKeepAliveDefault();
-		this.closeAfter = this.closeAfter || !HttpUtil.isKeepAlive(whole);
-		this.exchange = this.listener.onRequest(this, whole, this.body.toByteArray());
+		this.responding = true;
+		this.supportsChunked = completed.protocolVersion().isKeepAliveDefault();
+		this.closeAfterResponse = this.closeAfterResponse || !HttpUtil.isKeepAlive(completed);
+		this.exchange = this.listener.onRequest(this, completed, this.body.toByteArray());
 	}
 
-	private void ended() {
-		this.answering = false;
-		if (this.closeAfter || !this.context.channel().isActive()) {
-			this.ending = true;
+	private void responseSent() {
+		this.responding = false;
+		if (this.closeAfterResponse || !this.context.channel().isActive()) {
+			this.closing = true;
 			this.context.close();
 			return;
 		}
-		expectWithin(this.limits.get().idleTimeout());
-		while (!this.answering && !this.ending && !this.waiting.isEmpty()) {
-			take(this.waiting.pollFirst());
+		startTimer(this.limits.get().idleTimeout());
+		while (!this.responding && !this.closing && !this.queue.isEmpty()) {
+			process(this.queue.pollFirst());
 		}
-		if (this.waiting.isEmpty()) {
+		if (this.queue.isEmpty()) {
 			this.context.channel().config().setAutoRead(true);
 		}
 	}
 
-	private void refuse(HttpResponseStatus status) {
-		this.ending = true;
+	private void reject(HttpResponseStatus status) {
+		this.closing = true;
 		cancelTimer();
-		FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
-		HttpUtil.setContentLength(answer, 0);
-		answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-		this.context.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+		FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
+		HttpUtil.setContentLength(response, 0);
+		response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+		this.context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
 	}
 
-	private static HttpResponseStatus statusOf(Throwable cause) {
+	private static HttpResponseStatus statusFor(Throwable cause) {
 		if (cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException) {
 			return HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
 		}
 		return HttpResponseStatus.BAD_REQUEST;
 	}
 
-	private void persist(HttpResponse answer) {
-		this.closeAfter = this.closeAfter || this.draining.getAsBoolean();
-		if (this.closeAfter) {
-			answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+	private void setConnectionHeader(HttpResponse response) {
+		this.closeAfterResponse = this.closeAfterResponse || this.draining.getAsBoolean();
+		if (this.closeAfterResponse) {
+			response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
 		}
 	}
 
-	private static boolean mayHaveBody(HttpResponse answer) {
-		int status = answer.status().code();
+	private static boolean mayHaveBody(HttpResponse response) {
+		int status = response.status().code();
 		return status != HttpResponseStatus.NO_CONTENT.code() && status != HttpResponseStatus.NOT_MODIFIED.code();
 	}
 
-	private static void copy(ResponseHead head, HttpResponse answer) {
+	private static void copyHeaders(ResponseHead head, HttpResponse response) {
 		for (Header header : head.headers()) {
-			answer.headers().add(header.name(), header.value());
+			response.headers().add(header.name(), header.value());
 		}
 	}
 
-	private void expectWithin(Duration time) {
+	private void startTimer(Duration timeout) {
 		cancelTimer();
 		this.timer = Optional
-			.of(this.context.executor().schedule(this::tooSlow, time.toMillis(), TimeUnit.MILLISECONDS));
+			.of(this.context.executor().schedule(this::onTimeout, timeout.toMillis(), TimeUnit.MILLISECONDS));
 	}
 
-	private void tooSlow() {
-		if (this.answering) {
+	private void onTimeout() {
+		if (this.responding) {
 			return;
 		}
 		if (this.request.isPresent()) {
-			refuse(HttpResponseStatus.REQUEST_TIMEOUT);
+			reject(HttpResponseStatus.REQUEST_TIMEOUT);
 			return;
 		}
-		this.ending = true;
+		this.closing = true;
 		this.context.close();
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/CallerServer.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/CallerServer.java
@@ -24,7 +24,7 @@
 
 	private RouteTable.Limits limits = RouteTable.Limits.defaults();
 
-	private volatile Optional<Channel> port = Optional.empty();
+	private volatile Optional<Channel> serverChannel = Optional.empty();
 
 	private boolean draining;
 
@@ -43,17 +43,17 @@
 	 * @return the opening
 	 */
 	public ChannelFuture bind(EventLoopGroup loop, InetSocketAddress address) {
-		ChannelFuture opening = Sockets.bind(loop, address, this::accept);
-		this.port = Optional.of(opening.channel());
-		return opening;
+		ChannelFuture binding = Sockets.bind(loop, address, this::accept);
+		this.serverChannel = Optional.of(binding.channel());
+		return binding;
 	}
 
 	/**
 	 * Puts limits in force for requests that begin from now on.
-	 * @param next the limits
+	 * @param newLimits the limits
 	 */
-	public void setLimits(RouteTable.Limits next) {
-		this.limits = next;
+	public void setLimits(RouteTable.Limits newLimits) {
+		this.limits = newLimits;
 	}
 
 	/**
@@ -70,7 +70,7 @@
 	 * cut them off at the end of its time.
 	 */
 	public void stopAccepting() {
-		this.port.ifPresent(Channel::close);
+		this.serverChannel.ifPresent(Channel::close);
 		List.copyOf(this.connections).forEach(CallerConnection::drain);
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/Dialect.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/Dialect.java
@@ -49,21 +49,21 @@
 	 * @param id the id
 	 * @return whether it is, as far as the answer tells
 	 */
-	boolean isResponseTo(HttpResponse answer, String id);
+	boolean isResponseTo(HttpResponse response, String id);
 
 	/**
 	 * Decodes the head of an upstream's answer.
 	 * @param decodeResponse the answer
 	 * @return the head
 	 */
-	ResponseHead decodeResponse(HttpResponse answer);
+	ResponseHead decodeResponse(HttpResponse response);
 
 	/**
 	 * Returns how long an upstream keeps a connection that is idle.
 	 * @param decodeResponse its last answer on that connection
 	 * @return the time, or empty if it doesn't say
 	 */
-	Optional<Duration> keepAliveTimeout(HttpResponse answer);
+	Optional<Duration> keepAliveTimeout(HttpResponse response);
 
 	/**
 	 * Writes an answer of the relay's own.
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/HeaderTimeoutHandler.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/HeaderTimeoutHandler.java
@@ -23,7 +23,7 @@
 
 	private Optional<ScheduledFuture<?>> timer = Optional.empty();
 
-	private int last;
+	private int lastBytes;
 
 	HeaderTimeoutHandler(Supplier<Duration> timeout) {
 		this.timeout = timeout;
@@ -31,7 +31,7 @@
 
 	@Override
 	public void channelRead(ChannelHandlerContext context, Object message) {
-		if (message instanceof ByteBuf bytes && !ended(bytes)) {
+		if (message instanceof ByteBuf bytes && !containsEndOfHead(bytes)) {
 			if (this.timer.isEmpty()) {
 				this.timer = Optional.of(context.executor()
 					.schedule(() -> context.close(), this.timeout.get().toMillis(), TimeUnit.MILLISECONDS));
@@ -39,28 +39,28 @@
 			context.fireChannelRead(message);
 			return;
 		}
-		stop();
+		cancelTimer();
 		context.pipeline().remove(this);
 		context.fireChannelRead(message);
 	}
 
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
-		stop();
+		cancelTimer();
 		context.fireChannelInactive();
 	}
 
-	private boolean ended(ByteBuf bytes) {
-		for (int at = bytes.readerIndex(); at < bytes.writerIndex(); at++) {
-			this.last = (this.last << Byte.SIZE) | (bytes.getByte(at) & 0xff);
-			if (this.last == END_OF_HEAD) {
+	private boolean containsEndOfHead(ByteBuf bytes) {
+		for (int index = bytes.readerIndex(); index < bytes.writerIndex(); index++) {
+			this.lastBytes = (this.lastBytes << Byte.SIZE) | (bytes.getByte(index) & 0xff);
+			if (this.lastBytes == END_OF_HEAD) {
 				return true;
 			}
 		}
 		return false;
 	}
 
-	private void stop() {
+	private void cancelTimer() {
 		this.timer.ifPresent((pending) -> pending.cancel(false));
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/ReadinessServer.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/ReadinessServer.java
@@ -32,7 +32,7 @@
 	 */
 	public static final String METRICS_PATH = "/metrics";
 
-	private static final int REQUEST_BYTES = 4096;
+	private static final int MAX_REQUEST_BYTES = 4096;
 
 	private final BooleanSupplier ready;
 
@@ -58,19 +58,19 @@
 		return Sockets.bind(loop, address,
 				(channel) -> channel.pipeline()
 					.addLast(new HttpServerCodec(), new HttpServerKeepAliveHandler(),
-							new HttpObjectAggregator(REQUEST_BYTES), new Answers()));
+							new HttpObjectAggregator(MAX_REQUEST_BYTES), new RequestHandler()));
 	}
 
 	/**
 	 * Answers the requests of one connection. Used by the event loop's thread.
 	 */
-	private final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
+	private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
 		@Override
 		protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-			FullHttpResponse answer = request.uri().equals(METRICS_PATH) ? metrics() : readiness();
-			HttpUtil.setContentLength(answer, answer.content().readableBytes());
-			context.writeAndFlush(answer);
+			FullHttpResponse response = request.uri().equals(METRICS_PATH) ? metrics() : readiness();
+			HttpUtil.setContentLength(response, response.content().readableBytes());
+			context.writeAndFlush(response);
 		}
 
 		@Override
@@ -80,9 +80,9 @@
 		}
 
 		private FullHttpResponse readiness() {
-			boolean taking = ReadinessServer.this.ready.getAsBoolean();
+			boolean isReady = ReadinessServer.this.ready.getAsBoolean();
 			return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-					taking ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
+					isReady ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
 		}
 
 		private FullHttpResponse metrics() {
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/SerialHttpClient.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/SerialHttpClient.java
@@ -33,19 +33,19 @@
 	/**
 	 * The most bytes of an answer: above what one read of the store returns.
 	 */
-	private static final int ANSWER_BYTES = 8 * 1024 * 1024;
+	private static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 	private final EventLoop loop;
 
 	private final InetSocketAddress address;
 
-	private final Deque<Call> calls = new ArrayDeque<>();
+	private final Deque<Call> queue = new ArrayDeque<>();
 
 	private Optional<Channel> channel = Optional.empty();
 
 	private Optional<Call> current = Optional.empty();
 
-	private Optional<ScheduledFuture<?>> timeout = Optional.empty();
+	private Optional<ScheduledFuture<?>> timer = Optional.empty();
 
 	/**
 	 * Creates a lane without a connection.
@@ -60,23 +60,23 @@
 	/**
 	 * Makes a call when those before it are over.
 	 * @param request the request
-	 * @param timeout how long to wait for the whole answer
+	 * @param timer how long to wait for the whole answer
 	 * @param callback takes the answer, which it must not release, or empty if there is
 	 * none
 	 */
 	public void call(FullHttpRequest request, Duration timeout, Consumer<Optional<FullHttpResponse>> callback) {
-		this.calls.add(new Call(request, timeout, callback));
-		next();
+		this.queue.add(new Call(request, timeout, callback));
+		sendNext();
 	}
 
-	private void next() {
-		if (this.current.isPresent() || this.calls.isEmpty()) {
+	private void sendNext() {
+		if (this.current.isPresent() || this.queue.isEmpty()) {
 			return;
 		}
-		Call call = this.calls.pollFirst();
+		Call call = this.queue.pollFirst();
 		this.current = Optional.of(call);
-		this.timeout = Optional
-			.of(this.loop.schedule(() -> end(call), call.patience().toMillis(), TimeUnit.MILLISECONDS));
+		this.timer = Optional
+			.of(this.loop.schedule(() -> fail(call), call.timeout().toMillis(), TimeUnit.MILLISECONDS));
 		if (this.channel.isPresent() && this.channel.get().isActive()) {
 			this.channel.get().writeAndFlush(call.request());
 			return;
@@ -85,20 +85,19 @@
 	}
 
 	private void connect(Call call) {
-		ChannelFuture connecting = Sockets.connect(this.loop, this.address, CONNECT_TIMEOUT,
-				(created) -> created.pipeline()
-					.addLast(new HttpClientCodec(), new HttpObjectAggregator(ANSWER_BYTES), new Answers()));
-		connecting.addListener((done) -> {
+		ChannelFuture future = Sockets.connect(this.loop, this.address, CONNECT_TIMEOUT, (created) -> created.pipeline()
+			.addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), new ResponseHandler()));
+		future.addListener((done) -> {
 			if (!isCurrent(call)) {
-				connecting.channel().close();
+				future.channel().close();
 				return;
 			}
 			if (!done.isSuccess()) {
-				end(call);
+				fail(call);
 				return;
 			}
-			this.channel = Optional.of(connecting.channel());
-			connecting.channel().writeAndFlush(call.request());
+			this.channel = Optional.of(future.channel());
+			future.channel().writeAndFlush(call.request());
 		});
 	}
 
@@ -106,55 +105,55 @@
 		return this.current.isPresent() && this.current.get() == call;
 	}
 
-	private void end(Call call) {
+	private void fail(Call call) {
 		if (isCurrent(call)) {
-			finish(Optional.empty());
+			complete(Optional.empty());
 		}
 	}
 
-	private void finish(Optional<FullHttpResponse> answer) {
+	private void complete(Optional<FullHttpResponse> response) {
 		if (this.current.isEmpty()) {
 			return;
 		}
 		Call call = this.current.get();
 		this.current = Optional.empty();
-		this.timeout.ifPresent((pending) -> pending.cancel(false));
-		if (answer.isEmpty() || !HttpUtil.isKeepAlive(answer.get())) {
+		this.timer.ifPresent((pending) -> pending.cancel(false));
+		if (response.isEmpty() || !HttpUtil.isKeepAlive(response.get())) {
 			this.channel.ifPresent(Channel::close);
 			this.channel = Optional.empty();
 		}
-		call.then().accept(answer);
-		next();
+		call.callback().accept(response);
+		sendNext();
 	}
 
 	/**
 	 * A call that waits or is under way. Immutable.
 	 *
 	 * @param request the request
-	 * @param timeout how long to wait for the whole answer
+	 * @param timer how long to wait for the whole answer
 	 * @param callback takes the answer
 	 */
-	private record Call(FullHttpRequest request, Duration patience, Consumer<Optional<FullHttpResponse>> then) {
+	private record Call(FullHttpRequest request, Duration timeout, Consumer<Optional<FullHttpResponse>> callback) {
 
 	}
 
 	/**
 	 * Takes the answers of one connection. Used by the event loop's thread.
 	 */
-	private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+	private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
 		@Override
-		protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-			if (isOwn(context)) {
-				finish(answer.decoderResult().isSuccess() ? Optional.of(answer) : Optional.empty());
+		protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+			if (isCurrentChannel(context)) {
+				complete(response.decoderResult().isSuccess() ? Optional.of(response) : Optional.empty());
 			}
 		}
 
 		@Override
 		public void channelInactive(ChannelHandlerContext context) {
-			if (isOwn(context)) {
+			if (isCurrentChannel(context)) {
 				SerialHttpClient.this.channel = Optional.empty();
-				finish(Optional.empty());
+				complete(Optional.empty());
 			}
 		}
 
@@ -164,7 +163,7 @@
 			context.close();
 		}
 
-		private boolean isOwn(ChannelHandlerContext context) {
+		private boolean isCurrentChannel(ChannelHandlerContext context) {
 			return SerialHttpClient.this.channel.isPresent()
 					&& SerialHttpClient.this.channel.get() == context.channel();
 		}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/net/Sockets.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/net/Sockets.java
@@ -37,16 +37,16 @@
 	 * @param loop the event loop of the connection
 	 * @param address the address
 	 * @param timeout how long the connecting may take
-	 * @param setUp puts handlers into the connection's pipeline
+	 * @param configurer puts handlers into the connection's pipeline
 	 * @return the connecting
 	 */
 	public static ChannelFuture connect(EventLoop loop, InetSocketAddress address, Duration timeout,
-			Consumer<Channel> setUp) {
+			Consumer<Channel> configurer) {
 		return new Bootstrap().group(loop)
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) timeout.toMillis())
 			.option(ChannelOption.TCP_NODELAY, true)
-			.handler(initializer(setUp))
+			.handler(initializer(configurer))
 			.connect(address);
 	}
 
@@ -54,25 +54,25 @@
 	 * Opens a port.
 	 * @param loops the event loops of its connections
 	 * @param address the address
-	 * @param setUp puts handlers into each connection's pipeline
+	 * @param configurer puts handlers into each connection's pipeline
 	 * @return the opening
 	 */
-	public static ChannelFuture bind(EventLoopGroup loops, InetSocketAddress address, Consumer<Channel> setUp) {
+	public static ChannelFuture bind(EventLoopGroup loops, InetSocketAddress address, Consumer<Channel> configurer) {
 		return new ServerBootstrap().group(loops)
 			.channel(NioServerSocketChannel.class)
 			.option(ChannelOption.SO_BACKLOG, BACKLOG)
 			.option(ChannelOption.SO_REUSEADDR, true)
 			.childOption(ChannelOption.TCP_NODELAY, true)
-			.childHandler(initializer(setUp))
+			.childHandler(initializer(configurer))
 			.bind(address);
 	}
 
-	private static ChannelInitializer<Channel> initializer(Consumer<Channel> setUp) {
+	private static ChannelInitializer<Channel> initializer(Consumer<Channel> configurer) {
 		return new ChannelInitializer<>() {
 
 			@Override
 			protected void initChannel(Channel channel) {
-				setUp.accept(channel);
+				configurer.accept(channel);
 			}
 
 		};
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/EventParser.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/EventParser.java
@@ -15,17 +15,17 @@
 	/**
 	 * The most bytes of one event; a longer one is no event of an engine.
 	 */
-	private static final int EVENT_BYTES = 1024 * 1024;
+	private static final int MAX_EVENT_BYTES = 1024 * 1024;
 
-	private static final String NUMBER = "id:";
+	private static final String ID_FIELD = "id:";
 
-	private static final String DATA = "data:";
+	private static final String DATA_FIELD = "data:";
 
-	private ByteArrayOutputStream event = new ByteArrayOutputStream();
+	private ByteArrayOutputStream buffer = new ByteArrayOutputStream();
 
 	private int lineLength;
 
-	private long number;
+	private long lastNumber;
 
 	/**
 	 * Takes bytes.
@@ -36,7 +36,7 @@
 	boolean read(ByteBuf bytes, Sink sink) {
 		while (bytes.isReadable()) {
 			byte next = bytes.readByte();
-			this.event.write(next);
+			this.buffer.write(next);
 			if (next == '\r') {
 				continue;
 			}
@@ -44,52 +44,52 @@
 				this.lineLength++;
 				continue;
 			}
-			if (this.lineLength == 0 && !end(sink)) {
+			if (this.lineLength == 0 && !dispatch(sink)) {
 				return false;
 			}
 			this.lineLength = 0;
 		}
-		return this.event.size() <= EVENT_BYTES;
+		return this.buffer.size() <= MAX_EVENT_BYTES;
 	}
 
 	/**
 	 * Returns whether a part of an event is held back.
 	 * @return whether it is
 	 */
-	boolean partial() {
-		return this.event.size() > 0;
+	boolean hasPartialEvent() {
+		return this.buffer.size() > 0;
 	}
 
-	private boolean end(Sink sink) {
-		byte[] raw = this.event.toByteArray();
-		this.event = new ByteArrayOutputStream();
+	private boolean dispatch(Sink sink) {
+		byte[] raw = this.buffer.toByteArray();
+		this.buffer = new ByteArrayOutputStream();
 		String text = new String(raw, StandardCharsets.ISO_8859_1);
 		StringBuilder data = new StringBuilder();
-		boolean any = false;
-		long next = this.number + 1;
+		boolean hasData = false;
+		long eventNumber = this.lastNumber + 1;
 		for (String line : text.split("\r?\n")) {
-			if (line.startsWith(NUMBER)) {
+			if (line.startsWith(ID_FIELD)) {
 				try {
-					next = Long.parseLong(line.substring(NUMBER.length()).strip());
+					eventNumber = Long.parseLong(line.substring(ID_FIELD.length()).strip());
 				}
 				catch (NumberFormatException ex) {
 					return false;
 				}
 			}
-			else if (line.startsWith(DATA)) {
-				data.append(any ? "\n" : "").append(value(line));
-				any = true;
+			else if (line.startsWith(DATA_FIELD)) {
+				data.append(hasData ? "\n" : "").append(value(line));
+				hasData = true;
 			}
 		}
-		if (any) {
-			this.number = next;
-			sink.event(next, raw, data.toString().getBytes(StandardCharsets.ISO_8859_1));
+		if (hasData) {
+			this.lastNumber = eventNumber;
+			sink.onEvent(eventNumber, raw, data.toString().getBytes(StandardCharsets.ISO_8859_1));
 		}
 		return true;
 	}
 
 	private static String value(String line) {
-		String value = line.substring(DATA.length());
+		String value = line.substring(DATA_FIELD.length());
 		return value.startsWith(" ") ? value.substring(1) : value;
 	}
 
@@ -100,11 +100,11 @@
 
 		/**
 		 * An event.
-		 * @param number its number
+		 * @param lastNumber its number
 		 * @param raw its bytes as they came
 		 * @param data its data
 		 */
-		void event(long number, byte[] raw, byte[] data);
+		void onEvent(long number, byte[] raw, byte[] data);
 
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamClient.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamClient.java
@@ -65,8 +65,8 @@
 			HttpUtil.setContentLength(outgoing, outgoing.content().readableBytes());
 		}
 		AttemptKey key = new AttemptKey(send.exchange(), send.attempt());
-		UpstreamPool.Attempt attempt = pool(send.upstream())
-			.send(new UpstreamConnection.Outgoing(id, outgoing, send.stream(), new Forgetting(key, listener)));
+		UpstreamPool.Attempt attempt = pool(send.upstream()).send(
+				new UpstreamConnection.OutgoingRequest(id, outgoing, send.stream(), new AttemptTracker(key, listener)));
 		this.attempts.put(key, attempt);
 	}
 
@@ -76,9 +76,9 @@
 	 * @param attempt the number of the attempt
 	 */
 	public void cancel(long exchange, int attempt) {
-		UpstreamPool.Attempt known = this.attempts.remove(new AttemptKey(exchange, attempt));
-		if (known != null) {
-			known.cancel();
+		UpstreamPool.Attempt active = this.attempts.remove(new AttemptKey(exchange, attempt));
+		if (active != null) {
+			active.cancel();
 		}
 	}
 
@@ -102,9 +102,9 @@
 	}
 
 	private UpstreamPool pool(Upstream upstream) {
-		UpstreamPool known = this.pools.get(upstream.id());
-		if (known != null && known.life().equals(upstream.incarnationId())) {
-			return known;
+		UpstreamPool existing = this.pools.get(upstream.id());
+		if (existing != null && existing.incarnationId().equals(upstream.incarnationId())) {
+			return existing;
 		}
 		removeUpstream(upstream.id());
 		UpstreamPool pool = new UpstreamPool(this.loop, upstream, this.dialect, this.timers);
@@ -125,13 +125,13 @@
 	/**
 	 * Forgets an attempt when it is over. Used by the event loop's thread.
 	 */
-	private final class Forgetting implements AttemptListener {
+	private final class AttemptTracker implements AttemptListener {
 
 		private final AttemptKey key;
 
 		private final AttemptListener next;
 
-		Forgetting(AttemptKey key, AttemptListener next) {
+		AttemptTracker(AttemptKey key, AttemptListener next) {
 			this.key = key;
 			this.next = next;
 		}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamConnection.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamConnection.java
@@ -35,53 +35,53 @@
 	 * How many answers to other requests are passed over before the connection is given
 	 * up.
 	 */
-	private static final int PASSED_OVER = 2;
+	private static final int MAX_SKIPPED_RESPONSES = 2;
 
 	/**
 	 * The most bytes of an answer that is not passed on as it comes.
 	 */
-	private static final int ANSWER_BYTES = 8 * 1024 * 1024;
+	private static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 	private final Dialect dialect;
 
-	private final Returns pool;
+	private final Listener listener;
 
-	private Optional<Outgoing> current = Optional.empty();
+	private Optional<OutgoingRequest> current = Optional.empty();
 
 	private Optional<HttpResponse> head = Optional.empty();
 
 	private ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-	private Optional<EventParser> events = Optional.empty();
+	private Optional<EventParser> eventParser = Optional.empty();
 
-	private Optional<ChannelFuture> written = Optional.empty();
+	private Optional<ChannelFuture> writeFuture = Optional.empty();
 
-	private boolean passingOver;
+	private boolean skipping;
 
-	private int passedOver;
+	private int skippedResponses;
 
 	private ChannelHandlerContext context;
 
-	private Optional<Duration> idleTime = Optional.empty();
+	private Optional<Duration> keepAliveTimeout = Optional.empty();
 
-	UpstreamConnection(Dialect dialect, Returns pool) {
+	UpstreamConnection(Dialect dialect, Listener listener) {
 		this.dialect = dialect;
-		this.pool = pool;
+		this.listener = listener;
 	}
 
 	@Override
-	public void handlerAdded(ChannelHandlerContext added) {
-		this.context = added;
+	public void handlerAdded(ChannelHandlerContext ctx) {
+		this.context = ctx;
 	}
 
-	void send(Outgoing outgoing) {
+	void send(OutgoingRequest outgoing) {
 		this.current = Optional.of(outgoing);
 		this.head = Optional.empty();
-		this.passedOver = 0;
-		this.written = Optional.of(this.context.writeAndFlush(outgoing.request()));
+		this.skippedResponses = 0;
+		this.writeFuture = Optional.of(this.context.writeAndFlush(outgoing.request()));
 	}
 
-	boolean usable() {
+	boolean isReusable() {
 		return this.current.isEmpty() && this.context.channel().isActive();
 	}
 
@@ -89,8 +89,8 @@
 		return this.current.isPresent() && this.current.get().request().method().equals(HttpMethod.HEAD);
 	}
 
-	Optional<Duration> idleTime() {
-		return this.idleTime;
+	Optional<Duration> keepAliveTimeout() {
+		return this.keepAliveTimeout;
 	}
 
 	/**
@@ -102,18 +102,18 @@
 	}
 
 	@Override
-	public void channelRead(ChannelHandlerContext reading, Object message) {
+	public void channelRead(ChannelHandlerContext ctx, Object message) {
 		try {
 			if (this.current.isEmpty()) {
 				// Bytes that no request asked for: whatever follows can't be trusted.
-				reading.close();
+				ctx.close();
 				return;
 			}
 			if (message instanceof HttpResponse response) {
-				begin(response);
+				beginResponse(response);
 			}
 			if (message instanceof HttpContent content && this.current.isPresent()) {
-				add(content);
+				addContent(content);
 			}
 		}
 		finally {
@@ -122,98 +122,98 @@
 	}
 
 	@Override
-	public void channelInactive(ChannelHandlerContext inactive) {
-		this.pool.closed(this);
+	public void channelInactive(ChannelHandlerContext ctx) {
+		this.listener.onClosed(this);
 		fail(FailureCause.BROKEN);
 	}
 
 	@Override
-	public void exceptionCaught(ChannelHandlerContext failed, Throwable cause) {
+	public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
 		// A reset has to be told before the decoder takes the end of the connection for
 		// the end of an answer without a length.
 		fail((cause instanceof IOException) ? FailureCause.BROKEN : FailureCause.UNREADABLE);
-		failed.close();
+		ctx.close();
 	}
 
-	private void begin(HttpResponse response) {
+	private void beginResponse(HttpResponse response) {
 		if (response.decoderResult().isFailure()) {
 			fail(FailureCause.UNREADABLE);
 			return;
 		}
 		if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-			this.passingOver = true;
+			this.skipping = true;
 			return;
 		}
-		Outgoing outgoing = this.current.orElseThrow();
+		OutgoingRequest outgoing = this.current.orElseThrow();
 		if (!this.dialect.isResponseTo(response, outgoing.id())) {
-			passOver();
+			skipResponse();
 			return;
 		}
-		this.passingOver = false;
+		this.skipping = false;
 		this.head = Optional.of(response);
 		this.body = new ByteArrayOutputStream();
 		boolean stream = outgoing.stream() && response.status().equals(HttpResponseStatus.OK);
-		this.events = stream ? Optional.of(new EventParser()) : Optional.empty();
+		this.eventParser = stream ? Optional.of(new EventParser()) : Optional.empty();
 		if (stream) {
 			outgoing.listener().onStreamStart(this.dialect.decodeResponse(response));
 		}
 	}
 
-	private void passOver() {
-		this.passingOver = true;
-		this.passedOver++;
-		if (this.passedOver > PASSED_OVER) {
+	private void skipResponse() {
+		this.skipping = true;
+		this.skippedResponses++;
+		if (this.skippedResponses > MAX_SKIPPED_RESPONSES) {
 			fail(FailureCause.UNREADABLE);
 		}
 	}
 
-	private void add(HttpContent content) {
+	private void addContent(HttpContent content) {
 		if (content.decoderResult().isFailure()) {
 			fail(FailureCause.UNREADABLE);
 			return;
 		}
-		if (!this.passingOver) {
-			take(content.content());
+		if (!this.skipping) {
+			consume(content.content());
 		}
-		if (content instanceof LastHttpContent && this.current.isPresent() && !this.passingOver) {
-			end();
+		if (content instanceof LastHttpContent && this.current.isPresent() && !this.skipping) {
+			completeResponse();
 		}
 	}
 
-	private void take(ByteBuf bytes) {
-		Outgoing outgoing = this.current.orElseThrow();
-		if (this.events.isPresent()) {
-			if (!this.events.get().read(bytes, outgoing.listener()::onEvent)) {
+	private void consume(ByteBuf bytes) {
+		OutgoingRequest outgoing = this.current.orElseThrow();
+		if (this.eventParser.isPresent()) {
+			if (!this.eventParser.get().read(bytes, outgoing.listener()::onEvent)) {
 				fail(FailureCause.UNREADABLE);
 			}
 			return;
 		}
-		if (this.body.size() + bytes.readableBytes() > ANSWER_BYTES) {
+		if (this.body.size() + bytes.readableBytes() > MAX_RESPONSE_BYTES) {
 			fail(FailureCause.UNREADABLE);
 			return;
 		}
 		this.body.writeBytes(ByteBufUtil.getBytes(bytes));
 	}
 
-	private void end() {
-		Outgoing outgoing = this.current.orElseThrow();
+	private void completeResponse() {
+		OutgoingRequest outgoing = this.current.orElseThrow();
 		HttpResponse response = this.head.orElseThrow();
-		if (this.events.isPresent() && this.events.get().partial()) {
+		if (this.eventParser.isPresent() && this.eventParser.get().hasPartialEvent()) {
 			fail(FailureCause.BROKEN);
 			return;
 		}
 		this.current = Optional.empty();
-		giveBack(response);
-		if (this.events.isPresent()) {
+		returnToPool(response);
+		if (this.eventParser.isPresent()) {
 			outgoing.listener().onStreamEnd();
 			return;
 		}
 		outgoing.listener().onResponse(this.dialect.decodeResponse(response), this.body.toByteArray());
 	}
 
-	private void giveBack(HttpResponse response) {
+	private void returnToPool(HttpResponse response) {
 		boolean framed = HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
-		boolean sent = this.written.map(ChannelFuture::isSuccess).orElse(false);
+		boolean sent = this.writeFuture.map(ChannelFuture::isSuccess).orElse(false);
 		// A body that is not sent yet would be followed by another request where the
 		// upstream expects its rest.
 		if (!framed || !sent || !HttpUtil.isKeepAlive(response)
@@ -221,15 +221,15 @@
 			this.context.close();
 			return;
 		}
-		this.idleTime = this.dialect.keepAliveTimeout(response);
-		this.pool.idle(this);
+		this.keepAliveTimeout = this.dialect.keepAliveTimeout(response);
+		this.listener.onIdle(this);
 	}
 
 	private void fail(FailureCause cause) {
 		if (this.current.isEmpty()) {
 			return;
 		}
-		Outgoing outgoing = this.current.get();
+		OutgoingRequest outgoing = this.current.get();
 		this.current = Optional.empty();
 		this.context.close();
 		outgoing.listener().onFailure(cause);
@@ -243,7 +243,7 @@
 	 * @param stream whether its answer is passed on as it comes
 	 * @param listener takes what becomes of it
 	 */
-	record Outgoing(String id, DefaultFullHttpRequest request, boolean stream, AttemptListener listener) {
+	record OutgoingRequest(String id, DefaultFullHttpRequest request, boolean stream, AttemptListener listener) {
 
 		void release() {
 			ReferenceCountUtil.release(this.request);
@@ -254,19 +254,19 @@
 	/**
 	 * Takes connections back. Used by the event loop's thread.
 	 */
-	interface Returns {
+	interface Listener {
 
 		/**
 		 * The connection may be used again.
 		 * @param connection the connection
 		 */
-		void idle(UpstreamConnection connection);
+		void onIdle(UpstreamConnection connection);
 
 		/**
 		 * The connection is closed.
 		 * @param connection the connection
 		 */
-		void closed(UpstreamConnection connection);
+		void onClosed(UpstreamConnection connection);
 
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamPool.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamPool.java
@@ -34,18 +34,18 @@
 	 * How long before the upstream's own time an idle connection is given up: more than
 	 * the way there and a slow moment of this process.
 	 */
-	private static final Duration IDLE_MARGIN = Duration.ofMillis(700);
+	private static final Duration IDLE_TIMEOUT_MARGIN = Duration.ofMillis(700);
 
 	/**
 	 * How long a connection may be idle whose upstream does not say.
 	 */
-	private static final Duration UNKNOWN_IDLE_TIME = Duration.ofMillis(2500);
+	private static final Duration DEFAULT_IDLE_TIMEOUT = Duration.ofMillis(2500);
 
-	private static final int IDLE_BOUND = 64;
+	private static final int MAX_IDLE_CONNECTIONS = 64;
 
 	private final EventLoop loop;
 
-	private final String life;
+	private final String incarnationId;
 
 	private final InetSocketAddress address;
 
@@ -53,11 +53,11 @@
 
 	private final Timers timers;
 
-	private final Deque<Idle> idle = new ArrayDeque<>();
+	private final Deque<IdleConnection> idle = new ArrayDeque<>();
 
 	UpstreamPool(EventLoop loop, Upstream upstream, Dialect dialect, Timers timers) {
 		this.loop = loop;
-		this.life = upstream.incarnationId();
+		this.incarnationId = upstream.incarnationId();
 		this.address = new InetSocketAddress(upstream.host(), upstream.port());
 		this.dialect = dialect;
 		this.timers = timers;
@@ -68,12 +68,12 @@
 	 * @param outgoing the request
 	 * @return what gives up the attempt
 	 */
-	Attempt send(UpstreamConnection.Outgoing outgoing) {
+	Attempt send(UpstreamConnection.OutgoingRequest outgoing) {
 		Attempt attempt = new Attempt();
-		Optional<UpstreamConnection> kept = take();
-		if (kept.isPresent()) {
-			attempt.connection = kept;
-			kept.get().send(outgoing);
+		Optional<UpstreamConnection> reused = acquire();
+		if (reused.isPresent()) {
+			attempt.connection = reused;
+			reused.get().send(outgoing);
 			return attempt;
 		}
 		connect(outgoing, attempt);
@@ -84,8 +84,8 @@
 	 * Returns to which life of the upstream the connections lead.
 	 * @return the name of the life
 	 */
-	String life() {
-		return this.life;
+	String incarnationId() {
+		return this.incarnationId;
 	}
 
 	void close() {
@@ -94,11 +94,11 @@
 		}
 	}
 
-	private Optional<UpstreamConnection> take() {
+	private Optional<UpstreamConnection> acquire() {
 		long now = this.timers.now();
 		while (!this.idle.isEmpty()) {
-			Idle next = this.idle.pollFirst();
-			if (next.until() > now && next.connection().usable()) {
+			IdleConnection next = this.idle.pollFirst();
+			if (next.expiresAt() > now && next.connection().isReusable()) {
 				return Optional.of(next.connection());
 			}
 			next.connection().cancel();
@@ -106,14 +106,13 @@
 		return Optional.empty();
 	}
 
-	private void connect(UpstreamConnection.Outgoing outgoing, Attempt attempt) {
-		UpstreamConnection connection = new UpstreamConnection(this.dialect, new IdleConnections());
-		ChannelFuture connecting = Sockets.connect(this.loop, this.address, CONNECT_TIMEOUT,
-				(created) -> created.pipeline()
-					.addLast(new HttpRequestEncoder(), new AnswerDecoder(connection), connection));
-		connecting.addListener((done) -> {
+	private void connect(UpstreamConnection.OutgoingRequest outgoing, Attempt attempt) {
+		UpstreamConnection connection = new UpstreamConnection(this.dialect, new IdleConnectionListener());
+		ChannelFuture future = Sockets.connect(this.loop, this.address, CONNECT_TIMEOUT, (created) -> created.pipeline()
+			.addLast(new HttpRequestEncoder(), new ResponseDecoder(connection), connection));
+		future.addListener((done) -> {
 			if (attempt.cancelled) {
-				connecting.channel().close();
+				future.channel().close();
 				outgoing.release();
 				return;
 			}
@@ -130,21 +129,23 @@
 	/**
 	 * Keeps connections for later use. Used by the event loop's thread.
 	 */
-	private final class IdleConnections implements UpstreamConnection.Returns {
+	private final class IdleConnectionListener implements UpstreamConnection.Listener {
 
 		@Override
-		public void idle(UpstreamConnection connection) {
-			Duration time = connection.idleTime().map((known) -> known.minus(IDLE_MARGIN)).orElse(UNKNOWN_IDLE_TIME);
-			if (time.isNegative() || UpstreamPool.this.idle.size() >= IDLE_BOUND) {
+		public void onIdle(UpstreamConnection connection) {
+			Duration timeout = connection.keepAliveTimeout()
+				.map((known) -> known.minus(IDLE_TIMEOUT_MARGIN))
+				.orElse(DEFAULT_IDLE_TIMEOUT);
+			if (timeout.isNegative() || UpstreamPool.this.idle.size() >= MAX_IDLE_CONNECTIONS) {
 				connection.cancel();
 				return;
 			}
-			long until = UpstreamPool.this.timers.now() + time.toMillis();
-			UpstreamPool.this.idle.addFirst(new Idle(connection, until));
+			long expiresAt = UpstreamPool.this.timers.now() + timeout.toMillis();
+			UpstreamPool.this.idle.addFirst(new IdleConnection(connection, expiresAt));
 		}
 
 		@Override
-		public void closed(UpstreamConnection connection) {
+		public void onClosed(UpstreamConnection connection) {
 			UpstreamPool.this.idle.removeIf((kept) -> kept.connection() == connection);
 		}
 
@@ -156,7 +157,7 @@
 	 * @param connection the connection
 	 * @param until when it is given up
 	 */
-	private record Idle(UpstreamConnection connection, long until) {
+	private record IdleConnection(UpstreamConnection connection, long expiresAt) {
 
 	}
 
@@ -164,11 +165,11 @@
 	 * Reads answers, and knows that the answer to some requests has no body whatever its
 	 * headers say. Used by one connection.
 	 */
-	private static final class AnswerDecoder extends HttpResponseDecoder {
+	private static final class ResponseDecoder extends HttpResponseDecoder {
 
 		private final UpstreamConnection connection;
 
-		AnswerDecoder(UpstreamConnection connection) {
+		ResponseDecoder(UpstreamConnection connection) {
 			this.connection = connection;
 		}
 
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/net/TrafficCounterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/net/TrafficCounterTests.java
@@ -15,7 +15,7 @@
 	private final TrafficCounter traffic = new TrafficCounter();
 
 	@Test
-	void whatIsAddedIsPublishedOnce() {
+	void publishResetsCounts() {
 		this.traffic.add(Kind.LINKS_OUT, 100);
 		this.traffic.add(Kind.LINKS_OUT, 20);
 		this.traffic.add(Kind.STORE_READ, 7);
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/upstream/EventParserTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/upstream/EventParserTests.java
@@ -23,17 +23,17 @@
 	private final EventParser parser = new EventParser();
 
 	@Property(tries = 100)
-	void eventsAreTheSameHoweverTheStreamIsCut(@ForAll @IntRange(min = 1, max = 9) int size) {
-		EventParserTests cut = new EventParserTests();
+	void eventsDoNotDependOnChunkBoundaries(@ForAll @IntRange(min = 1, max = 9) int size) {
+		EventParserTests chunked = new EventParserTests();
 		for (int at = 0; at < STREAM.length(); at += size) {
-			assertThat(cut.read(STREAM.substring(at, Math.min(STREAM.length(), at + size)))).isTrue();
+			assertThat(chunked.read(STREAM.substring(at, Math.min(STREAM.length(), at + size)))).isTrue();
 		}
-		assertThat(cut.events).containsExactly("1=one", "2=a\nb", "3=three");
-		assertThat(cut.parser.partial()).isFalse();
+		assertThat(chunked.events).containsExactly("1=one", "2=a\nb", "3=three");
+		assertThat(chunked.parser.hasPartialEvent()).isFalse();
 	}
 
 	@Test
-	void bytesOfAnEventStayAsTheyCame() {
+	void rawBytesOfAnEventAreUnchanged() {
 		read("id: 1\r\ndata: x\r\n\r\n");
 		assertThat(this.raw).containsExactly("id: 1\r\ndata: x\r\n\r\n");
 	}
@@ -41,20 +41,20 @@
 	// An upstream dies in the middle of an event. The part is held back: passed on, it
 	// would stand before the same event of the next upstream.
 	@Test
-	void partOfAnEventIsHeldBack() {
+	void partialEventIsBuffered() {
 		read("id: 1\ndata: one\n\nid: 2\nda");
 		assertThat(this.events).containsExactly("1=one");
-		assertThat(this.parser.partial()).isTrue();
+		assertThat(this.parser.hasPartialEvent()).isTrue();
 	}
 
 	@Test
-	void eventWithoutANumberFollowsTheOneBefore() {
+	void eventWithoutAnIdIncrementsTheNumber() {
 		read("id: 4\ndata: x\n\ndata: y\n\n");
 		assertThat(this.events).containsExactly("4=x", "5=y");
 	}
 
 	@Test
-	void numberThatIsNoneIsUnreadable() {
+	void nonNumericIdIsRejected() {
 		assertThat(read("id: x1\ndata: y\n\n")).isFalse();
 	}
 
