--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
@@ -53,9 +53,9 @@
 
 	private long lastActivityAt;
 
-	private long nextSilenceCheck;
+	private long nextIdleCheck;
 
-	private boolean watched;
+	private boolean idleTimerStarted;
 
 	private boolean graceGranted;
 
@@ -260,9 +260,9 @@
 	 * Notes that the silence of the upstream is watched from now on.
 	 * @return whether it was not before
 	 */
-	boolean markWatched() {
-		boolean first = !this.watched;
-		this.watched = true;
+	boolean markIdleTimerStarted() {
+		boolean first = !this.idleTimerStarted;
+		this.idleTimerStarted = true;
 		return first;
 	}
 
@@ -270,12 +270,12 @@
 	 * Returns when the silence of the upstream is to be looked at next.
 	 * @return milliseconds of a steady clock
 	 */
-	long nextSilenceCheck() {
-		return this.nextSilenceCheck;
+	long nextIdleCheck() {
+		return this.nextIdleCheck;
 	}
 
-	void nextSilenceCheck(long next) {
-		this.nextSilenceCheck = next;
+	void nextIdleCheck(long next) {
+		this.nextIdleCheck = next;
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
@@ -126,7 +126,7 @@
 			case TEXT_FETCH -> this.texts.textsTimedOut(exchange);
 			case BUDGET_DECISION -> this.budgets.orderDue(exchange);
 			case LOG_WRITE -> this.texts.storeTimedOut(exchange);
-			case UPSTREAM_IDLE -> this.answers.checkSilence(exchange);
+			case UPSTREAM_IDLE -> this.answers.checkIdle(exchange);
 			case PERMIT -> this.quotas.timerFired(exchange);
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
@@ -159,7 +159,7 @@
 	 * requests that may run twice.
 	 * @param exchange the exchange
 	 */
-	void replaceSilentUpstream(Exchange exchange) {
+	void replaceIdleUpstream(Exchange exchange) {
 		List<RankedUpstream> next = weigh(exchange).stream().filter(this::free).toList();
 		boolean blamed = this.state.poisonRequests.isPoison(exchange.digest());
 		if (next.isEmpty() || blamed || exchange.sendCount() >= exchange.route().maxAttempts()) {
@@ -210,7 +210,7 @@
 		List<PromptPart> prompt = exchange.head().prompt();
 		known.addToCache(prompt, this.state.memory(upstream));
 		exchange.head().turn().ifPresent((turn) -> reserve(exchange, turn, upstream, prompt));
-		if (exchange.route().repeatable() && exchange.markWatched()) {
+		if (exchange.route().repeatable() && exchange.markIdleTimerStarted()) {
 			this.state.idleTimeout.start(exchange);
 		}
 		boolean stream = exchange.route().repeatability() == Repeatability.STREAM;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
@@ -135,12 +135,12 @@
 	 * Looks whether an upstream has been silent for too long.
 	 * @param exchange the exchange
 	 */
-	void checkSilence(Exchange exchange) {
+	void checkIdle(Exchange exchange) {
 		if (exchange.phase() != Phase.RUNNING) {
 			return;
 		}
 		if (this.state.idleTimeout.hasExpired(exchange)) {
-			this.requests.replaceSilentUpstream(exchange);
+			this.requests.replaceIdleUpstream(exchange);
 			this.state.idleTimeout.start(exchange);
 		}
 	}
@@ -154,13 +154,13 @@
 		}
 		else {
 			exchange.markMayHaveRun();
-			blame(exchange, cause);
+			recordPoisonFailure(exchange, cause);
 			this.state.emit(new RelayEffect.CancelAttempt(exchange.number(), exchange.attempt()));
 		}
 		this.requests.retry(exchange);
 	}
 
-	private void blame(Exchange exchange, FailureCause cause) {
+	private void recordPoisonFailure(Exchange exchange, FailureCause cause) {
 		if (cause != FailureCause.BROKEN || exchange.upstream().isEmpty()) {
 			return;
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
@@ -60,7 +60,7 @@
 	boolean hasExpired(Exchange exchange) {
 		long patience = patience(exchange.route());
 		long left = exchange.lastActivityAt() + patience - this.state.now;
-		long late = this.state.now - exchange.nextSilenceCheck();
+		long late = this.state.now - exchange.nextIdleCheck();
 		if (left > 0) {
 			lookAgain(exchange, left);
 			return false;
@@ -81,7 +81,7 @@
 	}
 
 	private void lookAgain(Exchange exchange, long delay) {
-		exchange.nextSilenceCheck(this.state.now + delay);
+		exchange.nextIdleCheck(this.state.now + delay);
 		this.state.startTimer(exchange, Duration.ofMillis(delay), TimerKind.UPSTREAM_IDLE);
 	}
 
