--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
@@ -46,26 +46,26 @@
 	 * @param exchange the exchange
 	 * @return the decision
 	 */
-	Admission admission(Exchange exchange) {
+	Admission admit(Exchange exchange) {
 		OptionalLong budget = exchange.head().turn().map(Turn::budget).orElse(OptionalLong.empty());
 		if (budget.isEmpty()) {
 			return Admission.ADMITTED;
 		}
 		Turn turn = exchange.head().turn().orElseThrow();
-		if (this.state.keepers.known()) {
+		if (this.state.replicas.hasMembers()) {
 			boolean spent = this.state.tokens.spent(turn.program()) + turn.maxTokens() > budget.getAsLong();
-			return spent ? Admission.REFUSED : Admission.CONTENDING;
+			return spent ? Admission.REFUSED : Admission.UNDECIDED;
 		}
-		long taken = this.state.tokens.taken(turn.program()) + missed(turn.maxTokens(), budget.getAsLong());
+		long taken = this.state.tokens.used(turn.program()) + missed(turn.maxTokens(), budget.getAsLong());
 		if (taken + turn.maxTokens() > budget.getAsLong()) {
 			return Admission.REFUSED;
 		}
 		long atOnce = (long) RelaySettings.ASSUMED_CONCURRENT_TURNS * turn.maxTokens();
-		return (taken + atOnce <= boundAlone(turn, budget.getAsLong())) ? Admission.ADMITTED : Admission.CONTENDING;
+		return (taken + atOnce <= boundAlone(turn, budget.getAsLong())) ? Admission.ADMITTED : Admission.UNDECIDED;
 	}
 
 	private long boundAlone(Turn turn, long budget) {
-		if (this.state.reach != Connectivity.LOG) {
+		if (this.state.connectivity != Connectivity.LOG) {
 			return withoutLog(turn.maxTokens(), budget);
 		}
 		return this.state.ledgerComplete ? budget + turn.maxTokens() : budget;
@@ -86,17 +86,17 @@
 	 * @param exchange the exchange
 	 * @return whether the budget holds the turn, or empty if that is not decided yet
 	 */
-	Optional<Boolean> contend(Exchange exchange) {
+	Optional<Boolean> requestDecision(Exchange exchange) {
 		exchange.transitionTo(Phase.WAITING_FOR_BUDGET);
-		if (this.state.reach == Connectivity.NOTHING) {
+		if (this.state.connectivity == Connectivity.NOTHING) {
 			// Refused at once, the caller has time for a relay that can know.
 			this.ends.giveUp(exchange, Refusal.LOG_LOST);
 			return Optional.empty();
 		}
-		if (this.state.keepers.known()) {
+		if (this.state.replicas.hasMembers()) {
 			return askKeepers(exchange);
 		}
-		if (this.state.reach == Connectivity.LOG) {
+		if (this.state.connectivity == Connectivity.LOG) {
 			contendInLog(exchange);
 		}
 		else {
@@ -107,19 +107,19 @@
 
 	private Optional<Boolean> askKeepers(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		List<String> keepers = this.state.keepers.of(turn.program());
-		Poll poll = new Poll(exchange.number(), exchange.id(), keepers);
+		List<String> keepers = this.state.replicas.replicasOf(turn.program());
+		UsagePoll poll = new UsagePoll(exchange.number(), exchange.id(), keepers);
 		hold(exchange, turn, poll);
 		if (keepers.contains(this.state.name)) {
 			if (this.state.upToDate()) {
-				poll.answered(this.state.name, this.state.tokens.taken(turn.program()),
-						this.state.unlogged.tokens(turn.program()));
+				poll.addUsage(this.state.name, this.state.tokens.used(turn.program()),
+						this.state.uncommitted.tokensOf(turn.program()));
 			}
 			else {
-				poll.unsure();
+				poll.unavailable();
 			}
 		}
-		List<String> others = this.state.otherKeepers(turn.program());
+		List<String> others = this.state.otherReplicas(turn.program());
 		if (!others.isEmpty()) {
 			this.state.emit(new RelayEffect.RequestReservation(others, exchange.id(), turn.program(), turn.maxTokens(),
 					turn.budget().orElseThrow()));
@@ -128,7 +128,7 @@
 		return byKeepers(exchange, poll);
 	}
 
-	private void hold(Exchange exchange, Turn turn, Poll poll) {
+	private void hold(Exchange exchange, Turn turn, UsagePoll poll) {
 		exchange.markReserved();
 		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
 		this.state
@@ -136,17 +136,17 @@
 		this.state.polls.put(exchange.id(), poll);
 	}
 
-	private Optional<Boolean> byKeepers(Exchange exchange, Poll poll) {
-		if (!poll.keepersDecide()) {
-			if (poll.keepersCannotDecide()) {
+	private Optional<Boolean> byKeepers(Exchange exchange, UsagePoll poll) {
+		if (!poll.hasReplicaQuorum()) {
+			if (poll.replicaQuorumLost()) {
 				widen(exchange, poll);
 			}
 			return Optional.empty();
 		}
 		Turn turn = exchange.head().turn().orElseThrow();
 		long budget = turn.budget().orElseThrow();
-		boolean log = this.state.reach == Connectivity.LOG;
-		if (log && poll.taken() > budget) {
+		boolean log = this.state.connectivity == Connectivity.LOG;
+		if (log && poll.used() > budget) {
 			decided(exchange, Decider.KEEPERS, false);
 			return Optional.of(false);
 		}
@@ -154,14 +154,14 @@
 		// What the log has not shown is lost with all relays. The log may have been out
 		// of reach for a while before that is found out, so the part that is granted
 		// without it is counted here, wherever it seems to be in reach.
-		long counted = log ? poll.unlogged() : poll.taken();
-		long unseen = poll.unseen(turn.maxTokens());
-		boolean whole = !log || unseen == 0 || poll.taken() + unseen <= budget + turn.maxTokens();
+		long counted = log ? poll.uncommitted() : poll.used();
+		long unseen = poll.maxUnseen(turn.maxTokens());
+		boolean whole = !log || unseen == 0 || poll.used() + unseen <= budget + turn.maxTokens();
 		if (whole && counted + unseen <= part) {
 			decided(exchange, Decider.KEEPERS, true);
 			return Optional.of(true);
 		}
-		if (counted > part || !poll.waitsForMoreReplicas()) {
+		if (counted > part || !poll.awaitsReplicas()) {
 			widen(exchange, poll);
 		}
 		return Optional.empty();
@@ -169,11 +169,11 @@
 
 	// What the keepers can't decide, the log does, and without it the other relays: one
 	// of them may reach it.
-	private void widen(Exchange exchange, Poll poll) {
-		switch (this.state.reach) {
+	private void widen(Exchange exchange, UsagePoll poll) {
+		switch (this.state.connectivity) {
 			case LOG -> {
-				poll.askLog();
-				poll.remind();
+				poll.waitForLog();
+				poll.timerStarted();
 				contendInLog(exchange);
 			}
 			case RELAYS -> askRelays(exchange);
@@ -183,7 +183,7 @@
 
 	private void contendInLog(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		this.state.contending.put(exchange.id(), exchange.number());
+		this.state.conditionalReservations.put(exchange.id(), exchange.number());
 		this.state.write(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), true));
 		this.state.startTimer(exchange, RelaySettings.LOG_DECISION_TIMEOUT, TimerKind.BUDGET_DECISION);
 	}
@@ -199,9 +199,9 @@
 	 */
 	private void askRelays(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		Poll poll = Optional.ofNullable(this.state.polls.get(exchange.id()))
-			.orElseGet(() -> new Poll(exchange.number(), exchange.id(), List.of()));
-		poll.askAll(this.state.name);
+		UsagePoll poll = Optional.ofNullable(this.state.polls.get(exchange.id()))
+			.orElseGet(() -> new UsagePoll(exchange.number(), exchange.id(), List.of()));
+		poll.waitForAllRelays(this.state.name);
 		exchange.markReservedOnAll();
 		hold(exchange, turn, poll);
 		this.state.write(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), false));
@@ -210,8 +210,8 @@
 		remind(exchange, poll, RelaySettings.QUORUM_TIMEOUT);
 	}
 
-	private void remind(Exchange exchange, Poll poll, Duration delay) {
-		poll.remind();
+	private void remind(Exchange exchange, UsagePoll poll, Duration delay) {
+		poll.timerStarted();
 		this.state.startTimer(exchange, delay, TimerKind.BUDGET_DECISION);
 	}
 
@@ -221,25 +221,26 @@
 	 * asked before the turn is given up.
 	 * @param exchange the exchange
 	 */
-	void orderDue(Exchange exchange) {
+	void decisionTimedOut(Exchange exchange) {
 		if (exchange.phase() != Phase.WAITING_FOR_BUDGET) {
 			return;
 		}
-		Poll poll = this.state.polls.get(exchange.id());
+		UsagePoll poll = this.state.polls.get(exchange.id());
 		// An answer may have ended the waiting that a reminder is of: taken for the next
 		// one's, the log would hardly have its time, and all relays would be asked.
-		if (poll != null && !poll.lastReminder()) {
+		if (poll != null && !poll.timerFired()) {
 			return;
 		}
-		if (poll != null && poll.stage() == Poll.Stage.KEEPERS) {
+		if (poll != null && poll.stage() == UsagePoll.Stage.REPLICAS) {
 			widen(exchange, poll);
 			return;
 		}
-		if ((poll == null || poll.stage() == Poll.Stage.LOG) && this.state.reach != Connectivity.NOTHING) {
+		if ((poll == null || poll.stage() == UsagePoll.Stage.LOG) && this.state.connectivity != Connectivity.NOTHING) {
 			askRelays(exchange);
 			return;
 		}
-		if (poll != null && (poll.log() || this.state.reach == Connectivity.LOG) && poll.extend()) {
+		if (poll != null && (poll.logReachable() || this.state.connectivity == Connectivity.LOG)
+				&& poll.extendTimeout()) {
 			askPlace(exchange, poll);
 			remind(exchange, poll, RelaySettings.FINAL_LOG_DECISION_TIMEOUT);
 			return;
@@ -253,9 +254,9 @@
 	 * @param exchange the exchange
 	 * @return why the turn is refused, or empty if its budget holds it
 	 */
-	Optional<Refusal> ordered(Exchange exchange) {
+	Optional<Refusal> decideInLogOrder(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		Optional<Poll> poll = Optional.ofNullable(this.state.polls.get(exchange.id()));
+		Optional<UsagePoll> poll = Optional.ofNullable(this.state.polls.get(exchange.id()));
 		boolean held = holds(exchange.id(), turn.program(), turn.maxTokens(), turn.budget().orElseThrow());
 		boolean sure = poll.isEmpty() || sure(poll.get(), turn);
 		exchange.markReserved();
@@ -271,63 +272,63 @@
 	// moment later. One keeper that answered knows of them; where none has, as many may
 	// be missing as begin at once. The caller is told to come back then, not that the
 	// budget is spent.
-	private boolean sure(Poll poll, Turn turn) {
+	private boolean sure(UsagePoll poll, Turn turn) {
 		long budget = turn.budget().orElseThrow();
-		if (poll.seesKeepers()) {
-			return poll.taken() <= budget;
+		if (poll.coversReplicaDecisions()) {
+			return poll.used() <= budget;
 		}
 		long atOnce = (long) RelaySettings.ASSUMED_CONCURRENT_TURNS * turn.maxTokens();
-		return this.state.tokens.takenWithout(turn.program(), poll.request()) + atOnce <= budget + turn.maxTokens();
+		return this.state.tokens.usedExcluding(turn.program(), poll.request()) + atOnce <= budget + turn.maxTokens();
 	}
 
 	private boolean holds(String request, String program, int most, long budget) {
-		return this.state.tokens.takenWithout(program, request) + missed(most, budget) + most <= budget;
+		return this.state.tokens.usedExcluding(program, request) + missed(most, budget) + most <= budget;
 	}
 
 	/**
 	 * Takes another relay's answer to a question of this one.
-	 * @param told the answer
+	 * @param usageReceived the answer
 	 * @return whether the budget holds the turn, or empty if that is not decided yet
 	 */
-	Optional<Boolean> told(RelayEvent.UsageReceived told) {
-		Poll poll = this.state.polls.get(told.request());
-		if (poll == null || poll.stage() == Poll.Stage.LOG) {
+	Optional<Boolean> usageReceived(RelayEvent.UsageReceived told) {
+		UsagePoll poll = this.state.polls.get(told.request());
+		if (poll == null || poll.stage() == UsagePoll.Stage.LOG) {
 			return Optional.empty();
 		}
 		Exchange exchange = this.state.exchanges.get(poll.exchange());
-		poll.answered(told.peer(), told.tokens(), told.uncommitted());
-		return (poll.stage() == Poll.Stage.KEEPERS) ? byKeepers(exchange, poll) : byRelays(exchange, poll, told);
+		poll.addUsage(told.peer(), told.tokens(), told.uncommitted());
+		return (poll.stage() == UsagePoll.Stage.REPLICAS) ? byKeepers(exchange, poll) : byRelays(exchange, poll, told);
 	}
 
 	/**
 	 * Takes that another relay can't answer a question of this one.
-	 * @param unsure what it said
+	 * @param usageUnavailable what it said
 	 */
-	void unsure(RelayEvent.UsageUnavailable unsure) {
-		Poll poll = this.state.polls.get(unsure.request());
-		if (poll != null && poll.stage() == Poll.Stage.KEEPERS) {
-			poll.unsure();
+	void usageUnavailable(RelayEvent.UsageUnavailable unsure) {
+		UsagePoll poll = this.state.polls.get(unsure.request());
+		if (poll != null && poll.stage() == UsagePoll.Stage.REPLICAS) {
+			poll.unavailable();
 			byKeepers(this.state.exchanges.get(poll.exchange()), poll);
 		}
 	}
 
-	private Optional<Boolean> byRelays(Exchange exchange, Poll poll, RelayEvent.UsageReceived told) {
+	private Optional<Boolean> byRelays(Exchange exchange, UsagePoll poll, RelayEvent.UsageReceived told) {
 		// Where one reaches the log, others may give turns there that no majority knows
 		// of, so the log decides for all. One relay is asked for a place, since each call
 		// of the log is priced; if it does not answer, the next one is.
 		if (told.logReachable()) {
-			boolean first = !poll.log();
-			poll.reachesLog(told.peer());
+			boolean first = !poll.logReachable();
+			poll.addLogRelay(told.peer());
 			if (first) {
 				askPlace(exchange, poll);
 			}
 		}
-		if (poll.log() || !poll.allDecide(told.otherRelays())) {
+		if (poll.logReachable() || !poll.hasRelayMajority(told.otherRelays())) {
 			return Optional.empty();
 		}
 		Turn turn = exchange.head().turn().orElseThrow();
 		long budget = turn.budget().orElseThrow();
-		long taken = Math.max(poll.taken(), this.state.tokens.taken(turn.program())) + missed(turn.maxTokens(), budget);
+		long taken = Math.max(poll.used(), this.state.tokens.used(turn.program())) + missed(turn.maxTokens(), budget);
 		boolean held = taken <= withoutLog(turn.maxTokens(), budget);
 		decided(exchange, Decider.MAJORITY, held);
 		return Optional.of(held);
@@ -335,11 +336,11 @@
 
 	/**
 	 * Takes what another relay read from the log of a turn of this one.
-	 * @param told what it read
+	 * @param usageReceived what it read
 	 * @return the exchange of the turn, or empty if it is decided already
 	 */
-	Optional<Exchange> placeTold(RelayEvent.LogDecisionReceived told) {
-		Poll poll = this.state.polls.get(told.request());
+	Optional<Exchange> logDecisionReceived(RelayEvent.LogDecisionReceived told) {
+		UsagePoll poll = this.state.polls.get(told.request());
 		if (poll == null) {
 			return Optional.empty();
 		}
@@ -352,63 +353,63 @@
 	 * Returns whether the keepers of a program leave room for a turn that has a place in
 	 * the log. The relay that got it the place need not be one of them, and what relays
 	 * without the log have given is not there.
-	 * @param told what the other relay read
+	 * @param usageReceived what the other relay read
 	 * @return whether they do, as far as they answered
 	 */
-	boolean leavesRoom(RelayEvent.LogDecisionReceived told) {
-		Poll poll = this.state.polls.get(told.request());
-		if (poll == null || !poll.keepersKnown()) {
+	boolean fitsReplicaUsage(RelayEvent.LogDecisionReceived told) {
+		UsagePoll poll = this.state.polls.get(told.request());
+		if (poll == null || !poll.hasReplicas()) {
 			return true;
 		}
 		Turn turn = this.state.exchanges.get(poll.exchange()).head().turn().orElseThrow();
-		return poll.taken() <= turn.budget().orElseThrow();
+		return poll.used() <= turn.budget().orElseThrow();
 	}
 
-	private void askPlace(Exchange exchange, Poll poll) {
+	private void askPlace(Exchange exchange, UsagePoll poll) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		poll.nextPlacer()
+		poll.nextLogRelay()
 			.ifPresent((relay) -> this.state.emit(new RelayEffect.RequestLogReservation(relay, exchange.id(),
 					turn.program(), turn.maxTokens(), turn.budget().orElseThrow())));
 	}
 
 	private void decided(Exchange exchange, Decider by, boolean held) {
-		Poll poll = this.state.polls.remove(exchange.id());
-		this.state.contending.remove(exchange.id());
+		UsagePoll poll = this.state.polls.remove(exchange.id());
+		this.state.conditionalReservations.remove(exchange.id());
 		if (by == Decider.KEEPERS && held) {
 			// The ordinary case, which the placing of the turn tells.
 			return;
 		}
 		this.state
-			.report(RelayNotices.turnDecided(exchange, by, (poll != null) ? poll.answers() : 0, held, this.state));
+			.report(RelayNotices.turnDecided(exchange, by, (poll != null) ? poll.responders() : 0, held, this.state));
 	}
 
 	/**
 	 * Answers another relay's question: holds its turn back, and says what is taken. One
 	 * that may miss turns itself says so: it would tell less than is taken. One that
 	 * reaches the log gets the turn a place there if it is asked to.
-	 * @param asked the question
+	 * @param reservationRequested the question
 	 */
-	void asked(RelayEvent.ReservationRequested asked) {
+	void reservationRequested(RelayEvent.ReservationRequested asked) {
 		if (asked.throughLog()) {
 			if (this.state.upToDate()) {
-				this.state.placing.put(asked.request(), asked);
+				this.state.proxiedReservations.put(asked.request(), asked);
 				this.state
 					.write(new Reserved(asked.request(), asked.program(), asked.maxTokens(), "", List.of(), true));
 			}
 			return;
 		}
 		this.state.tokens.reserve(asked.program(), asked.request(), asked.maxTokens());
-		this.state.unlogged.told(
+		this.state.uncommitted.add(
 				new Reserved(asked.request(), asked.program(), asked.maxTokens(), "", List.of(), false), asked.peer(),
 				asked.now());
 		if (!this.state.upToDate()) {
 			this.state.emit(new RelayEffect.SendUsageUnavailable(asked.peer(), asked.request()));
 			return;
 		}
-		boolean log = this.state.reach == Connectivity.LOG;
+		boolean log = this.state.connectivity == Connectivity.LOG;
 		this.state.emit(new RelayEffect.SendUsage(asked.peer(), asked.request(),
-				this.state.tokens.taken(asked.program()), this.state.unlogged.tokens(asked.program()), log,
-				log ? List.of() : this.state.unlogged.of(asked.program()),
+				this.state.tokens.used(asked.program()), this.state.uncommitted.tokensOf(asked.program()), log,
+				log ? List.of() : this.state.uncommitted.entriesOf(asked.program()),
 				this.state.upstreams.recentLoads(asked.now())));
 	}
 
@@ -416,8 +417,8 @@
 	 * Takes a place in the log, which may be one that this relay got for another.
 	 * @param reserved what stands there
 	 */
-	void placed(Reserved reserved) {
-		RelayEvent.ReservationRequested asked = this.state.placing.remove(reserved.request());
+	void reservationCommitted(Reserved reserved) {
+		RelayEvent.ReservationRequested asked = this.state.proxiedReservations.remove(reserved.request());
 		if (asked != null) {
 			boolean held = holds(asked.request(), asked.program(), asked.maxTokens(), asked.budget());
 			this.state.emit(new RelayEffect.SendLogDecision(asked.peer(), asked.request(), held));
@@ -437,7 +438,7 @@
 		/**
 		 * The log's order decides, or other relays.
 		 */
-		CONTENDING,
+		UNDECIDED,
 
 		/**
 		 * Its program's budget does not hold it.
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/DuplicateEntryCounter.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/DuplicateEntryCounter.java
@@ -24,7 +24,7 @@
 		return switch (entry) {
 			case LedgerEntry.Reserved ignored -> Kind.RESERVED;
 			case LedgerEntry.Settled ignored -> Kind.SETTLED;
-			case LedgerEntry.Blamed ignored -> Kind.BLAMED;
+			case LedgerEntry.UpstreamFailed ignored -> Kind.BLAMED;
 		};
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeCompletion.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeCompletion.java
@@ -72,7 +72,7 @@
 		this.state.exchanges.remove(exchange.number());
 		this.state.awaitingChain.remove(exchange.number());
 		this.state.pendingTurns.remove(exchange.id());
-		this.state.contending.remove(exchange.id());
+		this.state.conditionalReservations.remove(exchange.id());
 		this.state.polls.remove(exchange.id());
 	}
 
@@ -93,7 +93,7 @@
 		LedgerEntry.Settled settled = settlement(exchange, text);
 		this.state.tokens.settle(settled.program(), settled.request(), settled.tokens());
 		this.state.write(settled,
-				exchange.reservedOnAll() ? this.state.otherRelays() : this.state.otherKeepers(settled.program()));
+				exchange.reservedOnAll() ? this.state.otherRelays() : this.state.otherReplicas(settled.program()));
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerEntry.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerEntry.java
@@ -21,11 +21,11 @@
 	 * Returns the program that the entry is about.
 	 * @return the program, or empty if it is about none
 	 */
-	default Optional<String> ofProgram() {
+	default Optional<String> findProgram() {
 		return switch (this) {
 			case Reserved reserved -> Optional.of(reserved.program());
 			case Settled settled -> Optional.of(settled.program());
-			case Blamed ignored -> Optional.empty();
+			case UpstreamFailed ignored -> Optional.empty();
 		};
 	}
 
@@ -41,8 +41,8 @@
 	 * @param contending whether the turn runs only if the log's order leaves enough of
 	 * the budget for it; otherwise it runs already
 	 */
-	record Reserved(String request, String program, int tokens, String upstream, List<PromptPart> prompt,
-			boolean contending) implements LedgerEntry {
+	record Reserved(String request, String program, int maxTokens, String upstream, List<PromptPart> prompt,
+			boolean conditional) implements LedgerEntry {
 
 		/**
 		 * Creates an entry.
@@ -68,7 +68,8 @@
 	 * @param tokens the tokens that the caller was given
 	 * @param text where the turn's text is, if later turns may continue from it
 	 */
-	record Settled(String request, String program, int tokens, Optional<TextLocation> text) implements LedgerEntry {
+	record Settled(String request, String program, int tokens,
+			Optional<TextLocation> textLocation) implements LedgerEntry {
 
 	}
 
@@ -79,7 +80,7 @@
 	 * @param digest the digest of the request's content, the same for each resend
 	 * @param upstream the life of the upstream
 	 */
-	record Blamed(String request, long digest, String upstream) implements LedgerEntry {
+	record UpstreamFailed(String request, long digest, String upstream) implements LedgerEntry {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
@@ -26,14 +26,15 @@
 		this.ends = ends;
 	}
 
-	void entriesRead(RelayEvent.EntriesReceived read) {
+	void entriesReceived(RelayEvent.EntriesReceived read) {
 		for (LedgerEntry entry : read.entries()) {
 			read.sender()
-				.ifPresentOrElse((teller) -> this.state.unlogged.told(entry, teller, read.now()), () -> logged(entry));
+				.ifPresentOrElse((teller) -> this.state.uncommitted.add(entry, teller, read.now()),
+						() -> logged(entry));
 			switch (entry) {
 				case LedgerEntry.Reserved reserved -> reserved(reserved, read.fromLog());
 				case LedgerEntry.Settled settled -> settledElsewhere(settled, read.sender());
-				case LedgerEntry.Blamed blamed ->
+				case LedgerEntry.UpstreamFailed blamed ->
 					this.state.poisonRequests.recordFailure(blamed.digest(), blamed.upstream());
 			}
 		}
@@ -45,7 +46,7 @@
 	}
 
 	private void logged(LedgerEntry entry) {
-		if (this.state.unlogged.logged(entry)) {
+		if (this.state.uncommitted.committed(entry)) {
 			this.copies.add(entry);
 		}
 	}
@@ -58,19 +59,19 @@
 		this.ends.giveUp(exchange, otherwise);
 	}
 
-	void takenTold(RelayEvent.UsageReceived told) {
-		Poll poll = this.state.polls.get(told.request());
-		this.budgets.told(told)
-			.ifPresent((held) -> dispatchIf(this.state.exchanges.get(poll.exchange()), held, poll.otherwise()));
+	void usageReceived(RelayEvent.UsageReceived told) {
+		UsagePoll poll = this.state.polls.get(told.request());
+		this.budgets.usageReceived(told)
+			.ifPresent((held) -> dispatchIf(this.state.exchanges.get(poll.exchange()), held, poll.refusal()));
 	}
 
-	void takenUnsure(RelayEvent.UsageUnavailable unsure) {
-		this.budgets.unsure(unsure);
+	void usageUnavailable(RelayEvent.UsageUnavailable unsure) {
+		this.budgets.usageUnavailable(unsure);
 	}
 
-	void placeTold(RelayEvent.LogDecisionReceived told) {
-		boolean held = told.admitted() && this.budgets.leavesRoom(told);
-		this.budgets.placeTold(told)
+	void logDecisionReceived(RelayEvent.LogDecisionReceived told) {
+		boolean held = told.admitted() && this.budgets.fitsReplicaUsage(told);
+		this.budgets.logDecisionReceived(told)
 			.ifPresent((exchange) -> dispatchIf(exchange, held,
 					told.admitted() ? Refusal.LOG_LOST : Refusal.BUDGET_SPENT));
 	}
@@ -91,11 +92,11 @@
 
 	private void adopt() {
 		if (this.state.now - this.state.logReadAt > RelaySettings.LOG_OUTAGE_THRESHOLD.toMillis()) {
-			this.state.unlogged.logBack(this.state.now);
+			this.state.uncommitted.restartTimeouts(this.state.now);
 		}
 		this.state.logReadAt = this.state.now;
-		List<LedgerEntry> overdue = this.state.unlogged.overdue(this.state.name, this.state.linkedPeers, this::holders,
-				this.state.now);
+		List<LedgerEntry> overdue = this.state.uncommitted.takeOverdue(this.state.name, this.state.linkedPeers,
+				this::holders, this.state.now);
 		overdue.forEach(this.state::write);
 		if (!overdue.isEmpty()) {
 			this.state.report(RelayNotices.entriesAdopted(overdue.size()));
@@ -103,29 +104,30 @@
 	}
 
 	private List<String> holders(LedgerEntry entry) {
-		return entry.ofProgram().map(this.state.keepers::of).orElse(List.of());
+		return entry.findProgram().map(this.state.replicas::replicasOf).orElse(List.of());
 	}
 
 	private void reserved(LedgerEntry.Reserved reserved, boolean fromLog) {
 		if (fromLog) {
-			this.budgets.placed(reserved);
+			this.budgets.reservationCommitted(reserved);
 		}
-		Long own = this.state.contending.remove((fromLog && reserved.contending()) ? reserved.request() : "");
+		Long own = this.state.conditionalReservations
+			.remove((fromLog && reserved.conditional()) ? reserved.request() : "");
 		if (own != null) {
 			Exchange exchange = this.state.exchanges.get(own);
-			this.budgets.ordered(exchange)
+			this.budgets.decideInLogOrder(exchange)
 				.ifPresentOrElse((refusal) -> this.ends.giveUp(exchange, refusal),
 						() -> this.requests.dispatch(exchange));
 			return;
 		}
-		if (!reserved.contending() || fromLog) {
+		if (!reserved.conditional() || fromLog) {
 			reservedElsewhere(reserved);
 		}
 	}
 
 	private void reservedElsewhere(LedgerEntry.Reserved reserved) {
-		this.state.tokens.reserve(reserved.program(), reserved.request(), reserved.tokens());
-		if (this.state.tokens.open(reserved.program(), reserved.request())) {
+		this.state.tokens.reserve(reserved.program(), reserved.request(), reserved.maxTokens());
+		if (this.state.tokens.isOpen(reserved.program(), reserved.request())) {
 			this.state.upstreams.findIncarnation(reserved.upstream()).ifPresent((known) -> {
 				this.state.upstreams.requestStarted(reserved.request(), known, this.state.now);
 				known.addToCache(reserved.prompt(), this.state.memory(known.upstream()));
@@ -135,7 +137,8 @@
 
 	private void settledElsewhere(LedgerEntry.Settled settled, Optional<String> teller) {
 		this.state.tokens.settle(settled.program(), settled.request(), settled.tokens());
-		settled.text().ifPresent((place) -> this.state.turnCache.recordLocation(settled.request(), place, teller));
+		settled.textLocation()
+			.ifPresent((place) -> this.state.turnCache.recordLocation(settled.request(), place, teller));
 		this.state.upstreams.requestEnded(settled.request());
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Keepers.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramReplicas.java
@@ -16,24 +16,24 @@
  * other (rendezvous hashing), and a member that comes or goes moves only the programs
  * that it keeps. Relays with more processor keep more. Used by one thread.
  */
-final class Keepers {
+final class ProgramReplicas {
 
 	/**
 	 * How many relays keep a program: with three, any two majorities share one, and one
 	 * may be lost or late.
 	 */
-	static final int COUNT = 3;
+	static final int REPLICATION_FACTOR = 3;
 
 	/**
 	 * How many programs' keepers are remembered: those whose turns come now, at a large
 	 * site.
 	 */
-	private static final int REMEMBERED = 4096;
+	private static final int CACHE_SIZE = 4096;
 
-	private final Map<String, List<String>> remembered = new LinkedHashMap<>(64, 0.75f, true) {
+	private final Map<String, List<String>> cache = new LinkedHashMap<>(64, 0.75f, true) {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, List<String>> eldest) {
-			return size() > REMEMBERED;
+			return size() > CACHE_SIZE;
 		}
 	};
 
@@ -43,17 +43,17 @@
 
 	/**
 	 * Takes the members.
-	 * @param listed the members
+	 * @param updated the members
 	 * @return whether they are others than before
 	 */
-	boolean list(List<Member> listed) {
-		if (this.members.equals(listed)) {
+	boolean update(List<Member> updated) {
+		if (this.members.equals(updated)) {
 			return false;
 		}
-		this.members = List.copyOf(listed);
-		this.remembered.clear();
+		this.members = List.copyOf(updated);
+		this.cache.clear();
 		Set<String> known = new HashSet<>();
-		listed.forEach((member) -> known.add(member.address()));
+		updated.forEach((member) -> known.add(member.address()));
 		this.addresses = Set.copyOf(known);
 		return true;
 	}
@@ -62,11 +62,11 @@
 	 * Returns whether any members are known.
 	 * @return whether they are
 	 */
-	boolean known() {
+	boolean hasMembers() {
 		return !this.members.isEmpty();
 	}
 
-	Set<String> all() {
+	Set<String> addresses() {
 		return this.addresses;
 	}
 
@@ -75,7 +75,7 @@
 	 * @param address its address
 	 * @return whether it is
 	 */
-	boolean knows(String address) {
+	boolean contains(String address) {
 		return this.addresses.contains(address);
 	}
 
@@ -86,29 +86,29 @@
 	 * @param program the program
 	 * @return the addresses; empty while no members are known
 	 */
-	List<String> of(String program) {
-		return this.remembered.computeIfAbsent(program, this::choose);
+	List<String> replicasOf(String program) {
+		return this.cache.computeIfAbsent(program, this::selectReplicas);
 	}
 
-	private List<String> choose(String program) {
+	private List<String> selectReplicas(String program) {
 		List<Scored> ranked = new ArrayList<>(this.members.size());
 		for (Member member : this.members) {
 			ranked.add(new Scored(member, score(program, member)));
 		}
 		ranked.sort(Comparator.comparingDouble(Scored::score).thenComparing((scored) -> scored.member().address()));
-		List<String> chosen = new ArrayList<>(COUNT);
+		List<String> selected = new ArrayList<>(REPLICATION_FACTOR);
 		Set<String> zones = new HashSet<>();
 		for (Scored next : ranked) {
-			if (chosen.size() < COUNT && zones.add(next.member().zone())) {
-				chosen.add(next.member().address());
+			if (selected.size() < REPLICATION_FACTOR && zones.add(next.member().zone())) {
+				selected.add(next.member().address());
 			}
 		}
 		for (Scored next : ranked) {
-			if (chosen.size() < COUNT && !chosen.contains(next.member().address())) {
-				chosen.add(next.member().address());
+			if (selected.size() < REPLICATION_FACTOR && !selected.contains(next.member().address())) {
+				selected.add(next.member().address());
 			}
 		}
-		return chosen;
+		return selected;
 	}
 
 	// Exponentially distributed with the weight as its rate: the smallest of several is a
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramTokens.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramTokens.java
@@ -14,12 +14,12 @@
  */
 final class ProgramTokens {
 
-	private final int bound;
+	private final int maxPrograms;
 
 	private final LinkedHashMap<String, Account> accounts = new LinkedHashMap<>(64, 0.75f, true);
 
 	ProgramTokens(int bound) {
-		this.bound = bound;
+		this.maxPrograms = bound;
 	}
 
 	/**
@@ -27,9 +27,9 @@
 	 * @param program the program
 	 * @return the tokens
 	 */
-	long taken(String program) {
+	long used(String program) {
 		Account account = this.accounts.get(program);
-		return (account != null) ? account.spent + account.held : 0;
+		return (account != null) ? account.spent + account.reserved : 0;
 	}
 
 	/**
@@ -49,12 +49,12 @@
 	 * @param request the turn
 	 * @return the tokens
 	 */
-	long takenWithout(String program, String request) {
+	long usedExcluding(String program, String request) {
 		Account account = this.accounts.get(program);
 		if (account == null) {
 			return 0;
 		}
-		return account.spent + account.held - Math.max(0, account.turns.getOrDefault(request, 0));
+		return account.spent + account.reserved - Math.max(0, account.turns.getOrDefault(request, 0));
 	}
 
 	/**
@@ -66,7 +66,7 @@
 	void reserve(String program, String request, int tokens) {
 		Account account = account(program);
 		if (account.turns.putIfAbsent(request, tokens) == null) {
-			account.held += tokens;
+			account.reserved += tokens;
 		}
 	}
 
@@ -76,7 +76,7 @@
 	 * @param request the turn
 	 * @return whether it is
 	 */
-	boolean open(String program, String request) {
+	boolean isOpen(String program, String request) {
 		Account account = this.accounts.get(program);
 		return account != null && account.turns.getOrDefault(request, Account.SETTLED) != Account.SETTLED;
 	}
@@ -87,7 +87,7 @@
 		if (held != null && held == Account.SETTLED) {
 			return;
 		}
-		account.held -= (held != null) ? held : 0;
+		account.reserved -= (held != null) ? held : 0;
 		account.spent += tokens;
 	}
 
@@ -97,7 +97,7 @@
 
 	private Account account(String program) {
 		Account account = this.accounts.computeIfAbsent(program, (key) -> new Account());
-		if (this.accounts.size() > this.bound) {
+		if (this.accounts.size() > this.maxPrograms) {
 			this.accounts.pollFirstEntry();
 		}
 		return account;
@@ -114,7 +114,7 @@
 
 		private long spent;
 
-		private long held;
+		private long reserved;
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -183,7 +183,7 @@
 	}
 
 	private List<String> counting(String team) {
-		return this.state.keepers.known() ? this.state.keepers.of(team) : List.of(this.state.name);
+		return this.state.replicas.hasMembers() ? this.state.replicas.replicasOf(team) : List.of(this.state.name);
 	}
 
 	private Optional<Quota> quota(String team) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
@@ -59,7 +59,7 @@
 			case RelayEvent.CallerDisconnected left -> this.state.find(left).ifPresent(this.ends::callerDisconnected);
 			case RelayEvent.TimerFired reminded ->
 				this.state.find(reminded).ifPresent((exchange) -> reminded(exchange, reminded.timer()));
-			case RelayEvent.EntriesReceived read -> this.ledger.entriesRead(read);
+			case RelayEvent.EntriesReceived read -> this.ledger.entriesReceived(read);
 			case RelayEvent.ProcessResumed woken -> {
 				this.quotas.processResumed();
 				this.site.processResumed(woken.pause());
@@ -82,19 +82,19 @@
 				this.texts.textRead(read);
 				this.requests.dispatchWaiting();
 			}
-			case RelayEvent.ReservationRequested asked -> this.budgets.asked(asked);
-			case RelayEvent.UsageReceived told -> this.ledger.takenTold(told);
-			case RelayEvent.UsageUnavailable unsure -> this.ledger.takenUnsure(unsure);
+			case RelayEvent.ReservationRequested asked -> this.budgets.reservationRequested(asked);
+			case RelayEvent.UsageReceived told -> this.ledger.usageReceived(told);
+			case RelayEvent.UsageUnavailable unsure -> this.ledger.usageUnavailable(unsure);
 			case RelayEvent.LoadsReceived told -> this.state.upstreams.mergeLoads(told.loads(), event.now());
 			case RelayEvent.MembershipUpdated read -> {
-				if (this.state.keepers.list(read.members())) {
+				if (this.state.replicas.update(read.members())) {
 					this.quotas.membershipUpdated();
 				}
 			}
 			case RelayEvent.PermitsRequested asked -> this.quotas.permitsRequested(asked);
 			case RelayEvent.PermitsGranted granted -> this.quotas.permitsGranted(granted);
 			case RelayEvent.SyncRequested asked -> this.site.sendSync(asked.peer());
-			case RelayEvent.LogDecisionReceived told -> this.ledger.placeTold(told);
+			case RelayEvent.LogDecisionReceived told -> this.ledger.logDecisionReceived(told);
 			case RelayEvent.PeerConnected linked -> this.site.peerConnected(linked.peer());
 			case RelayEvent.SyncCompleted told -> this.site.syncReceived(told.peer(), told.otherRelays());
 			case RelayEvent.ListenerStarted opened -> this.state.name = opened.name();
@@ -124,7 +124,7 @@
 			case DEADLINE -> this.ends.deadlineExceeded(exchange);
 			case CHAIN_LOOKUP -> this.texts.chainTimedOut(exchange);
 			case TEXT_FETCH -> this.texts.textsTimedOut(exchange);
-			case BUDGET_DECISION -> this.budgets.orderDue(exchange);
+			case BUDGET_DECISION -> this.budgets.decisionTimedOut(exchange);
 			case LOG_WRITE -> this.texts.storeTimedOut(exchange);
 			case UPSTREAM_IDLE -> this.answers.checkIdle(exchange);
 			case PERMIT -> this.quotas.timerFired(exchange);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
@@ -203,7 +203,7 @@
 	// What the relay believes to be spent or held back of the budget that follows.
 	private static NoticeField tokens(Exchange exchange, RelayState state) {
 		return field(FieldName.TOKENS,
-				exchange.head().turn().map((turn) -> state.tokens.taken(turn.program())).orElse(0L));
+				exchange.head().turn().map((turn) -> state.tokens.used(turn.program())).orElse(0L));
 	}
 
 	private static NoticeField budget(Exchange exchange) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
@@ -39,12 +39,12 @@
 
 	final Upstreams upstreams = new Upstreams();
 
-	final UnloggedEntries unlogged;
+	final UncommittedEntries uncommitted;
 
 	/**
 	 * Which relays keep which program.
 	 */
-	final Keepers keepers = new Keepers();
+	final ProgramReplicas replicas = new ProgramReplicas();
 
 	final UpstreamIdleTimeout idleTimeout = new UpstreamIdleTimeout(this);
 
@@ -65,18 +65,18 @@
 	/**
 	 * The exchanges that wait for their place in the log, by request.
 	 */
-	final Map<String, Long> contending = new LinkedHashMap<>();
+	final Map<String, Long> conditionalReservations = new LinkedHashMap<>();
 
 	/**
 	 * The questions of this relay that are not decided yet, by request.
 	 */
-	final Map<String, Poll> polls = new LinkedHashMap<>();
+	final Map<String, UsagePoll> polls = new LinkedHashMap<>();
 
 	/**
 	 * The questions of other relays whose turns get a place in the log here, by request.
 	 * Bounded: the oldest are given up, and their relays ask elsewhere.
 	 */
-	final Map<String, RelayEvent.ReservationRequested> placing = new LinkedHashMap<>() {
+	final Map<String, RelayEvent.ReservationRequested> proxiedReservations = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, RelayEvent.ReservationRequested> eldest) {
 			return size() > RelaySettings.MAX_PROXIED_RESERVATIONS;
@@ -153,7 +153,7 @@
 	 */
 	boolean ledgerComplete;
 
-	Connectivity reach = Connectivity.LOG;
+	Connectivity connectivity = Connectivity.LOG;
 
 	boolean ready;
 
@@ -171,7 +171,7 @@
 		this.turnCache = new TurnCache(settings.turnCacheBytes());
 		this.ledgerComplete = settings.bootstrap();
 		this.random = new SplittableRandom(settings.seed());
-		this.unlogged = new UnloggedEntries(this.random.nextLong(RelaySettings.ADOPTION_JITTER.toMillis()));
+		this.uncommitted = new UncommittedEntries(this.random.nextLong(RelaySettings.ADOPTION_JITTER.toMillis()));
 		this.upstreamSelector = new UpstreamSelector(settings.zone(), this.random);
 	}
 
@@ -194,7 +194,7 @@
 	 * @param program the program
 	 */
 	void writeAndReplicate(LedgerEntry entry, String program) {
-		write(entry, otherKeepers(program));
+		write(entry, otherReplicas(program));
 	}
 
 	/**
@@ -202,9 +202,9 @@
 	 * @param entry the entry
 	 * @param report the relays
 	 */
-	void write(LedgerEntry entry, List<String> tell) {
+	void write(LedgerEntry entry, List<String> replicas) {
 		recordUncommitted(entry);
-		emit(new RelayEffect.AppendEntry(entry, tell));
+		emit(new RelayEffect.AppendEntry(entry, replicas));
 	}
 
 	/**
@@ -213,17 +213,17 @@
 	 * @param entry the entry
 	 */
 	void recordUncommitted(LedgerEntry entry) {
-		if (!(entry instanceof LedgerEntry.Reserved reserved) || !reserved.contending()) {
-			this.unlogged.told(entry, this.name, this.now);
+		if (!(entry instanceof LedgerEntry.Reserved reserved) || !reserved.conditional()) {
+			this.uncommitted.add(entry, this.name, this.now);
 		}
 	}
 
-	List<String> otherKeepers(String program) {
-		return withoutOwn(this.keepers.of(program));
+	List<String> otherReplicas(String program) {
+		return withoutOwn(this.replicas.replicasOf(program));
 	}
 
 	List<String> otherRelays() {
-		return withoutOwn(this.keepers.all());
+		return withoutOwn(this.replicas.addresses());
 	}
 
 	private List<String> withoutOwn(Collection<String> relays) {
@@ -237,7 +237,7 @@
 	 * @return whether it is
 	 */
 	boolean membershipKnown() {
-		return this.keepers.known() || this.name.isEmpty();
+		return this.replicas.hasMembers() || this.name.isEmpty();
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
@@ -101,7 +101,7 @@
 		// A relay that reaches nobody can't see what a program spends elsewhere, and
 		// would give it more than its budget. Refused here, the caller goes to a relay
 		// that can see.
-		if (this.state.reach == Connectivity.NOTHING) {
+		if (this.state.connectivity == Connectivity.NOTHING) {
 			this.ends.refuse(exchange, Refusal.ISOLATED, Optional.of(RelaySettings.RETRY_AFTER));
 			return true;
 		}
@@ -125,13 +125,13 @@
 	void dispatch(Exchange exchange) {
 		this.state.awaitingChain.remove(exchange.number());
 		if (!exchange.reserved()) {
-			switch (this.budgets.admission(exchange)) {
+			switch (this.budgets.admit(exchange)) {
 				case REFUSED -> {
 					this.ends.refuse(exchange, Refusal.BUDGET_SPENT, Optional.empty());
 					return;
 				}
-				case CONTENDING -> {
-					Optional<Boolean> held = this.budgets.contend(exchange);
+				case UNDECIDED -> {
+					Optional<Boolean> held = this.budgets.requestDecision(exchange);
 					if (held.isEmpty()) {
 						return;
 					}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
@@ -166,8 +166,9 @@
 		}
 		String upstream = exchange.upstream().get().incarnationId();
 		this.state.poisonRequests.recordFailure(exchange.digest(), upstream);
-		this.state.emit(new RelayEffect.AppendEntry(new LedgerEntry.Blamed(exchange.id(), exchange.digest(), upstream),
-				List.copyOf(this.state.linkedPeers)));
+		this.state.emit(
+				new RelayEffect.AppendEntry(new LedgerEntry.UpstreamFailed(exchange.id(), exchange.digest(), upstream),
+						List.copyOf(this.state.linkedPeers)));
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
@@ -33,7 +33,7 @@
 			lookWhetherComplete();
 		}
 		boolean now = this.state.table.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
-				&& this.state.membershipKnown() && this.state.reach != Connectivity.NOTHING
+				&& this.state.membershipKnown() && this.state.connectivity != Connectivity.NOTHING
 				&& this.state.textEndOffset >= 0;
 		if (now != this.state.ready) {
 			this.state.ready = now;
@@ -134,11 +134,11 @@
 	 * @param peer the other relay
 	 */
 	void sendSync(String peer) {
-		List<LedgerEntry> entries = this.state.unlogged.all();
-		if (this.state.keepers.knows(peer)) {
+		List<LedgerEntry> entries = this.state.uncommitted.all();
+		if (this.state.replicas.contains(peer)) {
 			entries = entries.stream()
-				.filter((entry) -> entry.ofProgram()
-					.filter((program) -> this.state.keepers.of(program).contains(peer))
+				.filter((entry) -> entry.findProgram()
+					.filter((program) -> this.state.replicas.replicasOf(program).contains(peer))
 					.isPresent())
 				.toList();
 		}
@@ -182,11 +182,11 @@
 	 * @param reach what it reaches
 	 */
 	void connectivityChanged(Connectivity reach) {
-		this.state.reach = reach;
+		this.state.connectivity = reach;
 		this.state.report(RelayNotices.connectivityChanged(reach));
 		if (reach != Connectivity.LOG) {
-			List.copyOf(this.state.contending.values())
-				.forEach((number) -> this.budgets.orderDue(this.state.exchanges.get(number)));
+			List.copyOf(this.state.conditionalReservations.values())
+				.forEach((number) -> this.budgets.decisionTimedOut(this.state.exchanges.get(number)));
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -91,7 +91,7 @@
 		this.state.pendingTurns.put(exchange.id(), new PendingTurn(exchange.number(), text));
 		this.state.emit(new RelayEffect.StoreText(exchange.id(), text));
 		this.ends.settle(exchange, Optional.of(place));
-		Duration pause = (this.state.reach == Connectivity.LOG) ? RelaySettings.TURN_WRITE_TIMEOUT
+		Duration pause = (this.state.connectivity == Connectivity.LOG) ? RelaySettings.TURN_WRITE_TIMEOUT
 				: RelaySettings.REPLICATION_DELAY;
 		this.state.startTimer(exchange, pause, TimerKind.LOG_WRITE);
 	}
@@ -179,7 +179,7 @@
 	void storeForPeer(RelayEvent.TurnWriteRequested asked) {
 		String request = asked.settlement().request();
 		boolean slow = this.state.now - this.state.logSlowAt < SLOW_MS;
-		boolean able = this.state.reach == Connectivity.LOG && this.state.textEndOffset >= 0 && !slow;
+		boolean able = this.state.connectivity == Connectivity.LOG && this.state.textEndOffset >= 0 && !slow;
 		if (!able || this.state.peerTurns.containsKey(request)) {
 			return;
 		}
@@ -223,11 +223,11 @@
 	 */
 	void requestLocations(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		List<String> keepers = this.state.otherKeepers(turn.program());
+		List<String> keepers = this.state.otherReplicas(turn.program());
 		if (turn.previous().isPresent() && !keepers.isEmpty()) {
 			this.state.emit(new RelayEffect.RequestTextLocations(keepers, turn.previous().get()));
 		}
-		if (this.state.reach == Connectivity.LOG || keepers.isEmpty()) {
+		if (this.state.connectivity == Connectivity.LOG || keepers.isEmpty()) {
 			this.state.emit(new RelayEffect.ReadLog());
 		}
 	}
@@ -260,7 +260,7 @@
 		}
 		exchange.markFetchingTexts();
 		Optional<String> holder = this.state.turnCache.origin(elsewhere.missing().getFirst())
-			.filter((relay) -> this.state.linkedPeers.contains(relay) || this.state.keepers.knows(relay));
+			.filter((relay) -> this.state.linkedPeers.contains(relay) || this.state.replicas.contains(relay));
 		if (holder.isEmpty()) {
 			textRead(exchange, elsewhere);
 			return;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UnloggedEntries.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UncommittedEntries.java
@@ -19,7 +19,7 @@
  * its time to show it. Several may, which readers bear. Bounded: the oldest are given up.
  * Used by one thread.
  */
-final class UnloggedEntries {
+final class UncommittedEntries {
 
 	/**
 	 * How many relays write an entry first whose own relay lives, and twice as many each
@@ -27,38 +27,38 @@
 	 * late: written by all who were told, it would be later still. One that lives and
 	 * does not reach the log needs one other that does.
 	 */
-	private static final int HELPERS = 2;
+	private static final int INITIAL_WRITERS = 2;
 
 	/**
 	 * How long the entry's own relay has to write it, while the log can be read.
 	 */
-	private static final long PATIENCE_MS = 1_500;
+	private static final long COMMIT_TIMEOUT_MS = 1_500;
 
-	private static final int BOUND = 20_000;
+	private static final int MAX_ENTRIES = 20_000;
 
-	private final long patience;
+	private final long commitTimeout;
 
-	private final Map<Key, Waiting> waiting = new LinkedHashMap<>();
+	private final Map<Key, PendingEntry> pending = new LinkedHashMap<>();
 
-	private final LinkedHashSet<Key> logged = new LinkedHashSet<>();
+	private final LinkedHashSet<Key> committed = new LinkedHashSet<>();
 
 	/**
 	 * Creates an empty collection.
 	 * @param spread what this relay waits longer than the first one, so that not all
 	 * write at once
 	 */
-	UnloggedEntries(long spread) {
-		this.patience = PATIENCE_MS + spread;
+	UncommittedEntries(long spread) {
+		this.commitTimeout = COMMIT_TIMEOUT_MS + spread;
 	}
 
-	void told(LedgerEntry entry, String teller, long now) {
+	void add(LedgerEntry entry, String sender, long now) {
 		Key key = Key.of(entry);
-		if (this.logged.contains(key)) {
+		if (this.committed.contains(key)) {
 			return;
 		}
-		this.waiting.putIfAbsent(key, new Waiting(entry, teller, now, HELPERS));
-		if (this.waiting.size() > BOUND) {
-			this.waiting.remove(this.waiting.keySet().iterator().next());
+		this.pending.putIfAbsent(key, new PendingEntry(entry, sender, now, INITIAL_WRITERS));
+		if (this.pending.size() > MAX_ENTRIES) {
+			this.pending.remove(this.pending.keySet().iterator().next());
 		}
 	}
 
@@ -67,8 +67,8 @@
 	 * @param program the program
 	 * @return the entries, the oldest first
 	 */
-	List<LedgerEntry> of(String program) {
-		return entries().filter((entry) -> entry.ofProgram().filter(program::equals).isPresent()).toList();
+	List<LedgerEntry> entriesOf(String program) {
+		return entries().filter((entry) -> entry.findProgram().filter(program::equals).isPresent()).toList();
 	}
 
 	/**
@@ -77,13 +77,13 @@
 	 * @param program the program
 	 * @return the tokens, those of turns that have not ended at their most
 	 */
-	long tokens(String program) {
+	long tokensOf(String program) {
 		Map<String, Integer> byTurn = new HashMap<>();
-		for (LedgerEntry entry : of(program)) {
+		for (LedgerEntry entry : entriesOf(program)) {
 			switch (entry) {
-				case LedgerEntry.Reserved reserved -> byTurn.putIfAbsent(reserved.request(), reserved.tokens());
+				case LedgerEntry.Reserved reserved -> byTurn.putIfAbsent(reserved.request(), reserved.maxTokens());
 				case LedgerEntry.Settled settled -> byTurn.put(settled.request(), settled.tokens());
-				case LedgerEntry.Blamed ignored -> {
+				case LedgerEntry.UpstreamFailed ignored -> {
 				}
 			}
 		}
@@ -99,7 +99,7 @@
 	}
 
 	private Stream<LedgerEntry> entries() {
-		return this.waiting.values().stream().map(Waiting::entry);
+		return this.pending.values().stream().map(PendingEntry::entry);
 	}
 
 	/**
@@ -107,17 +107,17 @@
 	 * @param entry the entry
 	 * @return whether the log has shown it before, as far as that is remembered
 	 */
-	boolean logged(LedgerEntry entry) {
+	boolean committed(LedgerEntry entry) {
 		Key key = Key.of(entry);
-		this.waiting.remove(key);
+		this.pending.remove(key);
 		// A turn that was held back by its keepers and never ran is settled without
 		// having been reserved in the log: written then, it would be held back for ever.
 		if (entry instanceof LedgerEntry.Settled settled) {
-			this.waiting.remove(new Key(settled.request(), LedgerEntry.Reserved.class));
+			this.pending.remove(new Key(settled.request(), LedgerEntry.Reserved.class));
 		}
-		boolean shownFirst = this.logged.add(key);
-		if (this.logged.size() > BOUND) {
-			this.logged.removeFirst();
+		boolean shownFirst = this.committed.add(key);
+		if (this.committed.size() > MAX_ENTRIES) {
+			this.committed.removeFirst();
 		}
 		return !shownFirst;
 	}
@@ -131,38 +131,39 @@
 	 * @param now when the log was read
 	 * @return the entries
 	 */
-	List<LedgerEntry> overdue(String own, Set<String> linked, Function<LedgerEntry, List<String>> holders, long now) {
-		List<Waiting> due = new ArrayList<>();
-		for (Waiting next : this.waiting.values()) {
-			if (now - next.since() < this.patience) {
+	List<LedgerEntry> takeOverdue(String own, Set<String> linked, Function<LedgerEntry, List<String>> holders,
+			long now) {
+		List<PendingEntry> due = new ArrayList<>();
+		for (PendingEntry next : this.pending.values()) {
+			if (now - next.since() < this.commitTimeout) {
 				break;
 			}
 			due.add(next);
 		}
 		List<LedgerEntry> overdue = new ArrayList<>();
-		for (Waiting next : due) {
-			this.waiting.remove(Key.of(next.entry()));
-			if (next.teller().equals(own)) {
-				this.waiting.put(Key.of(next.entry()), next.again(now));
+		for (PendingEntry next : due) {
+			this.pending.remove(Key.of(next.entry()));
+			if (next.sender().equals(own)) {
+				this.pending.put(Key.of(next.entry()), next.reschedule(now));
 				continue;
 			}
 			List<String> told = holders.apply(next.entry());
 			int rank = told.isEmpty() ? rank(next, own, linked) : told.indexOf(own);
-			if (!linked.contains(next.teller()) || rank < next.helpers()) {
+			if (!linked.contains(next.sender()) || rank < next.writers()) {
 				overdue.add(next.entry());
 				continue;
 			}
-			this.waiting.put(Key.of(next.entry()), next.again(now));
+			this.pending.put(Key.of(next.entry()), next.reschedule(now));
 		}
 		return overdue;
 	}
 
 	// All relays come to the same order without telling each other.
-	private static int rank(Waiting waiting, String own, Set<String> linked) {
+	private static int rank(PendingEntry waiting, String own, Set<String> linked) {
 		int ownScore = score(waiting.entry(), own);
 		int before = 0;
 		for (String peer : linked) {
-			before += (!peer.equals(waiting.teller()) && score(waiting.entry(), peer) < ownScore) ? 1 : 0;
+			before += (!peer.equals(waiting.sender()) && score(waiting.entry(), peer) < ownScore) ? 1 : 0;
 		}
 		return before;
 	}
@@ -177,26 +178,26 @@
 	 * had its time to show.
 	 * @param now when the log was read again
 	 */
-	void logBack(long now) {
-		this.waiting.replaceAll((key, entry) -> new Waiting(entry.entry(), entry.teller(), now, entry.helpers()));
+	void restartTimeouts(long now) {
+		this.pending.replaceAll((key, entry) -> new PendingEntry(entry.entry(), entry.sender(), now, entry.writers()));
 	}
 
 	int size() {
-		return this.waiting.size();
+		return this.pending.size();
 	}
 
 	/**
 	 * An entry that the log has not shown. Immutable.
 	 *
 	 * @param entry the entry
-	 * @param teller the relay that told it
+	 * @param sender the relay that told it
 	 * @param since when its time began
 	 * @param helpers how many relays write it next while that one lives
 	 */
-	private record Waiting(LedgerEntry entry, String teller, long since, int helpers) {
+	private record PendingEntry(LedgerEntry entry, String sender, long since, int writers) {
 
-		Waiting again(long now) {
-			return new Waiting(this.entry, this.teller, now, 2 * this.helpers);
+		PendingEntry reschedule(long now) {
+			return new PendingEntry(this.entry, this.sender, now, 2 * this.writers);
 		}
 
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Poll.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
@@ -11,45 +11,45 @@
  * The answers to this relay's question whether a program's budget holds a turn. Each
  * relay counts once. Used by one thread.
  */
-final class Poll {
+final class UsagePoll {
 
 	private final long exchange;
 
 	private final String request;
 
-	private final List<String> keepers;
+	private final List<String> replicas;
 
-	private final Set<String> answers = new HashSet<>();
+	private final Set<String> responders = new HashSet<>();
 
-	private final Deque<String> placers = new ArrayDeque<>();
+	private final Deque<String> logRelays = new ArrayDeque<>();
 
-	private Stage stage = Stage.KEEPERS;
+	private Stage stage = Stage.REPLICAS;
 
-	private int reminders;
+	private int timers;
 
-	private int unsure;
+	private int unavailable;
 
-	private boolean byKeeper;
+	private boolean replicaResponded;
 
-	private boolean log;
+	private boolean logReachable;
 
 	private boolean extended;
 
-	private long taken;
+	private long used;
 
-	private long unlogged;
+	private long uncommitted;
 
 	/**
 	 * Creates a poll without answers.
 	 * @param exchange the exchange of the turn
 	 * @param request the turn
-	 * @param keepers the relays that keep the program; none if they are not known
+	 * @param replicas the relays that keep the program; none if they are not known
 	 */
-	Poll(long exchange, String request, List<String> keepers) {
+	UsagePoll(long exchange, String request, List<String> keepers) {
 		this.exchange = exchange;
 		this.request = request;
-		this.keepers = keepers;
-		this.byKeeper = keepers.isEmpty();
+		this.replicas = keepers;
+		this.replicaResponded = keepers.isEmpty();
 	}
 
 	long exchange() {
@@ -60,8 +60,8 @@
 		return this.request;
 	}
 
-	boolean keepersKnown() {
-		return !this.keepers.isEmpty();
+	boolean hasReplicas() {
+		return !this.replicas.isEmpty();
 	}
 
 	/**
@@ -75,7 +75,7 @@
 	/**
 	 * Waits for the log from now on.
 	 */
-	void askLog() {
+	void waitForLog() {
 		this.stage = Stage.LOG;
 	}
 
@@ -83,10 +83,10 @@
 	 * Waits for all relays from now on, each of which is asked anew.
 	 * @param own this relay
 	 */
-	void askAll(String own) {
+	void waitForAllRelays(String own) {
 		this.stage = Stage.RELAYS;
-		this.answers.clear();
-		this.byKeeper = this.keepers.isEmpty() || this.keepers.contains(own);
+		this.responders.clear();
+		this.replicaResponded = this.replicas.isEmpty() || this.replicas.contains(own);
 	}
 
 	/**
@@ -95,34 +95,34 @@
 	 * @param tokens what it knows to be taken, the turn included
 	 * @param hidden how much of that the log has not shown it
 	 */
-	void answered(String relay, long tokens, long hidden) {
-		this.answers.add(relay);
-		this.unlogged = Math.max(this.unlogged, hidden);
-		this.byKeeper = this.byKeeper || this.keepers.contains(relay);
-		this.taken = Math.max(this.taken, tokens);
+	void addUsage(String relay, long tokens, long hidden) {
+		this.responders.add(relay);
+		this.uncommitted = Math.max(this.uncommitted, hidden);
+		this.replicaResponded = this.replicaResponded || this.replicas.contains(relay);
+		this.used = Math.max(this.used, tokens);
 	}
 
 	/**
 	 * Takes that a keeper has noted the turn and can't say what is taken.
 	 */
-	void unsure() {
-		this.unsure++;
+	void unavailable() {
+		this.unavailable++;
 	}
 
 	/**
 	 * Returns the most that an answer says to be taken.
 	 * @return the tokens, the turn included
 	 */
-	long taken() {
-		return this.taken;
+	long used() {
+		return this.used;
 	}
 
 	/**
 	 * Returns the most that an answer says not to be in the log.
 	 * @return the tokens, the turn included
 	 */
-	long unlogged() {
-		return this.unlogged;
+	long uncommitted() {
+		return this.uncommitted;
 	}
 
 	/**
@@ -133,41 +133,41 @@
 	 * @param most the most tokens of the turn itself
 	 * @return the tokens
 	 */
-	long unseen(int most) {
-		boolean all = this.answers.size() >= this.keepers.size();
-		return (all || this.unlogged <= most) ? 0 : this.unlogged / 2;
+	long maxUnseen(int most) {
+		boolean all = this.responders.size() >= this.replicas.size();
+		return (all || this.uncommitted <= most) ? 0 : this.uncommitted / 2;
 	}
 
 	/**
 	 * Returns whether a replica has neither answered nor said that it is unsure.
 	 * @return whether one has not
 	 */
-	boolean waitsForMoreReplicas() {
-		return this.answers.size() + this.unsure < this.keepers.size();
+	boolean awaitsReplicas() {
+		return this.responders.size() + this.unavailable < this.replicas.size();
 	}
 
-	int answers() {
-		return this.answers.size();
+	int responders() {
+		return this.responders.size();
 	}
 
 	/**
 	 * Returns whether enough keepers have answered to decide.
 	 * @return whether they have
 	 */
-	boolean keepersDecide() {
-		return this.answers.size() >= needed();
+	boolean hasReplicaQuorum() {
+		return this.responders.size() >= quorum();
 	}
 
 	/**
 	 * Returns whether so many keepers are unsure that the others can't decide.
 	 * @return whether they are
 	 */
-	boolean keepersCannotDecide() {
-		return this.keepers.size() - this.unsure < needed();
+	boolean replicaQuorumLost() {
+		return this.replicas.size() - this.unavailable < quorum();
 	}
 
-	private int needed() {
-		return this.keepers.size() / 2 + 1;
+	private int quorum() {
+		return this.replicas.size() / 2 + 1;
 	}
 
 	/**
@@ -175,8 +175,8 @@
 	 * it, and those that are unsure hold the turn back as the others do.
 	 * @return whether it is
 	 */
-	boolean seesKeepers() {
-		return !this.answers.isEmpty() || keepersCannotDecide();
+	boolean coversReplicaDecisions() {
+		return !this.responders.isEmpty() || replicaQuorumLost();
 	}
 
 	/**
@@ -184,40 +184,40 @@
 	 * @param others how many other relays are known
 	 * @return whether it has
 	 */
-	boolean allDecide(int others) {
-		return this.byKeeper && this.answers.size() >= (others + 1) / 2;
+	boolean hasRelayMajority(int others) {
+		return this.replicaResponded && this.responders.size() >= (others + 1) / 2;
 	}
 
 	/**
 	 * Takes that a relay reaches the log, and could get the turn a place there.
 	 * @param relay the relay
 	 */
-	void reachesLog(String relay) {
-		this.log = true;
-		this.placers.add(relay);
+	void addLogRelay(String relay) {
+		this.logReachable = true;
+		this.logRelays.add(relay);
 	}
 
 	/**
 	 * Returns whether some relay reaches the log, so that the log decides.
 	 * @return whether one does
 	 */
-	boolean log() {
-		return this.log;
+	boolean logReachable() {
+		return this.logReachable;
 	}
 
 	/**
 	 * Returns the relay to ask for a place in the log, each time the next one.
 	 * @return the relay, or empty if all were asked
 	 */
-	Optional<String> nextPlacer() {
-		return Optional.ofNullable(this.placers.pollFirst());
+	Optional<String> nextLogRelay() {
+		return Optional.ofNullable(this.logRelays.pollFirst());
 	}
 
 	/**
 	 * Notes that the turn is waited for longer than usual.
 	 * @return whether it was not before
 	 */
-	boolean extend() {
+	boolean extendTimeout() {
 		boolean first = !this.extended;
 		this.extended = true;
 		return first;
@@ -226,25 +226,25 @@
 	/**
 	 * Notes that a reminder is under way.
 	 */
-	void remind() {
-		this.reminders++;
+	void timerStarted() {
+		this.timers++;
 	}
 
 	/**
 	 * Takes a reminder.
 	 * @return whether no other is under way
 	 */
-	boolean lastReminder() {
-		this.reminders--;
-		return this.reminders <= 0;
+	boolean timerFired() {
+		this.timers--;
+		return this.timers <= 0;
 	}
 
 	/**
 	 * Returns why the turn is refused if its budget is told not to hold it.
 	 * @return the refusal: without the log only a part of the budget is given
 	 */
-	Refusal otherwise() {
-		return (this.stage == Stage.KEEPERS) ? Refusal.BUDGET_SPENT : Refusal.LOG_LOST;
+	Refusal refusal() {
+		return (this.stage == Stage.REPLICAS) ? Refusal.BUDGET_SPENT : Refusal.LOG_LOST;
 	}
 
 	/**
@@ -255,7 +255,7 @@
 		/**
 		 * That of the relays that keep the program.
 		 */
-		KEEPERS,
+		REPLICAS,
 
 		/**
 		 * That of the log's order.
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/DuplicateEntryCounterTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/DuplicateEntryCounterTests.java
@@ -21,7 +21,7 @@
 		assertThat(this.copies.drain()).containsExactly(new Measurement.LogCopies(Kind.RESERVED, 1),
 				new Measurement.LogCopies(Kind.SETTLED, 2));
 		assertThat(this.copies.drain()).isEmpty();
-		this.copies.add(new LedgerEntry.Blamed("t", 1, "u"));
+		this.copies.add(new LedgerEntry.UpstreamFailed("t", 1, "u"));
 		assertThat(this.copies.drain()).containsExactly(new Measurement.LogCopies(Kind.BLAMED, 1));
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/KeepersTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ProgramReplicasTests.java
@@ -11,22 +11,22 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class KeepersTests {
+class ProgramReplicasTests {
 
 	private static final int PROGRAMS = 6000;
 
-	private final Keepers keepers = new Keepers();
+	private final ProgramReplicas replicas = new ProgramReplicas();
 
 	@Test
 	void nobodyKeepsAProgramWhileNoMembersAreKnown() {
-		assertThat(this.keepers.known()).isFalse();
-		assertThat(this.keepers.of("p")).isEmpty();
+		assertThat(this.replicas.hasMembers()).isFalse();
+		assertThat(this.replicas.replicasOf("p")).isEmpty();
 	}
 
 	@Test
 	void aloneRelayKeepsAllPrograms() {
-		this.keepers.list(List.of(Member.of("a")));
-		assertThat(this.keepers.of("p")).containsExactly("a");
+		this.replicas.update(List.of(Member.of("a")));
+		assertThat(this.replicas.replicasOf("p")).containsExactly("a");
 	}
 
 	// Two relays read the list in different orders. If they came to different keepers, a
@@ -34,47 +34,48 @@
 	@Test
 	void keepersDoNotDependOnTheOrderOfTheList() {
 		List<Member> members = members(40, 5);
-		Keepers other = new Keepers();
-		this.keepers.list(members);
-		other.list(members.reversed());
+		ProgramReplicas other = new ProgramReplicas();
+		this.replicas.update(members);
+		other.update(members.reversed());
 		for (int program = 0; program < PROGRAMS; program++) {
-			assertThat(this.keepers.of("p" + program)).isEqualTo(other.of("p" + program)).doesNotHaveDuplicates();
+			assertThat(this.replicas.replicasOf("p" + program)).isEqualTo(other.replicasOf("p" + program))
+				.doesNotHaveDuplicates();
 		}
 	}
 
 	// An availability zone fails with all its relays. Each program has two keepers left.
 	@Test
 	void keepersOfOneProgramAreInDifferentZones() {
-		this.keepers.list(members(40, 5));
+		this.replicas.update(members(40, 5));
 		for (int program = 0; program < PROGRAMS; program++) {
 			Set<String> zones = new HashSet<>();
-			this.keepers.of("p" + program).forEach((address) -> zones.add(address.split("/")[0]));
-			assertThat(zones).hasSize(Keepers.COUNT);
+			this.replicas.replicasOf("p" + program).forEach((address) -> zones.add(address.split("/")[0]));
+			assertThat(zones).hasSize(ProgramReplicas.REPLICATION_FACTOR);
 		}
 	}
 
 	@Test
 	void siteWithFewZonesHasThreeKeepersAllTheSame() {
-		this.keepers.list(members(7, 2));
-		assertThat(this.keepers.of("p")).hasSize(Keepers.COUNT);
-		this.keepers.list(members(2, 2));
-		assertThat(this.keepers.of("p")).hasSize(2);
+		this.replicas.update(members(7, 2));
+		assertThat(this.replicas.replicasOf("p")).hasSize(ProgramReplicas.REPLICATION_FACTOR);
+		this.replicas.update(members(2, 2));
+		assertThat(this.replicas.replicasOf("p")).hasSize(2);
 	}
 
 	@Test
 	void relayThatComesTakesItsPartAndMovesNothingElse() {
 		List<Member> members = members(40, 1);
-		this.keepers.list(members);
+		this.replicas.update(members);
 		Map<String, List<String>> before = new HashMap<>();
 		for (int program = 0; program < PROGRAMS; program++) {
-			before.put("p" + program, this.keepers.of("p" + program));
+			before.put("p" + program, this.replicas.replicasOf("p" + program));
 		}
 		List<Member> more = new ArrayList<>(members);
 		more.add(new Member("new", "zone-0", 100));
-		this.keepers.list(more);
+		this.replicas.update(more);
 		int moved = 0;
 		for (Map.Entry<String, List<String>> kept : before.entrySet()) {
-			List<String> now = this.keepers.of(kept.getKey());
+			List<String> now = this.replicas.replicasOf(kept.getKey());
 			if (now.contains("new")) {
 				moved++;
 				continue;
@@ -82,7 +83,8 @@
 			assertThat(now).isEqualTo(kept.getValue());
 		}
 		double part = (double) moved / PROGRAMS;
-		assertThat(part).isBetween(0.5 * Keepers.COUNT / 41, 2.0 * Keepers.COUNT / 41);
+		assertThat(part).isBetween(0.5 * ProgramReplicas.REPLICATION_FACTOR / 41,
+				2.0 * ProgramReplicas.REPLICATION_FACTOR / 41);
 	}
 
 	// A small machine that kept as much as a large one would spend its whole processor on
@@ -91,12 +93,12 @@
 	void relayWithLessProcessorKeepsLess() {
 		List<Member> members = new ArrayList<>(members(20, 1));
 		members.add(new Member("small", "zone-0", 20));
-		this.keepers.list(members);
+		this.replicas.update(members);
 		Map<String, Integer> kept = new HashMap<>();
 		for (int program = 0; program < PROGRAMS; program++) {
-			this.keepers.of("p" + program).forEach((address) -> kept.merge(address, 1, Integer::sum));
+			this.replicas.replicasOf("p" + program).forEach((address) -> kept.merge(address, 1, Integer::sum));
 		}
-		double mean = (double) (Keepers.COUNT * PROGRAMS) / members.size();
+		double mean = (double) (ProgramReplicas.REPLICATION_FACTOR * PROGRAMS) / members.size();
 		assertThat((double) kept.get("small")).isBetween(0.1 * mean, 0.4 * mean);
 		assertThat(kept.values()).allSatisfy((count) -> assertThat((double) count).isLessThan(1.4 * mean));
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/ProgramTokensTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ProgramTokensTests.java
@@ -11,9 +11,9 @@
 	@Test
 	void reservationCountsAtItsMostUntilItIsSettled() {
 		this.tokens.reserve("p", "t", 100);
-		assertThat(this.tokens.taken("p")).isEqualTo(100);
+		assertThat(this.tokens.used("p")).isEqualTo(100);
 		this.tokens.settle("p", "t", 30);
-		assertThat(this.tokens.taken("p")).isEqualTo(30);
+		assertThat(this.tokens.used("p")).isEqualTo(30);
 	}
 
 	@Test
@@ -23,15 +23,15 @@
 		this.tokens.settle("p", "t", 30);
 		this.tokens.settle("p", "t", 30);
 		this.tokens.reserve("p", "t", 100);
-		assertThat(this.tokens.taken("p")).isEqualTo(30);
+		assertThat(this.tokens.used("p")).isEqualTo(30);
 	}
 
 	@Test
 	void settlementThatComesBeforeItsReservationIsFinal() {
 		this.tokens.settle("p", "t", 30);
 		this.tokens.reserve("p", "t", 100);
-		assertThat(this.tokens.taken("p")).isEqualTo(30);
-		assertThat(this.tokens.open("p", "t")).isFalse();
+		assertThat(this.tokens.used("p")).isEqualTo(30);
+		assertThat(this.tokens.isOpen("p", "t")).isFalse();
 	}
 
 	@Test
@@ -40,8 +40,8 @@
 		this.tokens.settle("b", "t2", 1);
 		this.tokens.settle("a", "t3", 1);
 		this.tokens.settle("c", "t4", 1);
-		assertThat(this.tokens.taken("a")).isEqualTo(2);
-		assertThat(this.tokens.taken("b")).isZero();
+		assertThat(this.tokens.used("a")).isEqualTo(2);
+		assertThat(this.tokens.used("b")).isZero();
 		assertThat(this.tokens.size()).isEqualTo(2);
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
@@ -260,7 +260,7 @@
 	void requestThatBreaksUpstreamsIsStoppedAndOthersAreNot() {
 		RelayFixture relay = RelayFixture.ready();
 		for (String upstream : List.of("e7", "e8", "e9")) {
-			relay.readFromPeer(new LedgerEntry.Blamed("r0", "/draft/x".hashCode(), upstream));
+			relay.readFromPeer(new LedgerEntry.UpstreamFailed("r0", "/draft/x".hashCode(), upstream));
 		}
 		assertThat(refusal(relay.sendRequest("r1", "draft"))).contains(Refusal.BLAMED);
 		assertThat(sends(relay.sendRequest("r2", "look"))).hasSize(1);
@@ -672,7 +672,7 @@
 		relay.event(1, 2);
 		List<RelayEffect> effects = relay.fail(1, FailureCause.BROKEN);
 		assertThat(RelayFixture.settled(effects).tokens()).isEqualTo(2 * RelayFixture.TOKENS_PER_EVENT);
-		assertThat(RelayFixture.settled(effects).text()).isEmpty();
+		assertThat(RelayFixture.settled(effects).textLocation()).isEmpty();
 		assertThat(RelayFixture.ofType(effects, RelayEffect.AbortConnection.class)).hasSize(1);
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/KeeperProperties.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ReplicaBudgetProperties.java
@@ -15,7 +15,7 @@
  * time, starts again with nothing, or all are lost at once. What callers are given is
  * never more than the budget and the most of one turn.
  */
-class KeeperProperties {
+class ReplicaBudgetProperties {
 
 	private static final int MOST = RelaySite.MOST;
 
@@ -145,7 +145,7 @@
 				site.wave(1);
 			}
 			assertThat(site.given()).isEqualTo((long) turns * MOST);
-			assertThat(site.messages()).isLessThanOrEqualTo(3L * Keepers.COUNT * turns);
+			assertThat(site.messages()).isLessThanOrEqualTo(3L * ProgramReplicas.REPLICATION_FACTOR * turns);
 		}
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
@@ -121,7 +121,7 @@
 		assertThat(RelayFixture.ofType(atEnd, RelayEffect.EndStream.class)).isEmpty();
 		assertThat(RelayFixture.ofType(atEnd, RelayEffect.StoreText.class)).singleElement()
 			.satisfies((store) -> assertThat(new String(store.text().output())).isEqualTo("piece 1\n"));
-		assertThat(RelayFixture.settled(atEnd).text().map(TextLocation::partition))
+		assertThat(RelayFixture.settled(atEnd).textLocation().map(TextLocation::partition))
 			.contains(RelayFixture.TEXT_PARTITION);
 		assertThat(ends(relay.handle(new RelayEvent.SettlementsStored(relay.now(), Set.of("t1"))))).isEmpty();
 		assertThat(ends(relay.handle(textsStored(relay, "t1")))).hasSize(1);
@@ -171,7 +171,7 @@
 		RelayEvent.TurnWriteRequested asked = helpAsked(relay, "t1");
 		List<RelayEffect> helping = relay.handle(asked);
 		assertThat(RelayFixture.settled(helping).tokens()).isEqualTo(10);
-		assertThat(RelayFixture.settled(helping).text().map(TextLocation::partition))
+		assertThat(RelayFixture.settled(helping).textLocation().map(TextLocation::partition))
 			.contains(RelayFixture.TEXT_PARTITION);
 		assertThat(RelayFixture.ofType(helping, RelayEffect.StoreText.class)).hasSize(1);
 		assertThat(relay.handle(asked)).isEmpty();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UnloggedEntriesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UncommittedEntriesTests.java
@@ -13,46 +13,46 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class UnloggedEntriesTests {
+class UncommittedEntriesTests {
 
 	private static final Function<LedgerEntry, List<String>> ALL = (entry) -> List.of();
 
-	private final UnloggedEntries entries = new UnloggedEntries(0);
+	private final UncommittedEntries entries = new UncommittedEntries(0);
 
 	private final LedgerEntry entry = RelayFixture.settledTurn("t", null);
 
 	@Test
 	void entryIsOverdueOnceTheLogHadItsTime() {
-		this.entries.told(this.entry, "x", 0);
-		assertThat(this.entries.overdue("own", Set.of(), ALL, 1_499)).isEmpty();
-		assertThat(this.entries.overdue("own", Set.of(), ALL, 1_500)).containsExactly(this.entry);
-		assertThat(this.entries.overdue("own", Set.of(), ALL, 9_000)).isEmpty();
+		this.entries.add(this.entry, "x", 0);
+		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 1_499)).isEmpty();
+		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 1_500)).containsExactly(this.entry);
+		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 9_000)).isEmpty();
 	}
 
 	// The log shows an entry before the link brings it. Kept then, it would be written a
 	// second time by every relay.
 	@Test
 	void entryThatTheLogShowedFirstIsNotKept() {
-		this.entries.logged(this.entry);
-		this.entries.told(this.entry, "x", 0);
+		this.entries.committed(this.entry);
+		this.entries.add(this.entry, "x", 0);
 		assertThat(this.entries.size()).isZero();
 	}
 
 	@Test
 	void entryIsACopyOnceTheLogHasShownOneOfItsRequestAndKind() {
 		LedgerEntry reserved = new LedgerEntry.Reserved("t", "p", 7, "", List.of(), false);
-		assertThat(this.entries.logged(this.entry)).isFalse();
-		assertThat(this.entries.logged(reserved)).isFalse();
-		assertThat(this.entries.logged(this.entry)).isTrue();
-		assertThat(this.entries.logged(this.entry)).isTrue();
+		assertThat(this.entries.committed(this.entry)).isFalse();
+		assertThat(this.entries.committed(reserved)).isFalse();
+		assertThat(this.entries.committed(this.entry)).isTrue();
+		assertThat(this.entries.committed(this.entry)).isTrue();
 	}
 
 	@Test
 	void timeBeginsAnewWhenTheLogIsBack() {
-		this.entries.told(this.entry, "x", 0);
-		this.entries.logBack(5_000);
-		assertThat(this.entries.overdue("own", Set.of(), ALL, 6_000)).isEmpty();
-		assertThat(this.entries.overdue("own", Set.of(), ALL, 6_500)).hasSize(1);
+		this.entries.add(this.entry, "x", 0);
+		this.entries.restartTimeouts(5_000);
+		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 6_000)).isEmpty();
+		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 6_500)).hasSize(1);
 	}
 
 	@Test
@@ -61,17 +61,17 @@
 		LedgerEntry settled = new LedgerEntry.Settled("s", "p", 5, Optional.empty());
 		LedgerEntry other = new LedgerEntry.Settled("o", "q", 5, Optional.empty());
 		LedgerEntry kept = RelayFixture.settledTurn("k", null);
-		List.of(reserved, kept, settled, other).forEach((entry) -> this.entries.told(entry, "x", 0));
-		assertThat(this.entries.of("p")).containsExactly(reserved, kept, settled);
+		List.of(reserved, kept, settled, other).forEach((entry) -> this.entries.add(entry, "x", 0));
+		assertThat(this.entries.entriesOf("p")).containsExactly(reserved, kept, settled);
 		assertThat(this.entries.all()).containsExactly(reserved, kept, settled, other);
 	}
 
 	@Test
 	void ownEntryIsLeftToItsWriterAndCounts() {
 		LedgerEntry reserved = new LedgerEntry.Reserved("r", "p", 100, "", List.of(), false);
-		this.entries.told(reserved, "own", 0);
-		assertThat(this.entries.overdue("own", Set.of(), ALL, 9_000)).isEmpty();
-		assertThat(this.entries.tokens("p")).isEqualTo(100);
+		this.entries.add(reserved, "own", 0);
+		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 9_000)).isEmpty();
+		assertThat(this.entries.tokensOf("p")).isEqualTo(100);
 	}
 
 	@Test
@@ -80,10 +80,10 @@
 		LedgerEntry open = new LedgerEntry.Reserved("o", "p", 100, "", List.of(), false);
 		LedgerEntry settled = new LedgerEntry.Settled("r", "p", 30, Optional.empty());
 		LedgerEntry other = new LedgerEntry.Settled("x", "q", 5, Optional.empty());
-		List.of(ended, open, settled, other).forEach((entry) -> this.entries.told(entry, "x", 0));
-		assertThat(this.entries.tokens("p")).isEqualTo(130);
-		this.entries.logged(settled);
-		assertThat(this.entries.tokens("p")).isEqualTo(100);
+		List.of(ended, open, settled, other).forEach((entry) -> this.entries.add(entry, "x", 0));
+		assertThat(this.entries.tokensOf("p")).isEqualTo(130);
+		this.entries.committed(settled);
+		assertThat(this.entries.tokensOf("p")).isEqualTo(100);
 	}
 
 	// Three relays keep a program, and the log has not shown an entry of it. The first
@@ -92,9 +92,9 @@
 	@Test
 	void keepersStepInOneAfterTheOther() {
 		List<String> keepers = List.of("a", "b", "own");
-		this.entries.told(this.entry, "x", 0);
-		assertThat(this.entries.overdue("own", Set.of("x"), (entry) -> keepers, 1_500)).isEmpty();
-		assertThat(this.entries.overdue("own", Set.of("x"), (entry) -> keepers, 3_000)).containsExactly(this.entry);
+		this.entries.add(this.entry, "x", 0);
+		assertThat(this.entries.takeOverdue("own", Set.of("x"), (entry) -> keepers, 1_500)).isEmpty();
+		assertThat(this.entries.takeOverdue("own", Set.of("x"), (entry) -> keepers, 3_000)).containsExactly(this.entry);
 	}
 
 	// A relay lives and does not reach the log. Thirty others were told what it gave, and
@@ -111,11 +111,12 @@
 			String own = "p" + relay;
 			Set<String> linked = new HashSet<>(all);
 			linked.remove(own);
-			UnloggedEntries others = new UnloggedEntries(random.nextLong(RelaySettings.ADOPTION_JITTER.toMillis()));
+			UncommittedEntries others = new UncommittedEntries(
+					random.nextLong(RelaySettings.ADOPTION_JITTER.toMillis()));
 			IntStream.range(0, entriesTold)
-				.forEach((turn) -> others.told(RelayFixture.settledTurn("t" + turn, null), "p0", 0));
+				.forEach((turn) -> others.add(RelayFixture.settledTurn("t" + turn, null), "p0", 0));
 			for (long now = 0; now <= 4_000; now += 80) {
-				others.overdue(own, linked, ALL, now).forEach((entry) -> written.add(entry.request()));
+				others.takeOverdue(own, linked, ALL, now).forEach((entry) -> written.add(entry.request()));
 			}
 		}
 		assertThat(written).hasSize(entriesTold);
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
@@ -106,9 +106,9 @@
 
 	private static boolean needsImmediateFlush(LedgerEntry entry) {
 		return switch (entry) {
-			case LedgerEntry.Reserved reserved -> reserved.contending();
-			case LedgerEntry.Settled settled -> settled.text().isPresent();
-			case LedgerEntry.Blamed ignored -> false;
+			case LedgerEntry.Reserved reserved -> reserved.conditional();
+			case LedgerEntry.Settled settled -> settled.textLocation().isPresent();
+			case LedgerEntry.UpstreamFailed ignored -> false;
 		};
 	}
 
@@ -127,8 +127,9 @@
 		boolean contenders = false;
 		for (LedgerEntry written : entries) {
 			switch (written) {
-				case LedgerEntry.Settled settled when settled.text().isPresent() -> turns.add(settled.request());
-				case LedgerEntry.Reserved reserved when reserved.contending() -> contenders = true;
+				case LedgerEntry.Settled settled when settled.textLocation().isPresent() ->
+					turns.add(settled.request());
+				case LedgerEntry.Reserved reserved when reserved.conditional() -> contenders = true;
 				default -> {
 				}
 			}
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
@@ -312,7 +312,7 @@
 		switch (entry) {
 			case LedgerEntry.Reserved reserved -> builder.setReservation(reservation(reserved));
 			case LedgerEntry.Settled settled -> builder.setSettlement(settlement(settled));
-			case LedgerEntry.Blamed blamed ->
+			case LedgerEntry.UpstreamFailed blamed ->
 				builder.getBlameBuilder().setDigest(blamed.digest()).setUpstream(blamed.upstream());
 		}
 		return builder.build();
@@ -321,9 +321,9 @@
 	private static RelayProtocol.Reservation reservation(LedgerEntry.Reserved reserved) {
 		RelayProtocol.Reservation.Builder builder = RelayProtocol.Reservation.newBuilder()
 			.setProgram(reserved.program())
-			.setTokens(reserved.tokens())
+			.setTokens(reserved.maxTokens())
 			.setUpstream(reserved.upstream())
-			.setContending(reserved.contending());
+			.setContending(reserved.conditional());
 		for (PromptPart part : reserved.prompt()) {
 			builder.addPrompt(RelayProtocol.Part.newBuilder().setId(part.id()).setTokens(part.tokens()));
 		}
@@ -334,7 +334,7 @@
 		RelayProtocol.Settlement.Builder builder = RelayProtocol.Settlement.newBuilder()
 			.setProgram(settled.program())
 			.setTokens(settled.tokens());
-		settled.text().ifPresent((place) -> builder.setPlace(message(place)));
+		settled.textLocation().ifPresent((place) -> builder.setPlace(message(place)));
 		return builder.build();
 	}
 
@@ -345,8 +345,8 @@
 		return switch (message.getEntryCase()) {
 			case RESERVATION -> Either.right(reserved(message.getRequest(), message.getReservation()));
 			case SETTLEMENT -> Either.right(settled(message.getRequest(), message.getSettlement()));
-			case BLAME -> Either.right(new LedgerEntry.Blamed(message.getRequest(), message.getBlame().getDigest(),
-					message.getBlame().getUpstream()));
+			case BLAME -> Either.right(new LedgerEntry.UpstreamFailed(message.getRequest(),
+					message.getBlame().getDigest(), message.getBlame().getUpstream()));
 			case ENTRY_NOT_SET -> Either.left("an entry without content");
 		};
 	}
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
@@ -74,7 +74,7 @@
 
 	@Test
 	void timeOfAnEntryIsReadAsWritten() {
-		LedgerEntry entry = new LedgerEntry.Blamed("r", 3, "u");
+		LedgerEntry entry = new LedgerEntry.UpstreamFailed("r", 3, "u");
 		byte[] bytes = RelayCodec.encode(entry, 1_790_000_000_000L);
 		assertThat(RelayCodec.decodeEntry(bytes).timestamp())
 			.contains(new EntryTimestamp(1_790_000_000_000L, Duration.ZERO));
@@ -118,7 +118,7 @@
 	@Test
 	void messagesOfLinksAreReadAsWritten() {
 		List<PeerMessage> messages = List.of(new PeerMessage.Greeting("10.0.0.1:7"),
-				new PeerMessage.Batch(List.of(new LedgerEntry.Blamed("r", -3, "u"))),
+				new PeerMessage.Batch(List.of(new LedgerEntry.UpstreamFailed("r", -3, "u"))),
 				new PeerMessage.TextsRequest(Set.of("a", "b")), new PeerMessage.TurnWriteAck(Set.of("a")),
 				new PeerMessage.Heartbeat(), new PeerMessage.ReservationRequest("r", "p", 588, 1L << 41, true),
 				new PeerMessage.Usage("r", 1L << 40, 40, true, List.of(new UpstreamLoad(-7, 3, 250))),
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
@@ -73,7 +73,7 @@
 				new PeerMessage.TextLocations(List.of(new TurnLocation("t1", PLACE))),
 				new PeerMessage.LogDecision("t1", true), new PeerMessage.SyncComplete(), new PeerMessage.Heartbeat())
 			.forEach((message) -> valid.add(RelayCodec.encode(message)));
-		List.of(RESERVED, SETTLED, new LedgerEntry.Blamed("t1", -3, "e1@17"))
+		List.of(RESERVED, SETTLED, new LedgerEntry.UpstreamFailed("t1", -3, "e1@17"))
 			.forEach((entry) -> valid.add(RelayCodec.encode(entry, 1_790_000_000_000L)));
 		valid.add(RelayCodec.withAppendDelay(RelayCodec.encode(SETTLED, 1_790_000_000_000L), Duration.ofSeconds(4)));
 		valid.add(RelayCodec.encode(new TurnText("t1", TEXT)));
