--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeCompletion.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeCompletion.java
@@ -149,7 +149,7 @@
 
 	void chainTimedOut(Exchange exchange) {
 		if (exchange.phase() == Phase.WAITING_FOR_CHAIN) {
-			Refusal reason = this.state.stale ? Refusal.NOT_READY : Refusal.TURN_UNCERTAIN;
+			Refusal reason = this.state.logStale ? Refusal.NOT_READY : Refusal.TURN_UNCERTAIN;
 			refuse(exchange, reason, Optional.of(RelaySettings.RETRY_AFTER));
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
@@ -83,7 +83,7 @@
 		}
 		this.state.caughtUpAt = event.now();
 		this.state.caughtUp = true;
-		this.state.stale = false;
+		this.state.logStale = false;
 		if (!this.state.ledgerComplete && !this.state.logWasRecent) {
 			this.state.emit(new RelayEffect.RequestSync());
 		}
@@ -91,10 +91,10 @@
 	}
 
 	private void adopt() {
-		if (this.state.now - this.state.logReadAt > RelaySettings.LOG_OUTAGE_THRESHOLD.toMillis()) {
+		if (this.state.now - this.state.lastLogReadAt > RelaySettings.LOG_OUTAGE_THRESHOLD.toMillis()) {
 			this.state.uncommitted.restartTimeouts(this.state.now);
 		}
-		this.state.logReadAt = this.state.now;
+		this.state.lastLogReadAt = this.state.now;
 		List<LedgerEntry> overdue = this.state.uncommitted.takeOverdue(this.state.name, this.state.linkedPeers,
 				this::holders, this.state.now);
 		overdue.forEach(this.state::write);
@@ -130,7 +130,7 @@
 		if (this.state.tokens.isOpen(reserved.program(), reserved.request())) {
 			this.state.upstreams.findIncarnation(reserved.upstream()).ifPresent((known) -> {
 				this.state.upstreams.requestStarted(reserved.request(), known, this.state.now);
-				known.addToCache(reserved.prompt(), this.state.memory(known.upstream()));
+				known.addToCache(reserved.prompt(), this.state.cacheTokens(known.upstream()));
 			});
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -81,7 +81,7 @@
 		this.state = state;
 		this.ends = ends;
 		this.admitted = admitted;
-		this.buckets = new TeamBuckets(state.tolerance);
+		this.buckets = new TeamBuckets(state.quotaTolerance);
 	}
 
 	/**
@@ -187,7 +187,7 @@
 	}
 
 	private Optional<Quota> quota(String team) {
-		return this.state.table.flatMap(RouteTable::teams)
+		return this.state.routeTable.flatMap(RouteTable::teams)
 			.flatMap((teams) -> teams.findByName(team))
 			.flatMap(Team::quota);
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
@@ -108,7 +108,7 @@
 	static Notice requestPlaced(Exchange exchange, List<RankedUpstream> weighed, RelayState state) {
 		String candidates = weighed.stream().map((next) -> describe(next, state.now)).collect(Collectors.joining("; "));
 		return notice(NoticeCode.REQUEST_PLACED, request(exchange), program(exchange), upstream(exchange),
-				attempt(exchange), field(FieldName.VERSION, state.table.map(RouteTable::version).orElse(0L)),
+				attempt(exchange), field(FieldName.VERSION, state.routeTable.map(RouteTable::version).orElse(0L)),
 				field(FieldName.CANDIDATES, candidates), elapsed(exchange, state.now), tokens(exchange, state),
 				budget(exchange));
 	}
@@ -159,7 +159,7 @@
 		return notice(NoticeCode.QUOTA_REFUSED, request(exchange),
 				field(FieldName.GROUP, exchange.team().map(Team::name).orElse(NONE)), field(FieldName.REASON, refusal),
 				field(FieldName.LIMIT, limit),
-				field(FieldName.VERSION, state.table.map(RouteTable::version).orElse(0L)),
+				field(FieldName.VERSION, state.routeTable.map(RouteTable::version).orElse(0L)),
 				field(FieldName.ADDRESS, counting), field(FieldName.COUNT, waiting),
 				field(FieldName.MILLISECONDS, retryAfter.toMillis()));
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
@@ -118,7 +118,7 @@
 	/**
 	 * How far quotas may be passed.
 	 */
-	final QuotaTolerance tolerance;
+	final QuotaTolerance quotaTolerance;
 
 	/**
 	 * Where that partition ended when it was last heard of; negative before that.
@@ -135,11 +135,11 @@
 	 */
 	String name = "";
 
-	Optional<RouteTable> table = Optional.empty();
+	Optional<RouteTable> routeTable = Optional.empty();
 
 	boolean caughtUp;
 
-	boolean stale;
+	boolean logStale;
 
 	long caughtUpAt;
 
@@ -159,14 +159,14 @@
 
 	long now;
 
-	long logReadAt;
+	long lastLogReadAt;
 
 	private List<RelayEffect> effects = new ArrayList<>();
 
 	RelayState(RelaySettings settings) {
 		this.maxInputBytes = settings.maxInputBytes();
 		this.textPartition = settings.textPartition();
-		this.tolerance = settings.quotaTolerance();
+		this.quotaTolerance = settings.quotaTolerance();
 		this.tokens = new ProgramTokens(settings.maxPrograms());
 		this.turnCache = new TurnCache(settings.turnCacheBytes());
 		this.ledgerComplete = settings.bootstrap();
@@ -246,7 +246,7 @@
 	 * @return whether it does
 	 */
 	boolean upToDate() {
-		return this.caughtUp && !this.stale && this.ledgerComplete;
+		return this.caughtUp && !this.logStale && this.ledgerComplete;
 	}
 
 	void report(Notice notice) {
@@ -268,11 +268,11 @@
 	}
 
 	Optional<RouteTable.Engine> engine(String service) {
-		return this.table.flatMap((known) -> Optional.ofNullable(known.services().get(service)))
+		return this.routeTable.flatMap((known) -> Optional.ofNullable(known.services().get(service)))
 			.flatMap(RouteTable.Service::engine);
 	}
 
-	long memory(Upstream upstream) {
+	long cacheTokens(Upstream upstream) {
 		return engine(upstream.service()).map(RouteTable.Engine::cacheTokens).orElse(0L);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
@@ -39,13 +39,13 @@
 	}
 
 	void requestReceived(RelayEvent.RequestReceived asked) {
-		if (this.state.table.isEmpty() || !this.state.upstreams.initialized()) {
+		if (this.state.routeTable.isEmpty() || !this.state.upstreams.initialized()) {
 			boolean turn = asked.head().turn().isPresent();
 			this.ends.refuseWithoutExchange(asked, Refusal.NOT_READY,
 					Optional.of(turn ? RelaySettings.RETRY_AFTER_LOG_READ : RelaySettings.RETRY_AFTER_RECOVERY));
 			return;
 		}
-		RouteTable table = this.state.table.get();
+		RouteTable table = this.state.routeTable.get();
 		Optional<Route> route = table.find(asked.head().host(), asked.head().path());
 		Optional<CallerIdentity> caller = table.identify(route, asked.head().origin().key());
 		if (caller.isEmpty()) {
@@ -70,7 +70,7 @@
 	}
 
 	private void admitted(Exchange exchange) {
-		boolean waits = this.state.stale || !this.texts.resolveChain(exchange);
+		boolean waits = this.state.logStale || !this.texts.resolveChain(exchange);
 		if (exchange.head().turn().isEmpty() || !waits) {
 			dispatch(exchange);
 			return;
@@ -112,7 +112,7 @@
 	 * Goes on with the turns whose texts before are at hand by now.
 	 */
 	void dispatchWaiting() {
-		if (this.state.stale) {
+		if (this.state.logStale) {
 			return;
 		}
 		for (Exchange exchange : List.copyOf(this.state.awaitingChain.values())) {
@@ -208,7 +208,7 @@
 		this.state.report(RelayNotices.requestPlaced(exchange, weighed, this.state));
 		this.state.upstreams.requestSent(exchange.id(), known, this.state.now);
 		List<PromptPart> prompt = exchange.head().prompt();
-		known.addToCache(prompt, this.state.memory(upstream));
+		known.addToCache(prompt, this.state.cacheTokens(upstream));
 		exchange.head().turn().ifPresent((turn) -> reserve(exchange, turn, upstream, prompt));
 		if (exchange.route().repeatable() && exchange.markIdleTimerStarted()) {
 			this.state.idleTimeout.start(exchange);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
@@ -32,7 +32,7 @@
 		if (!this.state.ledgerComplete && this.state.caughtUp) {
 			lookWhetherComplete();
 		}
-		boolean now = this.state.table.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
+		boolean now = this.state.routeTable.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
 				&& this.state.membershipKnown() && this.state.connectivity != Connectivity.NOTHING
 				&& this.state.textEndOffset >= 0;
 		if (now != this.state.ready) {
@@ -51,7 +51,7 @@
 			complete();
 			return;
 		}
-		Duration longest = this.state.table.stream()
+		Duration longest = this.state.routeTable.stream()
 			.flatMap((table) -> table.routes().stream())
 			.map(Route::retention)
 			.max(Duration::compareTo)
@@ -62,10 +62,10 @@
 	}
 
 	void routeTableUpdated(RouteTable read) {
-		if (this.state.table.isPresent() && this.state.table.get().version() >= read.version()) {
+		if (this.state.routeTable.isPresent() && this.state.routeTable.get().version() >= read.version()) {
 			return;
 		}
-		this.state.table = Optional.of(read);
+		this.state.routeTable = Optional.of(read);
 		this.state.emit(new RelayEffect.ApplyLimits(read.limits()));
 		this.state.report(RelayNotices.routesAccepted(read));
 	}
@@ -114,7 +114,7 @@
 	void processResumed(Duration slept) {
 		this.state.report(RelayNotices.processResumed(slept));
 		if (this.state.caughtUp) {
-			this.state.stale = true;
+			this.state.logStale = true;
 			this.state.emit(new RelayEffect.CatchUp());
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -302,7 +302,7 @@
 	 * @param exchange the exchange that waits
 	 */
 	void chainTimedOut(Exchange exchange) {
-		boolean exists = exchange.phase() == Phase.WAITING_FOR_CHAIN && !this.state.stale
+		boolean exists = exchange.phase() == Phase.WAITING_FOR_CHAIN && !this.state.logStale
 				&& chain(exchange) instanceof Chain.Incomplete;
 		if (exists && exchange.extendWait()) {
 			this.state.startTimer(exchange, exchange.remaining(this.state.now).dividedBy(TEXTS_WAIT_PART),
