--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
@@ -41,7 +41,7 @@
 	 * The longest period that the log decides on. A longer one is cut into equal parts:
 	 * what the records of a longer one said would be forgotten within it.
 	 */
-	static final Duration LONGEST_PERIOD = Ledger.MEMORY.minusHours(2);
+	static final Duration LONGEST_PERIOD = Ledger.RETENTION.minusHours(2);
 
 	private static final Duration LOG_WAIT = Duration.ofSeconds(2);
 
@@ -195,7 +195,7 @@
 	}
 
 	private long indexOf(GroupName group, Terms terms) {
-		long read = stateOf(group, terms).map(BudgetState::index).orElse(Long.MIN_VALUE);
+		long read = stateOf(group, terms).map(BudgetState::periodIndex).orElse(Long.MIN_VALUE);
 		long now = this.draft.clock.map((clock) -> BudgetState.indexAt(clock.at(this.draft.now), terms.period()))
 			.orElse(Long.MIN_VALUE);
 		return Math.max(read, now);
@@ -210,7 +210,9 @@
 	}
 
 	private long reservedOf(GroupName group, Terms terms, long index) {
-		return stateOf(group, terms).filter((state) -> state.index() >= index).map(BudgetState::reserved).orElse(0L);
+		return stateOf(group, terms).filter((state) -> state.periodIndex() >= index)
+			.map(BudgetState::reserved)
+			.orElse(0L);
 	}
 
 	/**
@@ -225,7 +227,7 @@
 			return;
 		}
 		Account<Ticket> account = accountOf(group, termsOf(group).get()).granted(change.state().period(),
-				change.state().index(), record.tokens(), this.draft.now);
+				change.state().periodIndex(), record.tokens(), this.draft.now);
 		putDecided(group, account, record.sequence());
 		this.draft.report(NoticeCode.SLICE_RESERVED.with(FieldName.GROUP, group)
 			.with(FieldName.TOKENS, record.tokens())
@@ -239,7 +241,7 @@
 	 * @param change what came back
 	 * @param offset where the record stands
 	 */
-	void givenBack(LedgerChange.SliceGivenBack change, long offset) {
+	void givenBack(LedgerChange.SliceReturned change, long offset) {
 		LedgerRecord.SliceReturned record = change.record();
 		boolean own = record.entry().equals(this.draft.self);
 		for (Account<Ticket> account : this.draft.accounts.get(record.group())) {
@@ -281,7 +283,10 @@
 	private void putDecided(GroupName group, Account<Ticket> account, long sequence) {
 		Account<Ticket> decided = account.decided(sequence, this.draft.now);
 		this.draft.put(group, decided);
-		if (this.draft.log.ledger().budget(group).filter((state) -> state.index() >= decided.index()).isPresent()) {
+		if (this.draft.log.ledger()
+			.budget(group)
+			.filter((state) -> state.periodIndex() >= decided.index())
+			.isPresent()) {
 			this.draft.putAndAdvance(group, decided);
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
@@ -189,13 +189,13 @@
 
 	private Either<CallFailure, Route> routeOf(CallRequest request) {
 		if (this.draft.log.ledger()
-			.crashes(request.content()) >= configuration().limits().faults().crashesBeforeStop()) {
+			.crashCount(request.content()) >= configuration().limits().faults().crashesBeforeStop()) {
 			return Either.left(CallFailure.mayHaveRun(FailureCause.CRASHES_UPSTREAMS,
 					"The request crashed upstreams before and is not run again."));
 		}
 		Optional<ProgramId> program = request.place().map(ProgramCall::program);
 		Optional<ProgramState> ended = program.flatMap(this.draft.log.ledger()::program)
-			.filter((state) -> state.ended().isPresent());
+			.filter((state) -> state.endReason().isPresent());
 		if (ended.isPresent()) {
 			return Either.left(CallFailure.ofEndedProgram(request, ended.get().lastCall()));
 		}
@@ -256,7 +256,7 @@
 		}
 		ProgramId program = programOf(event.caller(), event.program());
 		ProcessId home = state.get().home();
-		if (state.get().ended().isPresent()
+		if (state.get().endReason().isPresent()
 				|| this.draft.peer(home.vm()).filter((peer) -> peer.isLinkedTo(home)).isEmpty()) {
 			show(event.ticket(), program, state.get());
 			return;
@@ -286,7 +286,7 @@
 	// Shows what the log says, without the messages, since the home cannot be asked.
 	private void show(Ticket ticket, ProgramId program, ProgramState state) {
 		this.draft.run(new EntryEffect.ShowProgram(ticket,
-				new ProgramView(program, state.epoch(), state.lastCall(), 0, state.ended(), List.of())));
+				new ProgramView(program, state.epoch(), state.lastCall(), 0, state.endReason(), List.of())));
 	}
 
 	void answered(LinkMessage.ProgramAnswer answer) {
@@ -311,7 +311,7 @@
 			return;
 		}
 		ProgramId program = programOf(event.caller(), event.program());
-		if (state.get().ended().isPresent()) {
+		if (state.get().endReason().isPresent()) {
 			show(event.ticket(), program, state.get());
 			return;
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
@@ -164,7 +164,9 @@
 	private EntryStatus.Group view(GroupPolicy policy) {
 		long used = this.log.ledger()
 			.budget(policy.name())
-			.map((state) -> this.clock.map((each) -> state.at(each.at(this.lastMeasured))).orElse(state).reserved())
+			.map((state) -> this.clock.map((each) -> state.advanceTo(each.at(this.lastMeasured)))
+				.orElse(state)
+				.reserved())
 			.orElse(0L);
 		return new EntryStatus.Group(policy.name(), policy.share(), used,
 				policy.budget().map((budget) -> budget.inPartsOf(BudgetRules.LONGEST_PERIOD)).map(Budget::tokens));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
@@ -53,7 +53,7 @@
 		int index = 0;
 		for (LedgerRecord record : event.batch()) {
 			Position position = new Position(event.offset(), index);
-			Ledger.Reading reading = this.draft.log.ledger().apply(position, event.time(), record);
+			Ledger.ApplyResult reading = this.draft.log.ledger().apply(position, event.time(), record);
 			this.draft.log = this.draft.log.withLedger(reading.ledger());
 			reading.changes().forEach((change) -> follow(change, event.offset()));
 			index++;
@@ -64,19 +64,19 @@
 	private void follow(LedgerChange change, long offset) {
 		switch (change) {
 			case LedgerChange.HomeChanged changed -> this.routes.claimDecided(new Route.ForHome(changed.program()));
-			case LedgerChange.ProgramClosed closed -> {
+			case LedgerChange.ProgramEnded closed -> {
 				this.routes.claimDecided(new Route.ForHome(closed.program()));
 				new CallerRules(this.draft).ended(closed.program(), closed.state());
 			}
-			case LedgerChange.CallTaken taken -> this.routes.claimDecided(new Route.ForClaim(taken.key()));
-			case LedgerChange.CallDone done -> this.routes.claimDecided(new Route.ForClaim(done.key()));
+			case LedgerChange.CallClaimed taken -> this.routes.claimDecided(new Route.ForClaim(taken.key()));
+			case LedgerChange.CallCompleted done -> this.routes.claimDecided(new Route.ForClaim(done.key()));
 			case LedgerChange.CallReleased released -> this.routes.lookAgain(new Route.ForClaim(released.key()));
 			case LedgerChange.Voided voided -> voided(voided.record());
 			case LedgerChange.SliceGranted granted -> this.budgets.granted(granted, offset);
-			case LedgerChange.SliceGivenBack givenBack -> this.budgets.givenBack(givenBack, offset);
+			case LedgerChange.SliceReturned givenBack -> this.budgets.givenBack(givenBack, offset);
 			case LedgerChange.TurnAdded added -> {
 			}
-			case LedgerChange.CrashCounted counted -> {
+			case LedgerChange.CrashCountChanged counted -> {
 			}
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
@@ -120,7 +120,7 @@
 		size(CollectionName.RUNNING_CALLS, this.draft.attempts.size());
 		size(CollectionName.PROGRAMS, this.draft.log.ledger().programCount());
 		size(CollectionName.IDEMPOTENCY_RECORDS, this.draft.log.ledger().claimCount());
-		size(CollectionName.CRASH_RECORDS, this.draft.log.ledger().blameCount());
+		size(CollectionName.CRASH_RECORDS, this.draft.log.ledger().crashRecordCount());
 		size(CollectionName.UPSTREAMS, this.draft.peers.size());
 		size(CollectionName.APPEND_QUEUE, this.draft.appends.size());
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/RouteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/RouteRules.java
@@ -87,7 +87,7 @@
 			return;
 		}
 		ProgramState state = known.get();
-		if (state.ended().isPresent()) {
+		if (state.endReason().isPresent()) {
 			refuse(call, CallFailure.ofEndedProgram(call.request(), state.lastCall()));
 			return;
 		}
@@ -97,7 +97,7 @@
 			return;
 		}
 		if (peer.get().isLinkedTo(state.home())) {
-			send(call, state.home(), new Standing.ForHome(state.home(), state.epoch(), state.claimed().offset()),
+			send(call, state.home(), new Standing.ForHome(state.home(), state.epoch(), state.claimPosition().offset()),
 					state.epoch());
 			return;
 		}
@@ -117,7 +117,7 @@
 			.place()
 			.flatMap(ProgramCall::parent)
 			.flatMap(this.draft.log.ledger()::program)
-			.flatMap(ProgramState::ended)
+			.flatMap(ProgramState::endReason)
 			.isPresent();
 		if (orphaned) {
 			refuse(call, CallFailure.ofEndedProgram(call.request(), 0));
@@ -159,7 +159,8 @@
 		}
 		if (peer.get().isLinkedTo(claim.executor())) {
 			send(call, claim.executor(),
-					new Standing.ForClaimedCall(route.key(), claim.executor(), claim.claimed().offset()), Epoch.NONE);
+					new Standing.ForClaimedCall(route.key(), claim.executor(), claim.claimPosition().offset()),
+					Epoch.NONE);
 			return;
 		}
 		Instant patience = peer.get().since().plus(TAKEOVER_TIME);
@@ -480,7 +481,7 @@
 			// A request that was running when an engine crashed is not sent to the next
 			// one by itself: whoever wants it asks again, when the log knows of the
 			// crash.
-			case CallRequest.ForModel model -> this.draft.log.ledger().crashes(model.content()) == 0;
+			case CallRequest.ForModel model -> this.draft.log.ledger().crashCount(model.content()) == 0;
 			case CallRequest.ForService service -> service.repeatable();
 		};
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/BudgetState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/BudgetState.java
@@ -19,20 +19,20 @@
  * @param configurationVersion the newest configuration that the records name
  * @param limit the tokens of one period in it
  * @param period the length of a period in it
- * @param confirmed the log's time of the last reservation under it
- * @param index the number of the period, counted from the epoch of the log's clock
+ * @param lastReservedAt the log's time of the last reservation under it
+ * @param periodIndex the number of the period, counted from the epoch of the log's clock
  * @param reserved the tokens reserved in the period and not returned
  * @param entries what the log knows of the entries that wrote in the period
  */
-public record BudgetState(long configurationVersion, long limit, Duration period, Instant confirmed, long index,
-		long reserved, Map<ProcessId, EntryPart> entries) {
+public record BudgetState(long configurationVersion, long limit, Duration period, Instant lastReservedAt,
+		long periodIndex, long reserved, Map<ProcessId, EntryUsage> entries) {
 
 	/**
 	 * The most entries that are known in one period, by their lives.
 	 */
-	public static final int MOST_ENTRIES = 1024;
+	public static final int MAX_ENTRIES = 1024;
 
-	static BudgetState firstOf(LedgerRecord.SliceReserved record, Instant time) {
+	static BudgetState create(LedgerRecord.SliceReserved record, Instant time) {
 		return new BudgetState(record.configurationVersion(), record.limit(), record.period(), time,
 				indexAt(time, record.period()), 0, HashMap.empty());
 	}
@@ -51,7 +51,7 @@
 	 * Returns the tokens that may be reserved yet.
 	 * @return the tokens, none if the limit was lowered below what is reserved
 	 */
-	public long left() {
+	public long remaining() {
 		return Math.max(0, this.limit - this.reserved);
 	}
 
@@ -62,65 +62,65 @@
 	 * @param time the log's time
 	 * @return the state
 	 */
-	public BudgetState at(Instant time) {
+	public BudgetState advanceTo(Instant time) {
 		long next = indexAt(time, this.period);
-		return (next <= this.index) ? this : new BudgetState(this.configurationVersion, this.limit, this.period,
-				this.confirmed, next, 0, HashMap.empty());
+		return (next <= this.periodIndex) ? this : new BudgetState(this.configurationVersion, this.limit, this.period,
+				this.lastReservedAt, next, 0, HashMap.empty());
 	}
 
-	BudgetState seen(LedgerRecord.SliceReserved record, Instant time) {
-		BudgetState current = at(time);
+	BudgetState withConfigurationOf(LedgerRecord.SliceReserved record, Instant time) {
+		BudgetState current = advanceTo(time);
 		if (record.configurationVersion() < this.configurationVersion) {
 			return current;
 		}
 		// What is reserved stays so when the length of a period changes: the new period
 		// overlaps the old one.
-		long number = (record.period().equals(current.period)) ? current.index : indexAt(time, record.period());
+		long number = (record.period().equals(current.period)) ? current.periodIndex : indexAt(time, record.period());
 		return new BudgetState(record.configurationVersion(), record.limit(), record.period(), time, number,
 				current.reserved, current.entries);
 	}
 
 	Decision reserve(LedgerRecord.SliceReserved record) {
-		EntryPart part = partOf(record.entry());
+		EntryUsage part = usageOf(record.entry());
 		if (record.sequence() <= part.sequence()) {
 			return new Decision(this, Optional.of(VoidReason.SLICE_REPEATED));
 		}
-		if (record.tokens() > left()) {
-			return new Decision(with(record.entry(), new EntryPart(record.sequence(), part.reserved()), this.reserved),
+		if (record.tokens() > remaining()) {
+			return new Decision(with(record.entry(), new EntryUsage(record.sequence(), part.reserved()), this.reserved),
 					Optional.of(VoidReason.BUDGET_EXHAUSTED));
 		}
-		EntryPart more = new EntryPart(record.sequence(), part.reserved() + record.tokens());
+		EntryUsage more = new EntryUsage(record.sequence(), part.reserved() + record.tokens());
 		return new Decision(with(record.entry(), more, this.reserved + record.tokens()), Optional.empty());
 	}
 
-	Decision giveBack(LedgerRecord.SliceReturned record) {
-		EntryPart part = partOf(record.entry());
+	Decision returnTokens(LedgerRecord.SliceReturned record) {
+		EntryUsage part = usageOf(record.entry());
 		if (record.sequence() <= part.sequence()) {
 			return new Decision(this, Optional.of(VoidReason.SLICE_REPEATED));
 		}
-		if (record.periodIndex() != this.index || record.tokens() > part.reserved()) {
+		if (record.periodIndex() != this.periodIndex || record.tokens() > part.reserved()) {
 			return new Decision(this, Optional.of(VoidReason.SLICE_UNKNOWN));
 		}
-		EntryPart less = new EntryPart(record.sequence(), part.reserved() - record.tokens());
+		EntryUsage less = new EntryUsage(record.sequence(), part.reserved() - record.tokens());
 		return new Decision(with(record.entry(), less, this.reserved - record.tokens()), Optional.empty());
 	}
 
-	private EntryPart partOf(ProcessId entry) {
-		return this.entries.getOrElse(entry, EntryPart.NONE);
+	private EntryUsage usageOf(ProcessId entry) {
+		return this.entries.getOrElse(entry, EntryUsage.NONE);
 	}
 
-	private BudgetState with(ProcessId entry, EntryPart part, long total) {
-		Map<ProcessId, EntryPart> known = (this.entries.containsKey(entry) || this.entries.size() < MOST_ENTRIES)
-				? this.entries : withoutLeast();
-		return new BudgetState(this.configurationVersion, this.limit, this.period, this.confirmed, this.index, total,
-				known.put(entry, part));
+	private BudgetState with(ProcessId entry, EntryUsage part, long total) {
+		Map<ProcessId, EntryUsage> known = (this.entries.containsKey(entry) || this.entries.size() < MAX_ENTRIES)
+				? this.entries : evictSmallest();
+		return new BudgetState(this.configurationVersion, this.limit, this.period, this.lastReservedAt,
+				this.periodIndex, total, known.put(entry, part));
 	}
 
 	// Makes room for an entry. Entries that start again and again would fill the memory
 	// of every process. What the forgotten one reserved stays reserved, and a repeated
 	// record of it could only reserve once more: the limit holds either way.
-	private Map<ProcessId, EntryPart> withoutLeast() {
-		Comparator<ProcessId> order = Comparator.comparing((ProcessId entry) -> partOf(entry).reserved())
+	private Map<ProcessId, EntryUsage> evictSmallest() {
+		Comparator<ProcessId> order = Comparator.comparing((ProcessId entry) -> usageOf(entry).reserved())
 			.thenComparing(ProcessId::vm)
 			.thenComparing((entry) -> entry.incarnation().value());
 		return this.entries.keySet().minBy(order).map(this.entries::remove).getOrElse(this.entries);
@@ -132,9 +132,9 @@
 	 * @param sequence the highest sequence of its records
 	 * @param reserved the tokens that it reserved and did not return
 	 */
-	public record EntryPart(long sequence, long reserved) {
+	public record EntryUsage(long sequence, long reserved) {
 
-		static final EntryPart NONE = new EntryPart(Long.MIN_VALUE, 0);
+		static final EntryUsage NONE = new EntryUsage(Long.MIN_VALUE, 0);
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/ClaimState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/ClaimState.java
@@ -11,13 +11,13 @@
  *
  * @param content the digest of what is asked
  * @param executor the only process that may run the call
- * @param claimed where the claim stands
+ * @param claimPosition where the claim stands
  * @param outcome the outcome, if the executor wrote one
  */
-public record ClaimState(Digest content, ProcessId executor, Position claimed, Optional<CallOutcome> outcome) {
+public record ClaimState(Digest content, ProcessId executor, Position claimPosition, Optional<CallOutcome> outcome) {
 
-	ClaimState settled(CallOutcome value) {
-		return new ClaimState(this.content, this.executor, this.claimed, Optional.of(value));
+	ClaimState withOutcome(CallOutcome value) {
+		return new ClaimState(this.content, this.executor, this.claimPosition, Optional.of(value));
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Ledger.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Ledger.java
@@ -33,7 +33,7 @@
 	 * process that reads what the log still has forgets the same programs as one that has
 	 * read all of it.
 	 */
-	public static final Duration MEMORY = Duration.ofHours(26);
+	public static final Duration RETENTION = Duration.ofHours(26);
 
 	private final Map<ProgramId, ProgramState> programs;
 
@@ -41,33 +41,33 @@
 
 	private final Map<CallKey, ClaimState> claims;
 
-	private final Map<Digest, Blame> blames;
+	private final Map<Digest, CrashRecord> crashRecords;
 
 	private final Map<GroupName, BudgetState> budgets;
 
 	private final Queue<Expiry> expiries;
 
-	private final Duration memory;
+	private final Duration retention;
 
 	private Ledger(Map<ProgramId, ProgramState> programs, Map<ProgramId, Set<ProgramId>> children,
-			Map<CallKey, ClaimState> claims, Map<Digest, Blame> blames, Map<GroupName, BudgetState> budgets,
+			Map<CallKey, ClaimState> claims, Map<Digest, CrashRecord> blames, Map<GroupName, BudgetState> budgets,
 			Queue<Expiry> expiries, Duration memory) {
 		this.programs = programs;
 		this.children = children;
 		this.claims = claims;
-		this.blames = blames;
+		this.crashRecords = blames;
 		this.budgets = budgets;
 		this.expiries = expiries;
-		this.memory = memory;
+		this.retention = memory;
 	}
 
 	/**
 	 * Returns a ledger without records.
-	 * @param memory how long, by the log's time, a program is remembered after its first
-	 * claim and a call or a crash after its last record
+	 * @param retention how long, by the log's time, a program is remembered after its
+	 * first claim and a call or a crash after its last record
 	 * @return an empty ledger
 	 */
-	public static Ledger remembering(Duration memory) {
+	public static Ledger withRetention(Duration memory) {
 		return new Ledger(HashMap.empty(), HashMap.empty(), HashMap.empty(), HashMap.empty(), HashMap.empty(),
 				Queue.empty(), memory);
 	}
@@ -95,8 +95,8 @@
 	 * @param content the digest of the request
 	 * @return the number of crashes, 0 for a request that no crash is known of
 	 */
-	public int crashes(Digest content) {
-		return this.blames.get(content).map(Blame::count).getOrElse(0);
+	public int crashCount(Digest content) {
+		return this.crashRecords.get(content).map(CrashRecord::count).getOrElse(0);
 	}
 
 	/**
@@ -120,8 +120,8 @@
 	 * Returns the number of requests blamed for crashes.
 	 * @return the number of requests
 	 */
-	public int blameCount() {
-		return this.blames.size();
+	public int crashRecordCount() {
+		return this.crashRecords.size();
 	}
 
 	/**
@@ -139,25 +139,25 @@
 	 * @param record the record
 	 * @return the ledger after the record and what changed
 	 */
-	public Reading apply(Position position, Instant time, LedgerRecord record) {
-		Ledger current = forgetBefore(time.minus(this.memory));
+	public ApplyResult apply(Position position, Instant time, LedgerRecord record) {
+		Ledger current = forgetBefore(time.minus(this.retention));
 		return switch (record) {
 			case LedgerRecord.ProgramClaimed claimed -> current.claimProgram(position, time, claimed);
 			case LedgerRecord.TurnCommitted committed -> current.addTurn(position, time, committed);
 			case LedgerRecord.ProgramEnded ended -> current.endProgram(ended);
 			case LedgerRecord.CallClaimed claimed -> current.claimCall(position, time, claimed);
 			case LedgerRecord.CallSettled settled -> current.settleCall(time, settled);
-			case LedgerRecord.RequestBlamed blamed -> current.blame(time, blamed);
-			case LedgerRecord.RequestCleared cleared -> current.clear(cleared);
+			case LedgerRecord.UpstreamCrashed blamed -> current.recordCrash(time, blamed);
+			case LedgerRecord.CrashesCleared cleared -> current.clearCrashes(cleared);
 			case LedgerRecord.SliceReserved reserved -> current.reserve(time, reserved);
 			case LedgerRecord.SliceReturned returned -> current.giveBack(time, returned);
 		};
 	}
 
-	private Reading claimProgram(Position position, Instant time, LedgerRecord.ProgramClaimed record) {
+	private ApplyResult claimProgram(Position position, Instant time, LedgerRecord.ProgramClaimed record) {
 		ProgramId program = record.program();
 		Optional<ProgramState> known = program(program);
-		if (known.isPresent() && known.get().ended().isPresent()) {
+		if (known.isPresent() && known.get().endReason().isPresent()) {
 			return voided(record, VoidReason.PROGRAM_ENDED);
 		}
 		Epoch epoch = known.map(ProgramState::epoch).orElse(Epoch.NONE);
@@ -165,13 +165,13 @@
 			return voided(record, VoidReason.EPOCH_TAKEN);
 		}
 		if (known.isPresent()) {
-			ProgramState moved = known.get().movedTo(record.home(), record.epoch(), position);
+			ProgramState moved = known.get().withHome(record.home(), record.epoch(), position);
 			return with(program, moved, new LedgerChange.HomeChanged(program, moved, known.get().home()));
 		}
 		// A child of an ended parent would never be ended again: nobody would wait for
 		// it, and its engine memory would stay held. Voiding its first claim is enough,
 		// since a program without a home runs nothing.
-		if (record.parent().flatMap(this::program).flatMap(ProgramState::ended).isPresent()) {
+		if (record.parent().flatMap(this::program).flatMap(ProgramState::endReason).isPresent()) {
 			return voided(record, VoidReason.PROGRAM_ENDED);
 		}
 		ProgramState created = new ProgramState(record.epoch(), record.home(), record.parent(), time, position, 0,
@@ -181,13 +181,13 @@
 			.with(program, created, new LedgerChange.HomeChanged(program, created, record.home()));
 	}
 
-	private Reading addTurn(Position position, Instant time, LedgerRecord.TurnCommitted record) {
+	private ApplyResult addTurn(Position position, Instant time, LedgerRecord.TurnCommitted record) {
 		Optional<ProgramState> known = program(record.program());
 		if (known.isEmpty()) {
 			return voided(record, VoidReason.UNKNOWN);
 		}
 		ProgramState state = known.get();
-		if (state.ended().isPresent()) {
+		if (state.endReason().isPresent()) {
 			return voided(record, VoidReason.PROGRAM_ENDED);
 		}
 		if (!state.epoch().equals(record.epoch())) {
@@ -200,17 +200,17 @@
 		return with(record.program(), longer, new LedgerChange.TurnAdded(record.program(), longer, record.turn()));
 	}
 
-	private Reading endProgram(LedgerRecord.ProgramEnded record) {
+	private ApplyResult endProgram(LedgerRecord.ProgramEnded record) {
 		Optional<ProgramState> known = program(record.program());
 		if (known.isEmpty()) {
 			return voided(record, VoidReason.UNKNOWN);
 		}
-		if (known.get().ended().isPresent()) {
+		if (known.get().endReason().isPresent()) {
 			return voided(record, VoidReason.PROGRAM_ENDED);
 		}
 		List<LedgerChange> changes = new ArrayList<>();
 		Ledger next = close(record.program(), record.reason(), changes);
-		return new Reading(next, changes);
+		return new ApplyResult(next, changes);
 	}
 
 	// Ends a program and all its descendants. The work list is explicit, since a chain of
@@ -222,29 +222,30 @@
 			ProgramId next = open.head();
 			open = open.tail().appendAll(this.children.getOrElse(next, HashSet.empty()));
 			Optional<ProgramState> state = states.get(next).toJavaOptional();
-			if (state.isEmpty() || state.get().ended().isPresent()) {
+			if (state.isEmpty() || state.get().endReason().isPresent()) {
 				continue;
 			}
 			EndReason why = (next.equals(program)) ? reason : EndReason.WITH_PARENT;
-			ProgramState ended = state.get().endedFor(why);
+			ProgramState ended = state.get().withEndReason(why);
 			states = states.put(next, ended);
-			changes.add(new LedgerChange.ProgramClosed(next, ended, why));
+			changes.add(new LedgerChange.ProgramEnded(next, ended, why));
 		}
-		return new Ledger(states, this.children, this.claims, this.blames, this.budgets, this.expiries, this.memory);
+		return new Ledger(states, this.children, this.claims, this.crashRecords, this.budgets, this.expiries,
+				this.retention);
 	}
 
-	private Reading claimCall(Position position, Instant time, LedgerRecord.CallClaimed record) {
+	private ApplyResult claimCall(Position position, Instant time, LedgerRecord.CallClaimed record) {
 		if (this.claims.containsKey(record.key())) {
 			return voided(record, VoidReason.CALL_TAKEN);
 		}
 		ClaimState state = new ClaimState(record.content(), record.executor(), position, Optional.empty());
 		Queue<Expiry> due = this.expiries.enqueue(new Expiry.ForClaim(time, record.key(), position, false));
-		Ledger next = new Ledger(this.programs, this.children, this.claims.put(record.key(), state), this.blames,
-				this.budgets, due, this.memory);
-		return new Reading(next, List.of(new LedgerChange.CallTaken(record.key(), state)));
+		Ledger next = new Ledger(this.programs, this.children, this.claims.put(record.key(), state), this.crashRecords,
+				this.budgets, due, this.retention);
+		return new ApplyResult(next, List.of(new LedgerChange.CallClaimed(record.key(), state)));
 	}
 
-	private Reading settleCall(Instant time, LedgerRecord.CallSettled record) {
+	private ApplyResult settleCall(Instant time, LedgerRecord.CallSettled record) {
 		Optional<ClaimState> known = claim(record.key());
 		if (known.isEmpty()) {
 			return voided(record, VoidReason.UNKNOWN);
@@ -254,89 +255,90 @@
 			return voided(record, VoidReason.NOT_EXECUTOR);
 		}
 		if (record.outcome().verdict() == Verdict.NOT_RUN) {
-			Ledger next = new Ledger(this.programs, this.children, this.claims.remove(record.key()), this.blames,
-					this.budgets, this.expiries, this.memory);
-			return new Reading(next, List.of(new LedgerChange.CallReleased(record.key(), record.executor())));
+			Ledger next = new Ledger(this.programs, this.children, this.claims.remove(record.key()), this.crashRecords,
+					this.budgets, this.expiries, this.retention);
+			return new ApplyResult(next, List.of(new LedgerChange.CallReleased(record.key(), record.executor())));
 		}
-		ClaimState settled = state.settled(record.outcome());
-		Queue<Expiry> due = this.expiries.enqueue(new Expiry.ForClaim(time, record.key(), state.claimed(), true));
-		Ledger next = new Ledger(this.programs, this.children, this.claims.put(record.key(), settled), this.blames,
-				this.budgets, due, this.memory);
-		return new Reading(next, List.of(new LedgerChange.CallDone(record.key(), settled)));
+		ClaimState settled = state.withOutcome(record.outcome());
+		Queue<Expiry> due = this.expiries.enqueue(new Expiry.ForClaim(time, record.key(), state.claimPosition(), true));
+		Ledger next = new Ledger(this.programs, this.children, this.claims.put(record.key(), settled),
+				this.crashRecords, this.budgets, due, this.retention);
+		return new ApplyResult(next, List.of(new LedgerChange.CallCompleted(record.key(), settled)));
 	}
 
 	// A crash in company blames every request that ran, so the innocent ones among them
 	// must not be stopped for it: it counts only once. From then on the request runs
 	// alone, where a crash proves its guilt and the end without one its innocence.
-	private Reading blame(Instant time, LedgerRecord.RequestBlamed record) {
-		int before = crashes(record.content());
-		int after = (record.alone()) ? before + 1 : Math.max(before, 1);
+	private ApplyResult recordCrash(Instant time, LedgerRecord.UpstreamCrashed record) {
+		int before = crashCount(record.content());
+		int after = (record.isolated()) ? before + 1 : Math.max(before, 1);
 		Queue<Expiry> due = this.expiries.enqueue(new Expiry.ForBlame(time, record.content()));
 		Ledger next = new Ledger(this.programs, this.children, this.claims,
-				this.blames.put(record.content(), new Blame(after, time)), this.budgets, due, this.memory);
-		return new Reading(next, List.of(new LedgerChange.CrashCounted(record.content(), after)));
+				this.crashRecords.put(record.content(), new CrashRecord(after, time)), this.budgets, due,
+				this.retention);
+		return new ApplyResult(next, List.of(new LedgerChange.CrashCountChanged(record.content(), after)));
 	}
 
-	private Reading clear(LedgerRecord.RequestCleared record) {
-		Ledger next = new Ledger(this.programs, this.children, this.claims, this.blames.remove(record.content()),
-				this.budgets, this.expiries, this.memory);
-		return new Reading(next, List.of(new LedgerChange.CrashCounted(record.content(), 0)));
+	private ApplyResult clearCrashes(LedgerRecord.CrashesCleared record) {
+		Ledger next = new Ledger(this.programs, this.children, this.claims, this.crashRecords.remove(record.content()),
+				this.budgets, this.expiries, this.retention);
+		return new ApplyResult(next, List.of(new LedgerChange.CrashCountChanged(record.content(), 0)));
 	}
 
-	private Reading reserve(Instant time, LedgerRecord.SliceReserved record) {
-		BudgetState known = liveBudget(record.group(), time).map((state) -> state.seen(record, time))
-			.orElseGet(() -> BudgetState.firstOf(record, time));
+	private ApplyResult reserve(Instant time, LedgerRecord.SliceReserved record) {
+		BudgetState known = liveBudget(record.group(), time).map((state) -> state.withConfigurationOf(record, time))
+			.orElseGet(() -> BudgetState.create(record, time));
 		Ledger next = (this.budgets.containsKey(record.group())) ? this
 				: dueAt(new Expiry.ForBudget(time, record.group()));
 		return next.decided(record, record.group(), known.reserve(record),
 				(state) -> new LedgerChange.SliceGranted(record, state));
 	}
 
-	private Reading giveBack(Instant time, LedgerRecord.SliceReturned record) {
+	private ApplyResult giveBack(Instant time, LedgerRecord.SliceReturned record) {
 		Optional<BudgetState> known = liveBudget(record.group(), time);
 		if (known.isEmpty()) {
 			return voided(record, VoidReason.SLICE_UNKNOWN);
 		}
-		return decided(record, record.group(), known.get().at(time).giveBack(record),
-				(state) -> new LedgerChange.SliceGivenBack(record, state));
+		return decided(record, record.group(), known.get().advanceTo(time).returnTokens(record),
+				(state) -> new LedgerChange.SliceReturned(record, state));
 	}
 
 	// When a budget is taken out of the memory depends on what else waits to be
 	// forgotten, which processes that began to read at other offsets see differently. So
 	// its age decides here whether it counts.
 	private Optional<BudgetState> liveBudget(GroupName group, Instant time) {
-		return budget(group).filter((state) -> !state.confirmed().isBefore(time.minus(this.memory)));
+		return budget(group).filter((state) -> !state.lastReservedAt().isBefore(time.minus(this.retention)));
 	}
 
-	private Reading decided(LedgerRecord record, GroupName group, BudgetState.Decision decision,
+	private ApplyResult decided(LedgerRecord record, GroupName group, BudgetState.Decision decision,
 			Function<BudgetState, LedgerChange> change) {
-		Ledger next = new Ledger(this.programs, this.children, this.claims, this.blames,
-				this.budgets.put(group, decision.state()), this.expiries, this.memory);
-		return new Reading(next,
+		Ledger next = new Ledger(this.programs, this.children, this.claims, this.crashRecords,
+				this.budgets.put(group, decision.state()), this.expiries, this.retention);
+		return new ApplyResult(next,
 				List.of(decision.refusal()
 					.<LedgerChange>map((reason) -> new LedgerChange.Voided(record, reason))
 					.orElseGet(() -> change.apply(decision.state()))));
 	}
 
 	private Ledger dueAt(Expiry expiry) {
-		return new Ledger(this.programs, this.children, this.claims, this.blames, this.budgets,
-				this.expiries.enqueue(expiry), this.memory);
+		return new Ledger(this.programs, this.children, this.claims, this.crashRecords, this.budgets,
+				this.expiries.enqueue(expiry), this.retention);
 	}
 
 	private Ledger withChild(ProgramId parent, ProgramId child) {
 		Set<ProgramId> siblings = this.children.getOrElse(parent, HashSet.empty()).add(child);
-		return new Ledger(this.programs, this.children.put(parent, siblings), this.claims, this.blames, this.budgets,
-				this.expiries, this.memory);
+		return new Ledger(this.programs, this.children.put(parent, siblings), this.claims, this.crashRecords,
+				this.budgets, this.expiries, this.retention);
 	}
 
-	private Reading with(ProgramId program, ProgramState state, LedgerChange change) {
-		Ledger next = new Ledger(this.programs.put(program, state), this.children, this.claims, this.blames,
-				this.budgets, this.expiries, this.memory);
-		return new Reading(next, List.of(change));
+	private ApplyResult with(ProgramId program, ProgramState state, LedgerChange change) {
+		Ledger next = new Ledger(this.programs.put(program, state), this.children, this.claims, this.crashRecords,
+				this.budgets, this.expiries, this.retention);
+		return new ApplyResult(next, List.of(change));
 	}
 
-	private Reading voided(LedgerRecord record, VoidReason reason) {
-		return new Reading(this, List.of(new LedgerChange.Voided(record, reason)));
+	private ApplyResult voided(LedgerRecord record, VoidReason reason) {
+		return new ApplyResult(this, List.of(new LedgerChange.Voided(record, reason)));
 	}
 
 	// Drops what began before a time. Without it the memory of a process grows with every
@@ -365,36 +367,36 @@
 		if (parent.isPresent()) {
 			families = families.computeIfPresent(parent.get(), (key, siblings) -> siblings.remove(program))._2();
 		}
-		return new Ledger(this.programs.remove(program), families, this.claims, this.blames, this.budgets, rest,
-				this.memory);
+		return new Ledger(this.programs.remove(program), families, this.claims, this.crashRecords, this.budgets, rest,
+				this.retention);
 	}
 
 	// Drops a claim once its last record is old. The entry queued at the claim is skipped
 	// for a claim that was settled since, which has a later entry of its own, and for one
 	// that was released and made anew.
 	private Ledger forgetClaim(Expiry.ForClaim due, Queue<Expiry> rest) {
-		Optional<ClaimState> state = claim(due.key()).filter((claim) -> claim.claimed().equals(due.claimed()))
+		Optional<ClaimState> state = claim(due.key()).filter((claim) -> claim.claimPosition().equals(due.claimed()))
 			.filter((claim) -> claim.outcome().isPresent() == due.settled());
 		Map<CallKey, ClaimState> left = (state.isPresent()) ? this.claims.remove(due.key()) : this.claims;
-		return new Ledger(this.programs, this.children, left, this.blames, this.budgets, rest, this.memory);
+		return new Ledger(this.programs, this.children, left, this.crashRecords, this.budgets, rest, this.retention);
 	}
 
 	private Ledger forgetBlame(Expiry.ForBlame due, Queue<Expiry> rest) {
-		boolean latest = this.blames.get(due.content()).exists((blame) -> blame.last().equals(due.since()));
-		Map<Digest, Blame> left = (latest) ? this.blames.remove(due.content()) : this.blames;
-		return new Ledger(this.programs, this.children, this.claims, left, this.budgets, rest, this.memory);
+		boolean latest = this.crashRecords.get(due.content()).exists((blame) -> blame.last().equals(due.since()));
+		Map<Digest, CrashRecord> left = (latest) ? this.crashRecords.remove(due.content()) : this.crashRecords;
+		return new Ledger(this.programs, this.children, this.claims, left, this.budgets, rest, this.retention);
 	}
 
 	// Drops a budget whose last reservation under its newest configuration is old, and
 	// looks at the others again when that can be so.
 	private Ledger forgetBudget(Expiry.ForBudget due, Queue<Expiry> rest) {
 		Optional<BudgetState> state = budget(due.group());
-		if (state.isPresent() && state.get().confirmed().isAfter(due.since())) {
-			return new Ledger(this.programs, this.children, this.claims, this.blames, this.budgets,
-					rest.enqueue(new Expiry.ForBudget(state.get().confirmed(), due.group())), this.memory);
+		if (state.isPresent() && state.get().lastReservedAt().isAfter(due.since())) {
+			return new Ledger(this.programs, this.children, this.claims, this.crashRecords, this.budgets,
+					rest.enqueue(new Expiry.ForBudget(state.get().lastReservedAt(), due.group())), this.retention);
 		}
-		return new Ledger(this.programs, this.children, this.claims, this.blames, this.budgets.remove(due.group()),
-				rest, this.memory);
+		return new Ledger(this.programs, this.children, this.claims, this.crashRecords,
+				this.budgets.remove(due.group()), rest, this.retention);
 	}
 
 	/**
@@ -403,14 +405,14 @@
 	 * @param ledger the ledger after the record
 	 * @param changes what changed, at least one item
 	 */
-	public record Reading(Ledger ledger, List<LedgerChange> changes) {
+	public record ApplyResult(Ledger ledger, List<LedgerChange> changes) {
 
 		/**
 		 * Creates a reading.
 		 * @param ledger the ledger after the record
 		 * @param changes what changed, at least one item
 		 */
-		public Reading {
+		public ApplyResult {
 			changes = List.copyOf(changes);
 		}
 
@@ -422,7 +424,7 @@
 	 * @param count the crashes counted
 	 * @param last the log's time of the last one, counted or not
 	 */
-	private record Blame(int count, Instant last) {
+	private record CrashRecord(int count, Instant last) {
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/LedgerChange.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/LedgerChange.java
@@ -17,7 +17,7 @@
 	 * @param state its state
 	 * @param before the home before, or the new one if the program is new
 	 */
-	record HomeChanged(ProgramId program, ProgramState state, ProcessId before) implements LedgerChange {
+	record HomeChanged(ProgramId program, ProgramState state, ProcessId previousHome) implements LedgerChange {
 
 	}
 
@@ -39,7 +39,7 @@
 	 * @param state its state
 	 * @param reason why it ended
 	 */
-	record ProgramClosed(ProgramId program, ProgramState state, EndReason reason) implements LedgerChange {
+	record ProgramEnded(ProgramId program, ProgramState state, EndReason reason) implements LedgerChange {
 
 	}
 
@@ -49,7 +49,7 @@
 	 * @param key the key of the call
 	 * @param state the claim
 	 */
-	record CallTaken(CallKey key, ClaimState state) implements LedgerChange {
+	record CallClaimed(CallKey key, ClaimState state) implements LedgerChange {
 
 	}
 
@@ -59,7 +59,7 @@
 	 * @param key the key of the call
 	 * @param state the claim with the outcome
 	 */
-	record CallDone(CallKey key, ClaimState state) implements LedgerChange {
+	record CallCompleted(CallKey key, ClaimState state) implements LedgerChange {
 
 	}
 
@@ -79,7 +79,7 @@
 	 * @param content the digest of the request
 	 * @param count the crashes counted
 	 */
-	record CrashCounted(Digest content, int count) implements LedgerChange {
+	record CrashCountChanged(Digest content, int count) implements LedgerChange {
 
 	}
 
@@ -99,7 +99,7 @@
 	 * @param record the return
 	 * @param state what the log says of the budget now
 	 */
-	record SliceGivenBack(LedgerRecord.SliceReturned record, BudgetState state) implements LedgerChange {
+	record SliceReturned(LedgerRecord.SliceReturned record, BudgetState state) implements LedgerChange {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/LedgerRecord.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/LedgerRecord.java
@@ -87,7 +87,7 @@
 	 * @param sidecar the sidecar beside the upstream
 	 * @param alone whether nothing else ran there
 	 */
-	record RequestBlamed(Digest content, ProcessId sidecar, boolean alone) implements LedgerRecord {
+	record UpstreamCrashed(Digest content, ProcessId sidecar, boolean isolated) implements LedgerRecord {
 
 	}
 
@@ -97,7 +97,7 @@
 	 * @param content the digest of the request
 	 * @param sidecar the sidecar beside the upstream
 	 */
-	record RequestCleared(Digest content, ProcessId sidecar) implements LedgerRecord {
+	record CrashesCleared(Digest content, ProcessId sidecar) implements LedgerRecord {
 
 	}
 
@@ -121,7 +121,7 @@
 		/**
 		 * The shortest length of a period.
 		 */
-		public static final Duration SHORTEST_PERIOD = Duration.ofMillis(1);
+		public static final Duration MIN_PERIOD = Duration.ofMillis(1);
 
 		/**
 		 * Creates a record.
@@ -136,7 +136,7 @@
 		 * or the period is shorter than a millisecond
 		 */
 		public SliceReserved {
-			if (tokens < 1 || limit < 0 || period.compareTo(SHORTEST_PERIOD) < 0) {
+			if (tokens < 1 || limit < 0 || period.compareTo(MIN_PERIOD) < 0) {
 				throw new IllegalArgumentException("not a reservation: " + tokens + " of " + limit + " in " + period);
 			}
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/ProgramState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/ProgramState.java
@@ -13,30 +13,31 @@
  * @param epoch the epoch of the home
  * @param home the sidecar that is the home
  * @param parent the program whose sub-agent this one is, if there is one
- * @param born the log's time of the first claim
- * @param claimed where the claim of the epoch stands
+ * @param createdAt the log's time of the first claim
+ * @param claimPosition where the claim of the epoch stands
  * @param lastCall the number of the last turn in the log, or 0
- * @param lastTurn where the last turn stands, if there is one
- * @param lastTime the log's time of the last turn, or of the first claim
+ * @param lastTurnPosition where the last turn stands, if there is one
+ * @param lastActiveAt the log's time of the last turn, or of the first claim
  * @param historyTokens the tokens of the history after the last turn, prompt and answer
- * @param ended why the program ended, if it has
+ * @param endReason why the program ended, if it has
  */
-public record ProgramState(Epoch epoch, ProcessId home, Optional<ProgramId> parent, Instant born, Position claimed,
-		int lastCall, Optional<Position> lastTurn, Instant lastTime, long historyTokens, Optional<EndReason> ended) {
+public record ProgramState(Epoch epoch, ProcessId home, Optional<ProgramId> parent, Instant createdAt,
+		Position claimPosition, int lastCall, Optional<Position> lastTurnPosition, Instant lastActiveAt,
+		long historyTokens, Optional<EndReason> endReason) {
 
-	ProgramState movedTo(ProcessId newHome, Epoch newEpoch, Position position) {
-		return new ProgramState(newEpoch, newHome, this.parent, this.born, position, this.lastCall, this.lastTurn,
-				this.lastTime, this.historyTokens, this.ended);
+	ProgramState withHome(ProcessId newHome, Epoch newEpoch, Position position) {
+		return new ProgramState(newEpoch, newHome, this.parent, this.createdAt, position, this.lastCall,
+				this.lastTurnPosition, this.lastActiveAt, this.historyTokens, this.endReason);
 	}
 
 	ProgramState withTurn(Turn turn, Position position, Instant time) {
-		return new ProgramState(this.epoch, this.home, this.parent, this.born, this.claimed, turn.number(),
-				Optional.of(position), time, turn.answer().usage().total(), this.ended);
+		return new ProgramState(this.epoch, this.home, this.parent, this.createdAt, this.claimPosition, turn.number(),
+				Optional.of(position), time, turn.answer().usage().total(), this.endReason);
 	}
 
-	ProgramState endedFor(EndReason reason) {
-		return new ProgramState(this.epoch, this.home, this.parent, this.born, this.claimed, this.lastCall,
-				this.lastTurn, this.lastTime, this.historyTokens, Optional.of(reason));
+	ProgramState withEndReason(EndReason reason) {
+		return new ProgramState(this.epoch, this.home, this.parent, this.createdAt, this.claimPosition, this.lastCall,
+				this.lastTurnPosition, this.lastActiveAt, this.historyTokens, Optional.of(reason));
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/LogView.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/LogView.java
@@ -21,7 +21,7 @@
 	 * @return a view without records
 	 */
 	public static LogView unread() {
-		return new LogView(Ledger.remembering(Ledger.MEMORY), 0, Instant.EPOCH, Optional.empty(), 0);
+		return new LogView(Ledger.withRetention(Ledger.RETENTION), 0, Instant.EPOCH, Optional.empty(), 0);
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
@@ -242,7 +242,7 @@
 		Optional<ProgramView> view = this.draft.home(question.program())
 			.filter(Home::ready)
 			.map((home) -> new ProgramView(home.program(), home.epoch(), home.turns().size(), home.pending(),
-					state.flatMap(ProgramState::ended), home.messages().asJava()));
+					state.flatMap(ProgramState::endReason), home.messages().asJava()));
 		this.draft.send(entry, new LinkMessage.ProgramAnswer(question.attempt(), view));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/GenerationOrder.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/GenerationRequest.java
@@ -12,27 +12,27 @@
  *
  * @param model the model
  * @param messages the conversation, each message a JSON object
- * @param begun the text of the answer that is there already and is to be continued, or an
- * empty text; the answer reported at the end holds it too
+ * @param prefix the text of the answer that is there already and is to be continued, or
+ * an empty text; the answer reported at the end holds it too
  * @param maximumTokens the most tokens to generate
  * @param parameters the further fields of the request, a JSON object
  * @param session the program whose cache is to be held, if it belongs to one
- * @param lease how long the engine holds the cache without a further request
+ * @param cacheLease how long the engine holds the cache without a further request
  */
-public record GenerationOrder(ModelName model, List<String> messages, String begun, int maximumTokens,
-		String parameters, Optional<ProgramId> session, Duration lease) {
+public record GenerationRequest(ModelName model, List<String> messages, String prefix, int maximumTokens,
+		String parameters, Optional<ProgramId> session, Duration cacheLease) {
 
 	/**
 	 * Creates an order.
 	 * @param model the model
 	 * @param messages the conversation, each message a JSON object
-	 * @param begun the text of the answer that is there already, or an empty text
+	 * @param prefix the text of the answer that is there already, or an empty text
 	 * @param maximumTokens the most tokens to generate
 	 * @param parameters the further fields of the request, a JSON object
 	 * @param session the program whose cache is to be held, if it belongs to one
-	 * @param lease how long the engine holds the cache without a further request
+	 * @param cacheLease how long the engine holds the cache without a further request
 	 */
-	public GenerationOrder {
+	public GenerationRequest {
 		messages = List.copyOf(messages);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
@@ -73,7 +73,7 @@
 			this.draft.refuse(arrival, EntryRules.notRunSoon(FailureCause.MOVED, "The program has another home."));
 			return;
 		}
-		if (state.get().ended().isPresent()) {
+		if (state.get().endReason().isPresent()) {
 			this.draft.refuse(arrival, CallFailure.ofEndedProgram(arrival.call(), state.get().lastCall()));
 			return;
 		}
@@ -93,11 +93,11 @@
 	}
 
 	private Home open(ProgramId program, ProgramState state) {
-		Duration age = Duration.between(state.born(), this.draft.log.time());
+		Duration age = Duration.between(state.createdAt(), this.draft.log.time());
 		Instant expires = this.draft.now.plus(limits().programs().lifetime().minus(age));
-		Home home = Home.of(program, state.epoch(), state.lastTurn().isEmpty(), this.draft.now, expires);
+		Home home = Home.of(program, state.epoch(), state.lastTurnPosition().isEmpty(), this.draft.now, expires);
 		this.draft.put(home);
-		state.lastTurn()
+		state.lastTurnPosition()
 			.ifPresent((last) -> this.draft.run(new SidecarEffect.ReadHistory(program, state.epoch(), last)));
 		this.draft.remindAt(nextCheck(home), new Duty.CheckAge(program));
 		return home;
@@ -345,8 +345,8 @@
 			return;
 		}
 		this.draft.put(home.get().whileAppending(true));
-		this.draft
-			.append(new LedgerRecord.TurnCommitted(program, home.get().epoch(), turn.get(), state.get().lastTurn()));
+		this.draft.append(new LedgerRecord.TurnCommitted(program, home.get().epoch(), turn.get(),
+				state.get().lastTurnPosition()));
 	}
 
 	/**
@@ -535,7 +535,7 @@
 	 */
 	void ended(ProgramId program, ProgramState state, EndReason reason) {
 		if (state.home().equals(this.draft.self)) {
-			Duration latency = Duration.between(state.born(), state.lastTime());
+			Duration latency = Duration.between(state.createdAt(), state.lastActiveAt());
 			this.draft
 				.measure(new Measurement.ProgramEnded(program.group(), latency, state.lastCall(), labelOf(reason)));
 			this.draft.report(NoticeCode.PROGRAM_ENDED.with(FieldName.PROGRAM, program)
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
@@ -52,7 +52,7 @@
 		int index = 0;
 		for (LedgerRecord record : event.batch()) {
 			Position position = new Position(event.offset(), index);
-			Ledger.Reading reading = this.draft.log.ledger().apply(position, event.time(), record);
+			Ledger.ApplyResult reading = this.draft.log.ledger().apply(position, event.time(), record);
 			this.draft.log = this.draft.log.withLedger(reading.ledger());
 			reading.changes().forEach((change) -> follow(change, position));
 			index++;
@@ -67,15 +67,15 @@
 		switch (change) {
 			case LedgerChange.HomeChanged changed -> homes.moved(changed.program(), changed.state());
 			case LedgerChange.TurnAdded added -> homes.committed(added.program(), added.state(), position);
-			case LedgerChange.ProgramClosed closed -> homes.ended(closed.program(), closed.state(), closed.reason());
-			case LedgerChange.CallTaken taken -> {
+			case LedgerChange.ProgramEnded closed -> homes.ended(closed.program(), closed.state(), closed.reason());
+			case LedgerChange.CallClaimed taken -> {
 			}
-			case LedgerChange.CallDone done -> new ClaimRules(this.draft).settled(done.key());
+			case LedgerChange.CallCompleted done -> new ClaimRules(this.draft).settled(done.key());
 			case LedgerChange.CallReleased released -> new ClaimRules(this.draft).settled(released.key());
-			case LedgerChange.CrashCounted counted -> new RunRules(this.draft).blamed(counted.content());
+			case LedgerChange.CrashCountChanged counted -> new RunRules(this.draft).blamed(counted.content());
 			case LedgerChange.SliceGranted granted -> {
 			}
-			case LedgerChange.SliceGivenBack givenBack -> {
+			case LedgerChange.SliceReturned givenBack -> {
 			}
 			case LedgerChange.Voided voided -> {
 			}
@@ -150,8 +150,8 @@
 				.isPresent();
 			case LedgerRecord.CallSettled settled -> this.draft.jobs.containsKey(new JobKey.ForClaim(settled.key()));
 			case LedgerRecord.ProgramEnded ended -> this.draft.home(ended.program()).isPresent();
-			case LedgerRecord.RequestBlamed blamed -> true;
-			case LedgerRecord.RequestCleared cleared -> this.draft.log.ledger().crashes(cleared.content()) > 0;
+			case LedgerRecord.UpstreamCrashed blamed -> true;
+			case LedgerRecord.CrashesCleared cleared -> this.draft.log.ledger().crashCount(cleared.content()) > 0;
 			case LedgerRecord.ProgramClaimed claimed -> false;
 			case LedgerRecord.CallClaimed claimed -> false;
 			case LedgerRecord.SliceReserved reserved -> false;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
@@ -100,7 +100,7 @@
 		size(CollectionName.PROGRAMS, this.draft.homes.size());
 		size(CollectionName.RUNNING_CALLS, this.draft.runs.size());
 		size(CollectionName.IDEMPOTENCY_RECORDS, this.draft.log.ledger().claimCount());
-		size(CollectionName.CRASH_RECORDS, this.draft.log.ledger().blameCount());
+		size(CollectionName.CRASH_RECORDS, this.draft.log.ledger().crashRecordCount());
 		size(CollectionName.KV_LEASES, this.draft.sessions.size());
 		size(CollectionName.LINKS, this.draft.entries.size());
 		size(CollectionName.APPEND_QUEUE, this.draft.appends.size());
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
@@ -182,16 +182,16 @@
 		switch (job.call()) {
 			case CallRequest.ForModel call -> this.draft.run(new SidecarEffect.Generate(run, order(job, call)));
 			case CallRequest.ForService call ->
-				this.draft.run(new SidecarEffect.Serve(run, call.service(), call.message(), timeoutOf(call)));
+				this.draft.run(new SidecarEffect.CallService(run, call.service(), call.message(), timeoutOf(call)));
 		}
 	}
 
-	private GenerationOrder order(Job job, CallRequest.ForModel call) {
+	private GenerationRequest order(Job job, CallRequest.ForModel call) {
 		Optional<ProgramId> program = (job.key() instanceof JobKey.ForTurn turn) ? Optional.of(turn.program())
 				: Optional.empty();
 		program.ifPresent(new SessionRules(this.draft)::hold);
 		Vector<String> history = program.flatMap(this.draft::home).map(Home::messages).orElse(Vector.empty());
-		return new GenerationOrder(call.model(), history.appendAll(job.added()).asJava(), job.begun(),
+		return new GenerationRequest(call.model(), history.appendAll(job.added()).asJava(), job.begun(),
 				call.maximumTokens(), call.parameters(), program, CACHE_LEASE);
 	}
 
@@ -202,7 +202,7 @@
 	}
 
 	private int crashesOf(CallRequest call) {
-		return this.draft.log.ledger().crashes(call.content());
+		return this.draft.log.ledger().crashCount(call.content());
 	}
 
 	private boolean isStopped(CallRequest call) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunRules.java
@@ -135,7 +135,7 @@
 	// The request ran alone and nothing crashed, so the earlier crash was not its fault.
 	private void clear(Job job) {
 		if (job.alone()) {
-			this.draft.append(new LedgerRecord.RequestCleared(job.call().content(), this.draft.self));
+			this.draft.append(new LedgerRecord.CrashesCleared(job.call().content(), this.draft.self));
 		}
 	}
 
@@ -174,7 +174,7 @@
 	// too.
 	private void blame(Job job, CallFailure failure) {
 		Digest content = job.call().content();
-		this.draft.append(new LedgerRecord.RequestBlamed(content, this.draft.self, job.alone()));
+		this.draft.append(new LedgerRecord.UpstreamCrashed(content, this.draft.self, job.alone()));
 		this.draft.report(NoticeCode.ENGINE_CRASHED.with(FieldName.VM, this.draft.self.vm())
 			.with(FieldName.COUNT, this.draft.runs.size() + 1));
 		if (job.key() instanceof JobKey.ForClaim key) {
@@ -216,9 +216,9 @@
 		return CallFailure.notRun(cause, "The upstream refused the request: " + result.message());
 	}
 
-	void reported(SidecarEvent.UpstreamReported event) {
+	void reported(SidecarEvent.UpstreamLoadReceived event) {
 		UpstreamView before = this.draft.upstream;
-		this.draft.upstream = new UpstreamView(true, event.instance(), event.heldTokens());
+		this.draft.upstream = new UpstreamView(true, event.incarnation(), event.heldTokens());
 		// A report of another instance lags: a request may have begun there before it. So
 		// the sessions stay noted; the engine says for each that it does not know it when
 		// its program ends, and no memory of the new instance is left behind.
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarEffect.java
@@ -42,7 +42,7 @@
 	 * @param run the request
 	 * @param order what to generate
 	 */
-	record Generate(RunId run, GenerationOrder order) implements SidecarEffect {
+	record Generate(RunId run, GenerationRequest request) implements SidecarEffect {
 
 	}
 
@@ -55,7 +55,8 @@
 	 * @param message the HTTP request
 	 * @param timeout how long to wait for the whole answer
 	 */
-	record Serve(RunId run, ServiceName service, ServiceMessage message, Duration timeout) implements SidecarEffect {
+	record CallService(RunId run, ServiceName service, ServiceMessage message,
+			Duration timeout) implements SidecarEffect {
 
 	}
 
@@ -71,19 +72,19 @@
 
 	/**
 	 * Read the turns of a program from the log, backwards from the last. Reported by
-	 * {@link SidecarEvent.HistoryRead} or {@link SidecarEvent.HistoryUnreadable}.
+	 * {@link SidecarEvent.HistoryRead} or {@link SidecarEvent.HistoryReadFailed}.
 	 *
 	 * @param program the program
 	 * @param epoch the epoch for which they are read
 	 * @param last where the last turn stands
 	 */
-	record ReadHistory(ProgramId program, Epoch epoch, Position last) implements SidecarEffect {
+	record ReadHistory(ProgramId program, Epoch epoch, Position lastTurnPosition) implements SidecarEffect {
 
 	}
 
 	/**
 	 * Tell the engine to release the cache held for a program. Reported by
-	 * {@link SidecarEvent.SessionReleased} or {@link SidecarEvent.SessionNotReleased}.
+	 * {@link SidecarEvent.SessionReleased} or {@link SidecarEvent.SessionReleaseFailed}.
 	 *
 	 * @param program the program
 	 */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarEvent.java
@@ -28,7 +28,7 @@
 	 *
 	 * @param event what was learned
 	 */
-	record LogSpoke(LogEvent event) implements SidecarEvent {
+	record LogEventReceived(LogEvent event) implements SidecarEvent {
 
 		@Override
 		public Instant now() {
@@ -42,7 +42,7 @@
 	 *
 	 * @param event what happened
 	 */
-	record NodeSpoke(NodeEvent event) implements SidecarEvent {
+	record NodeEventReceived(NodeEvent event) implements SidecarEvent {
 
 		@Override
 		public Instant now() {
@@ -57,7 +57,7 @@
 	 * @param entry the entry
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record EntryLinked(ProcessId entry, Instant now) implements SidecarEvent {
+	record EntryConnected(ProcessId entry, Instant now) implements SidecarEvent {
 
 	}
 
@@ -67,7 +67,7 @@
 	 * @param entry the entry
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record EntryUnlinked(ProcessId entry, Instant now) implements SidecarEvent {
+	record EntryDisconnected(ProcessId entry, Instant now) implements SidecarEvent {
 
 	}
 
@@ -78,7 +78,7 @@
 	 * @param message the message
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record EntrySpoke(ProcessId entry, LinkMessage.ToSidecar message, Instant now) implements SidecarEvent {
+	record EntryMessageReceived(ProcessId entry, LinkMessage.ToSidecar message, Instant now) implements SidecarEvent {
 
 	}
 
@@ -146,7 +146,7 @@
 	 * @param lost whether the log no longer holds them
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record HistoryUnreadable(ProgramId program, Epoch epoch, boolean lost, Instant now) implements SidecarEvent {
+	record HistoryReadFailed(ProgramId program, Epoch epoch, boolean lost, Instant now) implements SidecarEvent {
 
 	}
 
@@ -159,7 +159,7 @@
 	 * @param heldTokens the tokens of memory it holds for sessions
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record UpstreamReported(long instance, int running, int waiting, long heldTokens,
+	record UpstreamLoadReceived(long incarnation, int running, int waiting, long heldTokens,
 			Instant now) implements SidecarEvent {
 
 	}
@@ -189,7 +189,7 @@
 	 * @param program the program
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record SessionNotReleased(ProgramId program, Instant now) implements SidecarEvent {
+	record SessionReleaseFailed(ProgramId program, Instant now) implements SidecarEvent {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarReducer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarReducer.java
@@ -24,11 +24,11 @@
 
 	private static void follow(Draft draft, SidecarEvent event) {
 		switch (event) {
-			case SidecarEvent.LogSpoke spoke -> new LedgerRules(draft).learned(spoke.event());
-			case SidecarEvent.NodeSpoke spoke -> new NodeRules(draft).happened(spoke.event());
-			case SidecarEvent.EntryLinked linked -> new EntryRules(draft).linked(linked.entry());
-			case SidecarEvent.EntryUnlinked unlinked -> new EntryRules(draft).unlinked(unlinked.entry());
-			case SidecarEvent.EntrySpoke spoke -> {
+			case SidecarEvent.LogEventReceived spoke -> new LedgerRules(draft).learned(spoke.event());
+			case SidecarEvent.NodeEventReceived spoke -> new NodeRules(draft).happened(spoke.event());
+			case SidecarEvent.EntryConnected linked -> new EntryRules(draft).linked(linked.entry());
+			case SidecarEvent.EntryDisconnected unlinked -> new EntryRules(draft).unlinked(unlinked.entry());
+			case SidecarEvent.EntryMessageReceived spoke -> {
 				new EntryRules(draft).spoke(spoke.entry(), spoke.message());
 				new QueueRules(draft).pump();
 			}
@@ -41,12 +41,12 @@
 				new HomeRules(draft).historyRead(read.program(), read.epoch(), read.turns());
 				new QueueRules(draft).pump();
 			}
-			case SidecarEvent.HistoryUnreadable unreadable ->
+			case SidecarEvent.HistoryReadFailed unreadable ->
 				new HomeRules(draft).historyUnreadable(unreadable.program(), unreadable.epoch(), unreadable.lost());
-			case SidecarEvent.UpstreamReported reported -> new RunRules(draft).reported(reported);
+			case SidecarEvent.UpstreamLoadReceived reported -> new RunRules(draft).reported(reported);
 			case SidecarEvent.UpstreamUnreachable unreachable -> new RunRules(draft).unreachable();
 			case SidecarEvent.SessionReleased released -> new SessionRules(draft).released(released.program());
-			case SidecarEvent.SessionNotReleased kept -> new SessionRules(draft).notReleased(kept.program());
+			case SidecarEvent.SessionReleaseFailed kept -> new SessionRules(draft).notReleased(kept.program());
 		}
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetRulesTests.java
@@ -412,7 +412,7 @@
 
 		private final Set<LedgerRecord> granted = new HashSet<>();
 
-		private Ledger ledger = Ledger.remembering(Ledger.MEMORY);
+		private Ledger ledger = Ledger.withRetention(Ledger.RETENTION);
 
 		private long version;
 
@@ -439,7 +439,7 @@
 
 		private void read(int offset, BudgetSite.Logged logged) {
 			turnTo(logged.time());
-			Ledger.Reading reading = this.ledger.apply(new Position(offset, 0), logged.time(), logged.record());
+			Ledger.ApplyResult reading = this.ledger.apply(new Position(offset, 0), logged.time(), logged.record());
 			this.ledger = reading.ledger();
 			if (logged.record() instanceof LedgerRecord.SliceReserved record
 					&& record.configurationVersion() >= this.version) {
@@ -448,7 +448,7 @@
 			}
 			switch (reading.changes().getFirst()) {
 				case LedgerChange.SliceGranted change -> grant(change.record());
-				case LedgerChange.SliceGivenBack change -> giveBack(change.record());
+				case LedgerChange.SliceReturned change -> giveBack(change.record());
 				case LedgerChange.Voided change when change.reason() == LedgerChange.VoidReason.BUDGET_EXHAUSTED ->
 					refuse((LedgerRecord.SliceReserved) change.record());
 				default -> {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/ledger/BudgetStateTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/ledger/BudgetStateTests.java
@@ -20,7 +20,7 @@
 
 	private static final Instant START = Instant.parse("2026-07-14T10:10:00Z");
 
-	private Ledger ledger = Ledger.remembering(Ledger.MEMORY);
+	private Ledger ledger = Ledger.withRetention(Ledger.RETENTION);
 
 	private long offset;
 
@@ -40,7 +40,7 @@
 		apply(START, reserved(1, 60, 100, 1));
 		assertVoid(apply(START, reserved(1, 60, 100, 1)), VoidReason.SLICE_REPEATED);
 		LedgerRecord.SliceReturned back = returned(1, 30, 2);
-		assertThat(apply(START, back)).isInstanceOf(LedgerChange.SliceGivenBack.class);
+		assertThat(apply(START, back)).isInstanceOf(LedgerChange.SliceReturned.class);
 		assertVoid(apply(START, back), VoidReason.SLICE_REPEATED);
 		assertThat(left()).isEqualTo(70);
 	}
@@ -100,28 +100,28 @@
 	// they reserved stays reserved.
 	@Test
 	void knowsABoundedNumberOfEntries() {
-		int lives = BudgetState.MOST_ENTRIES + 10;
+		int lives = BudgetState.MAX_ENTRIES + 10;
 		for (int life = 1; life <= lives; life++) {
 			apply(START, reserved(life, 1, 10_000, 1));
 		}
-		assertThat(this.ledger.budget(GROUP).orElseThrow().entries()).hasSize(BudgetState.MOST_ENTRIES);
+		assertThat(this.ledger.budget(GROUP).orElseThrow().entries()).hasSize(BudgetState.MAX_ENTRIES);
 		assertThat(left()).isEqualTo(10_000 - lives);
 	}
 
 	@Test
 	void forgetsABudgetThatNobodyUses() {
 		apply(START, reserved(1, 1, 100, 1));
-		apply(START.plus(Ledger.MEMORY).plusSeconds(1),
+		apply(START.plus(Ledger.RETENTION).plusSeconds(1),
 				new LedgerRecord.SliceReserved(new GroupName("buyers"), 1, 1, HOUR, 1, entry(1), 1));
 		assertThat(this.ledger.budget(GROUP)).isEmpty();
 	}
 
 	private long left() {
-		return this.ledger.budget(GROUP).orElseThrow().left();
+		return this.ledger.budget(GROUP).orElseThrow().remaining();
 	}
 
 	private LedgerChange apply(Instant time, LedgerRecord record) {
-		Ledger.Reading reading = this.ledger.apply(new Position(this.offset++, 0), time, record);
+		Ledger.ApplyResult reading = this.ledger.apply(new Position(this.offset++, 0), time, record);
 		this.ledger = reading.ledger();
 		return reading.changes().getFirst();
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/ledger/LedgerTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/ledger/LedgerTests.java
@@ -43,7 +43,7 @@
 
 	private static final Digest CONTENT = Digest.of("content");
 
-	private Ledger ledger = Ledger.remembering(MEMORY);
+	private Ledger ledger = Ledger.withRetention(MEMORY);
 
 	private long offset;
 
@@ -75,7 +75,7 @@
 		assertThat(apply(turn(PROGRAM, 1, 2))).isEqualTo(voided(turn(PROGRAM, 1, 2), VoidReason.EPOCH_SUPERSEDED));
 		assertThat(apply(turn(PROGRAM, 2, 2))).hasOnlyElementsOfType(LedgerChange.TurnAdded.class);
 		assertThat(state(PROGRAM).lastCall()).isEqualTo(2);
-		assertThat(state(PROGRAM).lastTurn()).contains(new Position(this.offset - 1, 0));
+		assertThat(state(PROGRAM).lastTurnPosition()).contains(new Position(this.offset - 1, 0));
 	}
 
 	// A program starts sub-agents that start others, and ends: nothing of the family goes
@@ -92,8 +92,8 @@
 		}
 		List<LedgerChange> changes = apply(new LedgerRecord.ProgramEnded(PROGRAM, EndReason.BY_CALLER));
 		assertThat(changes).hasSize(depth + 1);
-		assertThat(state(parent).ended()).contains(EndReason.WITH_PARENT);
-		assertThat(state(PROGRAM).ended()).contains(EndReason.BY_CALLER);
+		assertThat(state(parent).endReason()).contains(EndReason.WITH_PARENT);
+		assertThat(state(PROGRAM).endReason()).contains(EndReason.BY_CALLER);
 		LedgerRecord late = new LedgerRecord.ProgramClaimed(program("sellers", "late"), new Epoch(1), FIRST,
 				Optional.of(parent));
 		assertThat(apply(late)).isEqualTo(voided(late, VoidReason.PROGRAM_ENDED));
@@ -124,8 +124,8 @@
 		assertThat(apply(foreign)).isEqualTo(voided(foreign, VoidReason.NOT_EXECUTOR));
 		assertThat(apply(settle(FIRST, refusal()))).hasOnlyElementsOfType(LedgerChange.CallReleased.class);
 		assertThat(this.ledger.claim(KEY)).isEmpty();
-		assertThat(apply(claimCall(SECOND))).hasOnlyElementsOfType(LedgerChange.CallTaken.class);
-		assertThat(apply(settle(SECOND, answer()))).hasOnlyElementsOfType(LedgerChange.CallDone.class);
+		assertThat(apply(claimCall(SECOND))).hasOnlyElementsOfType(LedgerChange.CallClaimed.class);
+		assertThat(apply(settle(SECOND, answer()))).hasOnlyElementsOfType(LedgerChange.CallCompleted.class);
 		LedgerRecord again = settle(SECOND, refusal());
 		assertThat(apply(again)).isEqualTo(voided(again, VoidReason.NOT_EXECUTOR));
 		assertThat(apply(claimCall(FIRST))).isEqualTo(voided(claimCall(FIRST), VoidReason.CALL_TAKEN));
@@ -138,12 +138,12 @@
 	void blamesARequestOnceInCompanyAndEachTimeAlone() {
 		apply(blame(false));
 		apply(blame(false));
-		assertThat(this.ledger.crashes(CONTENT)).isEqualTo(1);
+		assertThat(this.ledger.crashCount(CONTENT)).isEqualTo(1);
 		apply(blame(true));
-		assertThat(this.ledger.crashes(CONTENT)).isEqualTo(2);
-		apply(new LedgerRecord.RequestCleared(CONTENT, FIRST));
-		assertThat(this.ledger.crashes(CONTENT)).isZero();
-		assertThat(this.ledger.blameCount()).isZero();
+		assertThat(this.ledger.crashCount(CONTENT)).isEqualTo(2);
+		apply(new LedgerRecord.CrashesCleared(CONTENT, FIRST));
+		assertThat(this.ledger.crashCount(CONTENT)).isZero();
+		assertThat(this.ledger.crashRecordCount()).isZero();
 	}
 
 	// A request took part in a crash, was cleared, and took part in another one later. It
@@ -157,10 +157,10 @@
 		apply(blame(false));
 		passTime(Duration.ofMinutes(20));
 		apply(claim(PROGRAM, 1, FIRST));
-		assertThat(this.ledger.crashes(CONTENT)).isEqualTo(1);
+		assertThat(this.ledger.crashCount(CONTENT)).isEqualTo(1);
 		passTime(MEMORY);
 		apply(claim(program("sellers", "later"), 1, FIRST));
-		assertThat(this.ledger.blameCount()).isZero();
+		assertThat(this.ledger.crashRecordCount()).isZero();
 	}
 
 	@Test
@@ -198,7 +198,7 @@
 	@Test
 	void isTheSameInAProcessThatStartsAtALaterFirstRecord() {
 		List<Stamped> records = new ArrayList<>();
-		Ledger whole = Ledger.remembering(MEMORY);
+		Ledger whole = Ledger.withRetention(MEMORY);
 		for (int minute = 0; minute < 240; minute++) {
 			Instant at = START.plus(Duration.ofMinutes(minute));
 			ProgramId program = program("sellers", "p-" + minute / 30);
@@ -213,7 +213,7 @@
 			whole = stamped.addTo(whole);
 		}
 		Instant kept = START.plus(Duration.ofMinutes(240)).minus(MEMORY.multipliedBy(2));
-		Ledger late = Ledger.remembering(MEMORY);
+		Ledger late = Ledger.withRetention(MEMORY);
 		for (Stamped stamped : records.stream().filter((each) -> !each.time().isBefore(kept)).toList()) {
 			late = stamped.addTo(late);
 		}
@@ -227,7 +227,7 @@
 	}
 
 	private List<LedgerChange> apply(LedgerRecord record) {
-		Ledger.Reading reading = this.ledger.apply(new Position(this.offset++, 0), this.time, record);
+		Ledger.ApplyResult reading = this.ledger.apply(new Position(this.offset++, 0), this.time, record);
 		this.ledger = reading.ledger();
 		return reading.changes();
 	}
@@ -271,7 +271,7 @@
 	}
 
 	private static LedgerRecord blame(boolean alone) {
-		return new LedgerRecord.RequestBlamed(CONTENT, FIRST, alone);
+		return new LedgerRecord.UpstreamCrashed(CONTENT, FIRST, alone);
 	}
 
 	private static CallOutcome refusal() {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/Callers.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/Callers.java
@@ -147,7 +147,7 @@
 		boolean open = false;
 		for (int index = 0; index < this.programs.size(); index++) {
 			Optional<ProgramState> state = this.world.log.ledger.program(this.programs.get(index).id);
-			if (state.isPresent() && state.get().ended().isEmpty()) {
+			if (state.isPresent() && state.get().endReason().isEmpty()) {
 				end(index, 0);
 				open = true;
 			}
@@ -239,7 +239,9 @@
 		World.check(this.endings.isEmpty(), "no end of a wish to end a program");
 		for (Program program : this.programs) {
 			Optional<ProgramState> state = this.world.log.ledger.program(program.id);
-			List<Turn> history = state.flatMap(ProgramState::lastTurn).map(this.world.log::history).orElse(List.of());
+			List<Turn> history = state.flatMap(ProgramState::lastTurnPosition)
+				.map(this.world.log::history)
+				.orElse(List.of());
 			checkHistory(program, history);
 			program.committed.forEach((number, answer) -> World.check(
 					number <= history.size() && history.get(number - 1).answer().equals(answer),
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/FakeLog.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/FakeLog.java
@@ -32,7 +32,7 @@
 
 	boolean up = true;
 
-	Ledger ledger = Ledger.remembering(Ledger.MEMORY);
+	Ledger ledger = Ledger.withRetention(Ledger.RETENTION);
 
 	FakeLog(Requests requests) {
 		this.requests = requests;
@@ -82,7 +82,7 @@
 	private void store(LedgerRecord record, Instant now) {
 		Position position = new Position(this.records.size(), 0);
 		this.records.add(new Stored(now, record));
-		Ledger.Reading reading = this.ledger.apply(position, now, record);
+		Ledger.ApplyResult reading = this.ledger.apply(position, now, record);
 		this.ledger = reading.ledger();
 		for (LedgerChange change : reading.changes()) {
 			if (change instanceof LedgerChange.TurnAdded added) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/FakeUpstream.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/FakeUpstream.java
@@ -68,14 +68,14 @@
 	}
 
 	void generate(SidecarEffect.Generate effect, Incarnation life, Instant now) {
-		List<String> messages = effect.order().messages();
+		List<String> messages = effect.request().messages();
 		String request = messages.getLast();
 		int run = this.requests.nextRun();
 		String rest = ":r" + run + endOf(messages);
 		Deque<String> parts = new ArrayDeque<>(
 				List.of(rest.substring(0, 2), rest.substring(2, rest.length() - 3), rest.substring(rest.length() - 3)));
-		String whole = effect.order().begun() + rest;
-		Hold hold = new Hold(effect.order().session(), new Session(life, now.plus(effect.order().lease())));
+		String whole = effect.request().prefix() + rest;
+		Hold hold = new Hold(effect.request().session(), new Session(life, now.plus(effect.request().cacheLease())));
 		this.runs.put(effect.run(), new Run(request, parts, "{\"content\":\"<" + whole + ">\"}", true, hold, !this.up));
 		if (this.up) {
 			hold(hold);
@@ -88,7 +88,7 @@
 		hold.program().ifPresent((program) -> this.sessions.put(program, hold.session()));
 	}
 
-	void serve(SidecarEffect.Serve effect) {
+	void serve(SidecarEffect.CallService effect) {
 		this.runs.put(effect.run(), new Run(effect.message().path(), new ArrayDeque<>(), "", false,
 				new Hold(Optional.empty(), null), !this.up));
 		if (this.up) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/Link.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/Link.java
@@ -43,7 +43,7 @@
 		this.deafEntry = false;
 		this.deafSidecar = false;
 		this.toEntry.add(new Item<>(true, (now) -> new EntryEvent.SidecarLinked(sidecarLife.vm(), sidecarLife, now)));
-		this.toSidecar.add(new Item<>(true, (now) -> new SidecarEvent.EntryLinked(entryLife, now)));
+		this.toSidecar.add(new Item<>(true, (now) -> new SidecarEvent.EntryConnected(entryLife, now)));
 	}
 
 	void cut(boolean losing) {
@@ -59,7 +59,7 @@
 		this.entry = Optional.empty();
 		this.sidecar = Optional.empty();
 		this.toEntry.add(new Item<>(true, (now) -> new EntryEvent.SidecarUnlinked(sidecarLife.vm(), now)));
-		this.toSidecar.add(new Item<>(true, (now) -> new SidecarEvent.EntryUnlinked(entryLife, now)));
+		this.toSidecar.add(new Item<>(true, (now) -> new SidecarEvent.EntryDisconnected(entryLife, now)));
 	}
 
 	// Returns whether the message is on its way or lost, rather than surely not sent.
@@ -69,7 +69,7 @@
 		}
 		ProcessId from = this.entry.orElseThrow();
 		if (!this.deafSidecar) {
-			this.toSidecar.add(new Item<>(false, (now) -> new SidecarEvent.EntrySpoke(from, message, now)));
+			this.toSidecar.add(new Item<>(false, (now) -> new SidecarEvent.EntryMessageReceived(from, message, now)));
 		}
 		return true;
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/World.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/World.java
@@ -271,7 +271,7 @@
 					process + " differs on " + program));
 		check(ledger.claimCount() == this.log.ledger.claimCount(), process + " differs in claims");
 		check(ledger.programCount() == this.log.ledger.programCount(), process + " differs in programs");
-		check(ledger.blameCount() == this.log.ledger.blameCount(), process + " differs in blames");
+		check(ledger.crashRecordCount() == this.log.ledger.crashRecordCount(), process + " differs in blames");
 	}
 
 	static void check(boolean holds, String message) {
@@ -499,8 +499,8 @@
 		}
 
 		private SidecarEvent report() {
-			return (this.upstream.up) ? new SidecarEvent.UpstreamReported(this.upstream.instance, this.upstream.size(),
-					0, 0, World.this.now) : new SidecarEvent.UpstreamUnreachable(World.this.now);
+			return (this.upstream.up) ? new SidecarEvent.UpstreamLoadReceived(this.upstream.instance,
+					this.upstream.size(), 0, 0, World.this.now) : new SidecarEvent.UpstreamUnreachable(World.this.now);
 		}
 
 		void fault(int choice) {
@@ -513,12 +513,12 @@
 
 		@Override
 		SidecarEvent ofLog(LogEvent event) {
-			return new SidecarEvent.LogSpoke(event);
+			return new SidecarEvent.LogEventReceived(event);
 		}
 
 		@Override
 		SidecarEvent ofNode(NodeEvent event) {
-			return new SidecarEvent.NodeSpoke(event);
+			return new SidecarEvent.NodeEventReceived(event);
 		}
 
 		@Override
@@ -554,7 +554,7 @@
 				}
 				case SidecarEffect.Generate generate ->
 					this.upstream.generate(generate, this.self.incarnation(), World.this.now);
-				case SidecarEffect.Serve serve -> this.upstream.serve(serve);
+				case SidecarEffect.CallService serve -> this.upstream.serve(serve);
 				case SidecarEffect.CancelRun cancel ->
 					this.upstream.cancel(cancel.run(), World.this.now).ifPresent(this.inbox::add);
 				case SidecarEffect.ReadHistory read -> this.inbox.add(historyOf(read));
@@ -564,15 +564,15 @@
 
 		private SidecarEvent historyOf(SidecarEffect.ReadHistory read) {
 			if (!World.this.log.up) {
-				return new SidecarEvent.HistoryUnreadable(read.program(), read.epoch(), false, World.this.now);
+				return new SidecarEvent.HistoryReadFailed(read.program(), read.epoch(), false, World.this.now);
 			}
-			return new SidecarEvent.HistoryRead(read.program(), read.epoch(), World.this.log.history(read.last()),
-					World.this.now);
+			return new SidecarEvent.HistoryRead(read.program(), read.epoch(),
+					World.this.log.history(read.lastTurnPosition()), World.this.now);
 		}
 
 		private SidecarEvent released(SidecarEffect.ReleaseSession release) {
 			if (!this.upstream.up) {
-				return new SidecarEvent.SessionNotReleased(release.program(), World.this.now);
+				return new SidecarEvent.SessionReleaseFailed(release.program(), World.this.now);
 			}
 			this.upstream.sessions.remove(release.program());
 			return new SidecarEvent.SessionReleased(release.program(), World.this.now);
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/ClaimRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/ClaimRulesTests.java
@@ -90,10 +90,10 @@
 		endAppend(AppendResult.UNKNOWN);
 		read(1, released());
 		read(2, new LedgerRecord.CallClaimed(KEY, CONTENT, SELF));
-		apply(new SidecarEvent.UpstreamReported(1, 0, 0, 0, NOW));
+		apply(new SidecarEvent.UpstreamLoadReceived(1, 0, 0, 0, NOW));
 		this.effects.clear();
 		dispatch(2);
-		assertThat(this.effects).noneMatch(SidecarEffect.Serve.class::isInstance);
+		assertThat(this.effects).noneMatch(SidecarEffect.CallService.class::isInstance);
 		assertThat(appends()).hasSize(1);
 	}
 
@@ -107,31 +107,31 @@
 		endAppend(AppendResult.APPENDED);
 		read(1, released());
 		read(2, new LedgerRecord.CallClaimed(KEY, CONTENT, SELF));
-		apply(new SidecarEvent.UpstreamReported(1, 0, 0, 0, NOW));
+		apply(new SidecarEvent.UpstreamLoadReceived(1, 0, 0, 0, NOW));
 		dispatch(2);
-		assertThat(this.effects).filteredOn(SidecarEffect.Serve.class::isInstance).hasSize(1);
+		assertThat(this.effects).filteredOn(SidecarEffect.CallService.class::isInstance).hasSize(1);
 	}
 
 	private void start() {
-		apply(new SidecarEvent.NodeSpoke(new NodeEvent.ConfigurationAccepted(1, CONFIGURATION, NOW)));
-		apply(new SidecarEvent.EntryLinked(ENTRY, NOW));
+		apply(new SidecarEvent.NodeEventReceived(new NodeEvent.ConfigurationAccepted(1, CONFIGURATION, NOW)));
+		apply(new SidecarEvent.EntryConnected(ENTRY, NOW));
 	}
 
 	private void read(long offset, LedgerRecord record) {
-		apply(new SidecarEvent.LogSpoke(new LogEvent.BatchRead(offset, NOW, List.of(record), NOW)));
+		apply(new SidecarEvent.LogEventReceived(new LogEvent.BatchRead(offset, NOW, List.of(record), NOW)));
 	}
 
 	private void dispatch(long offset) {
 		CallRequest call = new CallRequest.ForService(GROUP, Optional.empty(), Optional.of(TEXT), CONTENT, SERVICE,
 				new ServiceMessage("POST", "/ping", List.of(), Body.EMPTY), false);
-		apply(new SidecarEvent.EntrySpoke(ENTRY,
+		apply(new SidecarEvent.EntryMessageReceived(ENTRY,
 				new LinkMessage.Dispatch(new AttemptId(ENTRY.incarnation(), ++this.attempts), call,
 						new Standing.ForClaimedCall(KEY, SELF, offset), Duration.ofSeconds(10), ""),
 				NOW));
 	}
 
 	private void endAppend(AppendResult result) {
-		apply(new SidecarEvent.LogSpoke(new LogEvent.AppendEnded(appends().getLast().append(), result, NOW)));
+		apply(new SidecarEvent.LogEventReceived(new LogEvent.AppendEnded(appends().getLast().append(), result, NOW)));
 	}
 
 	private List<NodeEffect.Append> appends() {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/HomeRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/HomeRulesTests.java
@@ -77,7 +77,7 @@
 		assertThat(this.site.started()).containsExactly("one");
 		this.site.answer(0);
 		assertThat(this.site.started()).containsExactly("one", "two");
-		assertThat(this.site.runs().get(1).order().messages()).hasSize(3).startsWith("one");
+		assertThat(this.site.runs().get(1).request().messages()).hasSize(3).startsWith("one");
 	}
 
 	// Call 1 never comes. Call 2 waits for it as long as it may, and is refused as not
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarSite.java
@@ -93,8 +93,8 @@
 					.with(new ModelPolicy(MODEL, 100_000, 1000, TokenCost.DEFAULT))
 					.with(upstream)
 					.build());
-		apply(new SidecarEvent.EntryLinked(ENTRY, this.now));
-		apply(new SidecarEvent.EntryLinked(OTHER_ENTRY, this.now));
+		apply(new SidecarEvent.EntryConnected(ENTRY, this.now));
+		apply(new SidecarEvent.EntryConnected(OTHER_ENTRY, this.now));
 		report(1);
 	}
 
@@ -109,20 +109,22 @@
 	}
 
 	void accept(long version, Configuration configuration) {
-		apply(new SidecarEvent.NodeSpoke(new NodeEvent.ConfigurationAccepted(version, configuration, this.now)));
+		apply(new SidecarEvent.NodeEventReceived(
+				new NodeEvent.ConfigurationAccepted(version, configuration, this.now)));
 	}
 
 	void report(long instance) {
-		apply(new SidecarEvent.UpstreamReported(instance, 0, 0, 0, this.now));
+		apply(new SidecarEvent.UpstreamLoadReceived(instance, 0, 0, 0, this.now));
 	}
 
 	void pass(Duration time) {
 		this.now = this.now.plus(time);
-		apply(new SidecarEvent.NodeSpoke(new NodeEvent.Ticked(this.now, 1)));
+		apply(new SidecarEvent.NodeEventReceived(new NodeEvent.Ticked(this.now, 1)));
 	}
 
 	void read(LedgerRecord record) {
-		apply(new SidecarEvent.LogSpoke(new LogEvent.BatchRead(this.offset++, this.now, List.of(record), this.now)));
+		apply(new SidecarEvent.LogEventReceived(
+				new LogEvent.BatchRead(this.offset++, this.now, List.of(record), this.now)));
 	}
 
 	/**
@@ -138,7 +140,7 @@
 
 	void endAppend(AppendResult result) {
 		NodeEffect.Append append = appends().get(this.settled++);
-		apply(new SidecarEvent.LogSpoke(new LogEvent.AppendEnded(append.append(), result, this.now)));
+		apply(new SidecarEvent.LogEventReceived(new LogEvent.AppendEnded(append.append(), result, this.now)));
 	}
 
 	/**
@@ -188,13 +190,13 @@
 		AttemptId attempt = new AttemptId(entry.incarnation(), ++this.attempts);
 		CallRequest call = new CallRequest.ForModel(GROUP, place, Optional.empty(), Digest.of(message), MODEL, mode,
 				List.of(message), 100, "{}", false);
-		apply(new SidecarEvent.EntrySpoke(entry, new LinkMessage.Dispatch(attempt, call, standing, timeLeft, delivered),
-				this.now));
+		apply(new SidecarEvent.EntryMessageReceived(entry,
+				new LinkMessage.Dispatch(attempt, call, standing, timeLeft, delivered), this.now));
 		return attempt;
 	}
 
 	void cancel(AttemptId attempt) {
-		apply(new SidecarEvent.EntrySpoke(ENTRY, new LinkMessage.Cancel(attempt), this.now));
+		apply(new SidecarEvent.EntryMessageReceived(ENTRY, new LinkMessage.Cancel(attempt), this.now));
 	}
 
 	/**
@@ -210,7 +212,7 @@
 	 * @return the messages
 	 */
 	List<String> started() {
-		return runs().stream().map((run) -> run.order().messages().getLast()).toList();
+		return runs().stream().map((run) -> run.request().messages().getLast()).toList();
 	}
 
 	List<RunId> cancelledRuns() {
--- a/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/SidecarProcess.java
+++ b/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/SidecarProcess.java
@@ -151,7 +151,7 @@
 			case SidecarEffect.ForNode forNode -> this.node.run(forNode.effect());
 			case SidecarEffect.Send send -> this.links.send(send.entry(), send.message());
 			case SidecarEffect.Generate generate -> this.upstream.generate(generate);
-			case SidecarEffect.Serve serve -> this.upstream.serve(serve);
+			case SidecarEffect.CallService serve -> this.upstream.serve(serve);
 			case SidecarEffect.CancelRun cancel -> this.upstream.cancel(cancel);
 			case SidecarEffect.ReadHistory read -> this.history.read(read);
 			case SidecarEffect.ReleaseSession release -> this.upstream.release(release.program());
@@ -262,12 +262,12 @@
 
 		@Override
 		public SidecarEvent of(NodeEvent event) {
-			return new SidecarEvent.NodeSpoke(event);
+			return new SidecarEvent.NodeEventReceived(event);
 		}
 
 		@Override
 		public SidecarEvent of(LogEvent event) {
-			return new SidecarEvent.LogSpoke(event);
+			return new SidecarEvent.LogEventReceived(event);
 		}
 
 	}
--- a/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/history/HistoryReader.java
+++ b/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/history/HistoryReader.java
@@ -84,7 +84,7 @@
 	private SidecarEvent event(SidecarEffect.ReadHistory effect, Either<Missing, List<Turn>> turns) {
 		Instant now = this.clock.get();
 		return turns.fold(
-				(missing) -> new SidecarEvent.HistoryUnreadable(effect.program(), effect.epoch(),
+				(missing) -> new SidecarEvent.HistoryReadFailed(effect.program(), effect.epoch(),
 						missing == Missing.LOST, now),
 				(read) -> new SidecarEvent.HistoryRead(effect.program(), effect.epoch(), read, now));
 	}
@@ -92,7 +92,7 @@
 	private Either<Missing, List<Turn>> collect(SidecarEffect.ReadHistory effect) throws InterruptedException {
 		Instant end = this.clock.get().plus(LONGEST);
 		List<Turn> turns = new ArrayList<>();
-		Optional<Position> next = Optional.of(effect.last());
+		Optional<Position> next = Optional.of(effect.lastTurnPosition());
 		while (next.isPresent()) {
 			if (this.clock.get().isAfter(end)) {
 				return Either.left(Missing.UNREACHABLE);
--- a/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/link/EntryLinks.java
+++ b/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/link/EntryLinks.java
@@ -69,10 +69,10 @@
 		synchronized (this.lock) {
 			Link before = this.links.put(entry, link);
 			if (before != null) {
-				this.reports.post(new SidecarEvent.EntryUnlinked(entry, this.clock.get()));
+				this.reports.post(new SidecarEvent.EntryDisconnected(entry, this.clock.get()));
 				before.close();
 			}
-			this.reports.post(new SidecarEvent.EntryLinked(entry, this.clock.get()));
+			this.reports.post(new SidecarEvent.EntryConnected(entry, this.clock.get()));
 		}
 		offerNewest(link);
 	}
@@ -95,7 +95,7 @@
 	}
 
 	private void take(Link link, ProcessId entry, LinkMessage.ToSidecar message) {
-		SidecarEvent event = new SidecarEvent.EntrySpoke(entry, message, this.clock.get());
+		SidecarEvent event = new SidecarEvent.EntryMessageReceived(entry, message, this.clock.get());
 		switch (message) {
 			case LinkMessage.Dispatch dispatch -> {
 				if (this.reports.offer(event) == Admission.FULL) {
@@ -139,7 +139,7 @@
 		ProcessId entry = link.peer().process();
 		synchronized (this.lock) {
 			if (this.links.remove(entry, link)) {
-				this.reports.post(new SidecarEvent.EntryUnlinked(entry, this.clock.get()));
+				this.reports.post(new SidecarEvent.EntryDisconnected(entry, this.clock.get()));
 			}
 		}
 		if (reason == LinkClosure.CLOSED_HERE) {
--- a/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/upstream/EngineRuns.java
+++ b/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/upstream/EngineRuns.java
@@ -19,7 +19,7 @@
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.identity.Incarnation;
 import io.lentilslip.core.identity.ProgramId;
-import io.lentilslip.core.sidecar.GenerationOrder;
+import io.lentilslip.core.sidecar.GenerationRequest;
 import io.lentilslip.core.sidecar.RunId;
 import io.lentilslip.core.sidecar.RunResult;
 import io.lentilslip.core.sidecar.SidecarEvent;
@@ -70,13 +70,13 @@
 	 * @param run the request
 	 * @param order what to generate
 	 */
-	void generate(RunId run, GenerationOrder order) {
+	void generate(RunId run, GenerationRequest order) {
 		this.runs.start(run, () -> begin(run, order), (fault) -> end(run, fault(fault)));
 	}
 
-	private Runnable begin(RunId run, GenerationOrder order) {
+	private Runnable begin(RunId run, GenerationRequest order) {
 		try {
-			return this.engine.generate(request(run, order), new Listener(run, order.begun()))::cancel;
+			return this.engine.generate(request(run, order), new Listener(run, order.prefix()))::cancel;
 		}
 		catch (IllegalArgumentException ex) {
 			end(run, new RunResult.Rejected(LOWEST_CLIENT_ERROR, "the further fields are not a JSON object"));
@@ -85,15 +85,15 @@
 		}
 	}
 
-	private EngineRequest request(RunId run, GenerationOrder order) {
+	private EngineRequest request(RunId run, GenerationRequest order) {
 		String id = this.self + "-" + run.value();
 		EngineRequest request = EngineRequest.of(id, order.model(), messages(order))
 			.withMaximumTokens(order.maximumTokens())
 			.withFurtherFields(order.parameters());
 		if (order.session().isPresent()) {
-			request = request.withPin(KvPin.leased(session(order.session().get()), order.lease()));
+			request = request.withPin(KvPin.leased(session(order.session().get()), order.cacheLease()));
 		}
-		return order.begun().isEmpty() ? request : request.continuingFinalMessage();
+		return order.prefix().isEmpty() ? request : request.continuingFinalMessage();
 	}
 
 	/**
@@ -105,10 +105,10 @@
 		return program.toString();
 	}
 
-	private static String messages(GenerationOrder order) {
+	private static String messages(GenerationRequest order) {
 		StringBuilder array = new StringBuilder("[").append(String.join(",", order.messages()));
-		if (!order.begun().isEmpty()) {
-			array.append(order.messages().isEmpty() ? "" : ",").append(message(order.begun(), Optional.empty()));
+		if (!order.prefix().isEmpty()) {
+			array.append(order.messages().isEmpty() ? "" : ",").append(message(order.prefix(), Optional.empty()));
 		}
 		return array.append(']').toString();
 	}
--- a/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/upstream/Upstream.java
+++ b/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/upstream/Upstream.java
@@ -83,14 +83,14 @@
 	 * @param effect what to generate
 	 */
 	public void generate(SidecarEffect.Generate effect) {
-		this.engineRuns.generate(effect.run(), effect.order());
+		this.engineRuns.generate(effect.run(), effect.request());
 	}
 
 	/**
 	 * Passes a request to a plain service.
 	 * @param effect the request
 	 */
-	public void serve(SidecarEffect.Serve effect) {
+	public void serve(SidecarEffect.CallService effect) {
 		this.serviceRuns.serve(effect.run(), effect.message(), effect.timeout());
 	}
 
@@ -111,7 +111,7 @@
 			boolean released = answer != null && answer.isRight();
 			Instant now = this.clock.get();
 			this.reports.post(released ? new SidecarEvent.SessionReleased(program, now)
-					: new SidecarEvent.SessionNotReleased(program, now));
+					: new SidecarEvent.SessionReleaseFailed(program, now));
 		});
 	}
 
--- a/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/upstream/UpstreamPoller.java
+++ b/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/upstream/UpstreamPoller.java
@@ -131,7 +131,7 @@
 
 	private synchronized void tell(Report report) {
 		this.failures = 0;
-		this.reports.post(new SidecarEvent.UpstreamReported(report.instance(), report.running(), report.waiting(),
+		this.reports.post(new SidecarEvent.UpstreamLoadReceived(report.instance(), report.running(), report.waiting(),
 				report.heldTokens(), this.clock.get()));
 	}
 
--- a/lentilslip-sidecar/src/test/java/io/lentilslip/sidecar/history/HistoryReaderTests.java
+++ b/lentilslip-sidecar/src/test/java/io/lentilslip/sidecar/history/HistoryReaderTests.java
@@ -58,7 +58,7 @@
 		try (LogServiceStandIn log = LogServiceStandIn.start(0, limits, System::nanoTime)) {
 			fill(log);
 			assertThat(read(log, new Position(2, 0)))
-				.isEqualTo(new SidecarEvent.HistoryUnreadable(PROGRAM, EPOCH, true, Instant.EPOCH));
+				.isEqualTo(new SidecarEvent.HistoryReadFailed(PROGRAM, EPOCH, true, Instant.EPOCH));
 		}
 	}
 
@@ -68,7 +68,7 @@
 			fill(log);
 			log.setAvailability(new Availability.Refusing());
 			assertThat(read(log, new Position(2, 0)))
-				.isEqualTo(new SidecarEvent.HistoryUnreadable(PROGRAM, EPOCH, false, Instant.EPOCH));
+				.isEqualTo(new SidecarEvent.HistoryReadFailed(PROGRAM, EPOCH, false, Instant.EPOCH));
 		}
 	}
 
@@ -77,7 +77,7 @@
 		try (LogServiceStandIn log = LogServiceStandIn.start()) {
 			fill(log);
 			assertThat(read(log, new Position(1, 0)))
-				.isEqualTo(new SidecarEvent.HistoryUnreadable(PROGRAM, EPOCH, true, Instant.EPOCH));
+				.isEqualTo(new SidecarEvent.HistoryReadFailed(PROGRAM, EPOCH, true, Instant.EPOCH));
 		}
 	}
 
--- a/lentilslip-sidecar/src/test/java/io/lentilslip/sidecar/link/EntryLinksTests.java
+++ b/lentilslip-sidecar/src/test/java/io/lentilslip/sidecar/link/EntryLinksTests.java
@@ -61,8 +61,9 @@
 		LinkMessage.Cancel cancel = new LinkMessage.Cancel(ATTEMPT);
 		this.links.received(link, cancel);
 		this.links.closed(link, LinkClosure.CLOSED_BY_PEER);
-		assertThat(this.events).containsExactly(new SidecarEvent.EntryLinked(ENTRY, NOW),
-				new SidecarEvent.EntrySpoke(ENTRY, cancel, NOW), new SidecarEvent.EntryUnlinked(ENTRY, NOW));
+		assertThat(this.events).containsExactly(new SidecarEvent.EntryConnected(ENTRY, NOW),
+				new SidecarEvent.EntryMessageReceived(ENTRY, cancel, NOW),
+				new SidecarEvent.EntryDisconnected(ENTRY, NOW));
 		assertThat(this.notices).hasSize(1);
 	}
 
@@ -76,8 +77,8 @@
 		assertThat(before.closed).isTrue();
 		this.links.received(before, new LinkMessage.Cancel(ATTEMPT));
 		this.links.closed(before, LinkClosure.CLOSED_HERE);
-		assertThat(this.events).containsExactly(new SidecarEvent.EntryLinked(ENTRY, NOW),
-				new SidecarEvent.EntryUnlinked(ENTRY, NOW), new SidecarEvent.EntryLinked(ENTRY, NOW));
+		assertThat(this.events).containsExactly(new SidecarEvent.EntryConnected(ENTRY, NOW),
+				new SidecarEvent.EntryDisconnected(ENTRY, NOW), new SidecarEvent.EntryConnected(ENTRY, NOW));
 		this.links.send(ENTRY, new LinkMessage.Leaving());
 		assertThat(after.sent).containsExactly(new LinkMessage.Leaving());
 	}
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/LedgerSlopes.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/LedgerSlopes.java
@@ -45,7 +45,7 @@
 	}
 
 	private static Ledger reading(int size, IntFunction<? extends LedgerRecord> record) {
-		Ledger ledger = Ledger.remembering(Ledger.MEMORY);
+		Ledger ledger = Ledger.withRetention(Ledger.RETENTION);
 		for (int from = 0; from < size; from += BATCH) {
 			ledger = read(ledger, from, bytes(from, Math.min(from + BATCH, size), record));
 		}
@@ -60,7 +60,8 @@
 		Ledger current = ledger;
 		List<LedgerRecord> records = LedgerCodec.decode(bytes).get();
 		for (int index = 0; index < records.size(); index++) {
-			Ledger.Reading reading = current.apply(new Position(offset, index), SampleSite.START, records.get(index));
+			Ledger.ApplyResult reading = current.apply(new Position(offset, index), SampleSite.START,
+					records.get(index));
 			current = reading.ledger();
 		}
 		return current;
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/SidecarSlopes.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/SidecarSlopes.java
@@ -87,12 +87,12 @@
 
 		static Driver linkedTo(int entries) {
 			Driver driver = new Driver(SidecarState.of(SELF, SampleSite.ZONE));
-			driver.apply(new SidecarEvent.NodeSpoke(
+			driver.apply(new SidecarEvent.NodeEventReceived(
 					new NodeEvent.ConfigurationAccepted(1, SampleSite.configuration(1, 1), driver.now)));
-			driver.apply(new SidecarEvent.LogSpoke(new LogEvent.CaughtUp(0, driver.now)));
-			driver.apply(new SidecarEvent.UpstreamReported(1, 0, 0, 0, driver.now));
+			driver.apply(new SidecarEvent.LogEventReceived(new LogEvent.CaughtUp(0, driver.now)));
+			driver.apply(new SidecarEvent.UpstreamLoadReceived(1, 0, 0, 0, driver.now));
 			for (int number = 0; number < entries; number++) {
-				driver.apply(new SidecarEvent.EntryLinked(entry(number), driver.now));
+				driver.apply(new SidecarEvent.EntryConnected(entry(number), driver.now));
 			}
 			return driver;
 		}
@@ -139,7 +139,7 @@
 		}
 
 		private List<SidecarEffect> read(LedgerRecord record) {
-			return apply(new SidecarEvent.LogSpoke(
+			return apply(new SidecarEvent.LogEventReceived(
 					new LogEvent.BatchRead(this.nextOffset++, SampleSite.START, List.of(record), this.now)));
 		}
 
@@ -154,8 +154,8 @@
 		void ticks(int count) {
 			for (int number = 0; number < count; number++) {
 				this.now = this.now.plus(Duration.ofMillis(100));
-				apply(new SidecarEvent.UpstreamReported(1, 0, 0, 1 + number, this.now));
-				apply(new SidecarEvent.NodeSpoke(new NodeEvent.Ticked(this.now, number)));
+				apply(new SidecarEvent.UpstreamLoadReceived(1, 0, 0, 1 + number, this.now));
+				apply(new SidecarEvent.NodeEventReceived(new NodeEvent.Ticked(this.now, number)));
 			}
 		}
 
@@ -166,7 +166,7 @@
 			LinkMessage.Dispatch dispatch = new LinkMessage.Dispatch(attempt,
 					request(SampleSite.program(0, program), number),
 					new Standing.ForHome(SELF, Epoch.NONE.next(), program), DEADLINE, "");
-			RunId run = generated(apply(new SidecarEvent.EntrySpoke(entry, dispatch, this.now)));
+			RunId run = generated(apply(new SidecarEvent.EntryMessageReceived(entry, dispatch, this.now)));
 			apply(new SidecarEvent.RunStarted(run, this.now));
 			for (int delta = 0; delta < deltas; delta++) {
 				apply(new SidecarEvent.RunProgressed(run, "word", this.now));
@@ -198,7 +198,7 @@
 				.filter(SidecarEffect.ForNode.class::isInstance)
 				.map((effect) -> ((SidecarEffect.ForNode) effect).effect())
 				.toList());
-			apply(new SidecarEvent.LogSpoke(
+			apply(new SidecarEvent.LogEventReceived(
 					new LogEvent.AppendEnded(append.append(), AppendResult.APPENDED, this.now)));
 			List<SidecarEffect> end = read(append.record());
 			if (end.stream().noneMatch(Driver::isFinished)) {
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/LedgerReader.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/LedgerReader.java
@@ -151,20 +151,20 @@
 
 	private LedgerRecord requestBlamed(LedgerProtocol.RequestBlamed message) {
 		Fields.require(message.hasSidecar(), "sidecar");
-		return new LedgerRecord.RequestBlamed(Fields.digest(message.getContent(), "content"),
+		return new LedgerRecord.UpstreamCrashed(Fields.digest(message.getContent(), "content"),
 				this.calls.process(message.getSidecar()), message.getAlone());
 	}
 
 	private LedgerRecord requestCleared(LedgerProtocol.RequestCleared message) {
 		Fields.require(message.hasSidecar(), "sidecar");
-		return new LedgerRecord.RequestCleared(Fields.digest(message.getContent(), "content"),
+		return new LedgerRecord.CrashesCleared(Fields.digest(message.getContent(), "content"),
 				this.calls.process(message.getSidecar()));
 	}
 
 	private LedgerRecord sliceReserved(LedgerProtocol.SliceReserved message) {
 		Fields.require(message.hasEntry(), "entry");
 		Duration period = Fields.duration(message.getPeriodNanos(), "period");
-		if (period.compareTo(LedgerRecord.SliceReserved.SHORTEST_PERIOD) < 0) {
+		if (period.compareTo(LedgerRecord.SliceReserved.MIN_PERIOD) < 0) {
 			throw Fields.invalid("period", "shorter than any period");
 		}
 		return new LedgerRecord.SliceReserved(this.calls.group(message.getGroup()), tokens(message.getTokens()),
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/LedgerWriter.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/LedgerWriter.java
@@ -65,8 +65,8 @@
 			case LedgerRecord.ProgramEnded ended -> builder.setProgramEnded(write(ended)).build();
 			case LedgerRecord.CallClaimed claimed -> builder.setCallClaimed(write(claimed)).build();
 			case LedgerRecord.CallSettled settled -> builder.setCallSettled(write(settled)).build();
-			case LedgerRecord.RequestBlamed blamed -> builder.setRequestBlamed(write(blamed)).build();
-			case LedgerRecord.RequestCleared cleared -> builder.setRequestCleared(write(cleared)).build();
+			case LedgerRecord.UpstreamCrashed blamed -> builder.setRequestBlamed(write(blamed)).build();
+			case LedgerRecord.CrashesCleared cleared -> builder.setRequestCleared(write(cleared)).build();
 			case LedgerRecord.SliceReserved reserved -> builder.setSliceReserved(write(reserved)).build();
 			case LedgerRecord.SliceReturned returned -> builder.setSliceReturned(write(returned)).build();
 		};
@@ -127,15 +127,15 @@
 			.build();
 	}
 
-	private static LedgerProtocol.RequestBlamed write(LedgerRecord.RequestBlamed blamed) {
+	private static LedgerProtocol.RequestBlamed write(LedgerRecord.UpstreamCrashed blamed) {
 		return LedgerProtocol.RequestBlamed.newBuilder()
 			.setContent(Fields.bytes(blamed.content()))
 			.setSidecar(CallWriter.write(blamed.sidecar()))
-			.setAlone(blamed.alone())
+			.setAlone(blamed.isolated())
 			.build();
 	}
 
-	private static LedgerProtocol.RequestCleared write(LedgerRecord.RequestCleared cleared) {
+	private static LedgerProtocol.RequestCleared write(LedgerRecord.CrashesCleared cleared) {
 		return LedgerProtocol.RequestCleared.newBuilder()
 			.setContent(Fields.bytes(cleared.content()))
 			.setSidecar(CallWriter.write(cleared.sidecar()))
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/codec/ArbitraryValues.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/codec/ArbitraryValues.java
@@ -89,9 +89,9 @@
 		Arbitrary<LedgerRecord> callSettled = Combinators.combine(callKeys(), processes(), outcomes())
 			.as(LedgerRecord.CallSettled::new);
 		Arbitrary<LedgerRecord> requestBlamed = Combinators.combine(digests(), processes(), Arbitraries.of(true, false))
-			.as(LedgerRecord.RequestBlamed::new);
+			.as(LedgerRecord.UpstreamCrashed::new);
 		Arbitrary<LedgerRecord> requestCleared = Combinators.combine(digests(), processes())
-			.as(LedgerRecord.RequestCleared::new);
+			.as(LedgerRecord.CrashesCleared::new);
 		return Arbitraries.oneOf(List.of(programClaimed, turnCommitted, programEnded, callClaimed, callSettled,
 				requestBlamed, requestCleared, slicesReserved(), slicesReturned()));
 	}
@@ -99,7 +99,7 @@
 	private static Arbitrary<LedgerRecord> slicesReserved() {
 		Arbitrary<Long> tokens = Arbitraries.longs().greaterOrEqual(1);
 		Arbitrary<Duration> periods = Arbitraries.longs()
-			.greaterOrEqual(LedgerRecord.SliceReserved.SHORTEST_PERIOD.toNanos())
+			.greaterOrEqual(LedgerRecord.SliceReserved.MIN_PERIOD.toNanos())
 			.map(Duration::ofNanos);
 		return Combinators.combine(groups(), tokens, longs(), periods, Arbitraries.longs(), processes(), longs())
 			.as(LedgerRecord.SliceReserved::new);
