--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Ledger.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Ledger.java
@@ -140,7 +140,7 @@
 	 * @return the ledger after the record and what changed
 	 */
 	public ApplyResult apply(Position position, Instant time, LedgerRecord record) {
-		Ledger current = forgetBefore(time.minus(this.retention));
+		Ledger current = expireBefore(time.minus(this.retention));
 		return switch (record) {
 			case LedgerRecord.ProgramClaimed claimed -> current.claimProgram(position, time, claimed);
 			case LedgerRecord.TurnCommitted committed -> current.addTurn(position, time, committed);
@@ -150,7 +150,7 @@
 			case LedgerRecord.UpstreamCrashed blamed -> current.recordCrash(time, blamed);
 			case LedgerRecord.CrashesCleared cleared -> current.clearCrashes(cleared);
 			case LedgerRecord.SliceReserved reserved -> current.reserve(time, reserved);
-			case LedgerRecord.SliceReturned returned -> current.giveBack(time, returned);
+			case LedgerRecord.SliceReturned returned -> current.returnSlice(time, returned);
 		};
 	}
 
@@ -177,7 +177,7 @@
 		ProgramState created = new ProgramState(record.epoch(), record.home(), record.parent(), time, position, 0,
 				Optional.empty(), time, 0, Optional.empty());
 		Ledger next = record.parent().map((parent) -> withChild(parent, program)).orElse(this);
-		return next.dueAt(new Expiry.ForProgram(time, program))
+		return next.withExpiry(new Expiry.ForProgram(time, program))
 			.with(program, created, new LedgerChange.HomeChanged(program, created, record.home()));
 	}
 
@@ -272,7 +272,7 @@
 	private ApplyResult recordCrash(Instant time, LedgerRecord.UpstreamCrashed record) {
 		int before = crashCount(record.content());
 		int after = (record.isolated()) ? before + 1 : Math.max(before, 1);
-		Queue<Expiry> due = this.expiries.enqueue(new Expiry.ForBlame(time, record.content()));
+		Queue<Expiry> due = this.expiries.enqueue(new Expiry.ForCrashRecord(time, record.content()));
 		Ledger next = new Ledger(this.programs, this.children, this.claims,
 				this.crashRecords.put(record.content(), new CrashRecord(after, time)), this.budgets, due,
 				this.retention);
@@ -286,31 +286,32 @@
 	}
 
 	private ApplyResult reserve(Instant time, LedgerRecord.SliceReserved record) {
-		BudgetState known = liveBudget(record.group(), time).map((state) -> state.withConfigurationOf(record, time))
+		BudgetState known = unexpiredBudget(record.group(), time)
+			.map((state) -> state.withConfigurationOf(record, time))
 			.orElseGet(() -> BudgetState.create(record, time));
 		Ledger next = (this.budgets.containsKey(record.group())) ? this
-				: dueAt(new Expiry.ForBudget(time, record.group()));
-		return next.decided(record, record.group(), known.reserve(record),
+				: withExpiry(new Expiry.ForBudget(time, record.group()));
+		return next.applyDecision(record, record.group(), known.reserve(record),
 				(state) -> new LedgerChange.SliceGranted(record, state));
 	}
 
-	private ApplyResult giveBack(Instant time, LedgerRecord.SliceReturned record) {
-		Optional<BudgetState> known = liveBudget(record.group(), time);
+	private ApplyResult returnSlice(Instant time, LedgerRecord.SliceReturned record) {
+		Optional<BudgetState> known = unexpiredBudget(record.group(), time);
 		if (known.isEmpty()) {
 			return voided(record, VoidReason.SLICE_UNKNOWN);
 		}
-		return decided(record, record.group(), known.get().advanceTo(time).returnTokens(record),
+		return applyDecision(record, record.group(), known.get().advanceTo(time).returnTokens(record),
 				(state) -> new LedgerChange.SliceReturned(record, state));
 	}
 
 	// When a budget is taken out of the memory depends on what else waits to be
 	// forgotten, which processes that began to read at other offsets see differently. So
 	// its age decides here whether it counts.
-	private Optional<BudgetState> liveBudget(GroupName group, Instant time) {
+	private Optional<BudgetState> unexpiredBudget(GroupName group, Instant time) {
 		return budget(group).filter((state) -> !state.lastReservedAt().isBefore(time.minus(this.retention)));
 	}
 
-	private ApplyResult decided(LedgerRecord record, GroupName group, BudgetState.Decision decision,
+	private ApplyResult applyDecision(LedgerRecord record, GroupName group, BudgetState.Decision decision,
 			Function<BudgetState, LedgerChange> change) {
 		Ledger next = new Ledger(this.programs, this.children, this.claims, this.crashRecords,
 				this.budgets.put(group, decision.state()), this.expiries, this.retention);
@@ -320,7 +321,7 @@
 					.orElseGet(() -> change.apply(decision.state()))));
 	}
 
-	private Ledger dueAt(Expiry expiry) {
+	private Ledger withExpiry(Expiry expiry) {
 		return new Ledger(this.programs, this.children, this.claims, this.crashRecords, this.budgets,
 				this.expiries.enqueue(expiry), this.retention);
 	}
@@ -343,25 +344,25 @@
 
 	// Drops what began before a time. Without it the memory of a process grows with every
 	// program there ever was; with the log's time as measure all processes drop the same.
-	private Ledger forgetBefore(Instant time) {
+	private Ledger expireBefore(Instant time) {
 		Ledger next = this;
 		while (!next.expiries.isEmpty() && next.expiries.head().since().isBefore(time)) {
-			next = next.forget(next.expiries.head());
+			next = next.expire(next.expiries.head());
 		}
 		return next;
 	}
 
-	private Ledger forget(Expiry expiry) {
+	private Ledger expire(Expiry expiry) {
 		Queue<Expiry> rest = this.expiries.tail();
 		return switch (expiry) {
-			case Expiry.ForProgram due -> forgetProgram(due.program(), rest);
-			case Expiry.ForClaim due -> forgetClaim(due, rest);
-			case Expiry.ForBlame due -> forgetBlame(due, rest);
-			case Expiry.ForBudget due -> forgetBudget(due, rest);
+			case Expiry.ForProgram due -> expireProgram(due.program(), rest);
+			case Expiry.ForClaim due -> expireClaim(due, rest);
+			case Expiry.ForCrashRecord due -> expireCrashRecord(due, rest);
+			case Expiry.ForBudget due -> expireBudget(due, rest);
 		};
 	}
 
-	private Ledger forgetProgram(ProgramId program, Queue<Expiry> rest) {
+	private Ledger expireProgram(ProgramId program, Queue<Expiry> rest) {
 		Map<ProgramId, Set<ProgramId>> families = this.children.remove(program);
 		Optional<ProgramId> parent = program(program).flatMap(ProgramState::parent);
 		if (parent.isPresent()) {
@@ -374,14 +375,14 @@
 	// Drops a claim once its last record is old. The entry queued at the claim is skipped
 	// for a claim that was settled since, which has a later entry of its own, and for one
 	// that was released and made anew.
-	private Ledger forgetClaim(Expiry.ForClaim due, Queue<Expiry> rest) {
+	private Ledger expireClaim(Expiry.ForClaim due, Queue<Expiry> rest) {
 		Optional<ClaimState> state = claim(due.key()).filter((claim) -> claim.claimPosition().equals(due.claimed()))
 			.filter((claim) -> claim.outcome().isPresent() == due.settled());
 		Map<CallKey, ClaimState> left = (state.isPresent()) ? this.claims.remove(due.key()) : this.claims;
 		return new Ledger(this.programs, this.children, left, this.crashRecords, this.budgets, rest, this.retention);
 	}
 
-	private Ledger forgetBlame(Expiry.ForBlame due, Queue<Expiry> rest) {
+	private Ledger expireCrashRecord(Expiry.ForCrashRecord due, Queue<Expiry> rest) {
 		boolean latest = this.crashRecords.get(due.content()).exists((blame) -> blame.last().equals(due.since()));
 		Map<Digest, CrashRecord> left = (latest) ? this.crashRecords.remove(due.content()) : this.crashRecords;
 		return new Ledger(this.programs, this.children, this.claims, left, this.budgets, rest, this.retention);
@@ -389,7 +390,7 @@
 
 	// Drops a budget whose last reservation under its newest configuration is old, and
 	// looks at the others again when that can be so.
-	private Ledger forgetBudget(Expiry.ForBudget due, Queue<Expiry> rest) {
+	private Ledger expireBudget(Expiry.ForBudget due, Queue<Expiry> rest) {
 		Optional<BudgetState> state = budget(due.group());
 		if (state.isPresent() && state.get().lastReservedAt().isAfter(due.since())) {
 			return new Ledger(this.programs, this.children, this.claims, this.crashRecords, this.budgets,
@@ -466,7 +467,7 @@
 		 * @param since the log's time of the last crash
 		 * @param content the digest of the request
 		 */
-		record ForBlame(Instant since, Digest content) implements Expiry {
+		record ForCrashRecord(Instant since, Digest content) implements Expiry {
 
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Setup.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ActiveConfiguration.java
@@ -14,7 +14,7 @@
  * @param configuration the configuration
  * @param upstream the upstream, if the configuration still has it
  */
-record Setup(long version, Configuration configuration, Optional<UpstreamPolicy> upstream) {
+record ActiveConfiguration(long version, Configuration configuration, Optional<UpstreamPolicy> upstream) {
 
 	int maximumCalls() {
 		return this.upstream.map(UpstreamPolicy::maximumCalls).orElse(0);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ClaimRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ClaimRules.java
@@ -20,10 +20,10 @@
  */
 final class ClaimRules {
 
-	private final Draft draft;
+	private final StateBuilder builder;
 
-	ClaimRules(Draft draft) {
-		this.draft = draft;
+	ClaimRules(StateBuilder draft) {
+		this.builder = draft;
 	}
 
 	/**
@@ -31,28 +31,28 @@
 	 * @param arrival the attempt
 	 * @param standing the claim it names
 	 */
-	void arrive(Arrival arrival, Standing.ForClaimedCall standing) {
-		Optional<ClaimState> claim = this.draft.log.ledger().claim(standing.key());
-		if (claim.isEmpty() || !claim.get().executor().equals(this.draft.self)) {
-			this.draft.refuse(arrival, EntryRules.notRunSoon(FailureCause.MOVED, "The claim was released."));
+	void handle(IncomingAttempt arrival, Standing.ForClaimedCall standing) {
+		Optional<ClaimState> claim = this.builder.log.ledger().claim(standing.key());
+		if (claim.isEmpty() || !claim.get().executor().equals(this.builder.self)) {
+			this.builder.refuse(arrival, EntryRules.retryableRefusal(FailureCause.MOVED, "The claim was released."));
 			return;
 		}
 		if (!claim.get().content().equals(arrival.call().content())) {
-			this.draft.refuse(arrival,
+			this.builder.refuse(arrival,
 					CallFailure.notRun(FailureCause.KEY_REUSED, "This key belongs to a call with other content."));
 			return;
 		}
 		if (claim.get().outcome().isPresent()) {
-			this.draft.finish(arrival.entry(), arrival.attempt(), claim.get().outcome().get());
+			this.builder.finish(arrival.entry(), arrival.attempt(), claim.get().outcome().get());
 			return;
 		}
 		JobKey.ForClaim key = new JobKey.ForClaim(standing.key());
-		Optional<Job> job = this.draft.job(key);
+		Optional<Job> job = this.builder.job(key);
 		if (job.isPresent()) {
-			meet(arrival, job.get());
+			attach(arrival, job.get());
 			return;
 		}
-		Optional<CallFailure> refusal = refusalOf(standing.key());
+		Optional<CallFailure> refusal = refusalFor(standing.key());
 		if (refusal.isPresent()) {
 			release(key, arrival, refusal.get());
 			return;
@@ -60,31 +60,31 @@
 		// This life holds the claim, has no outcome and no job for it: it never ran it,
 		// and no other process may. Running it now is the first time.
 		List<String> added = arrival.modelCall().map(CallRequest.ForModel::messages).orElse(List.of());
-		new QueueRules(this.draft).enqueue(key, arrival, added);
+		new QueueRules(this.builder).enqueue(key, arrival, added);
 	}
 
 	// An earlier release of this key whose append had no answer may yet take effect. It
 	// would release this claim while the call runs, and another process would run it a
 	// second time. What does not run here can be released any number of times.
-	private Optional<CallFailure> refusalOf(CallKey key) {
-		if (this.draft.unsureReleases.contains(key)) {
-			return Optional.of(EntryRules.notRunSoon(FailureCause.MOVED, "The claim was released."));
+	private Optional<CallFailure> refusalFor(CallKey key) {
+		if (this.builder.uncertainReleases.contains(key)) {
+			return Optional.of(EntryRules.retryableRefusal(FailureCause.MOVED, "The claim was released."));
 		}
-		return new EntryRules(this.draft).refusalOfNew();
+		return new EntryRules(this.builder).unavailability();
 	}
 
-	private void release(JobKey.ForClaim key, Arrival arrival, CallFailure refusal) {
-		Job job = new QueueRules(this.draft).jobOf(key, arrival, List.of());
-		this.draft.attempts = this.draft.attempts.put(arrival.attempt(), key);
-		ended(job, key.key(), new CallOutcome.Failed(refusal));
+	private void release(JobKey.ForClaim key, IncomingAttempt arrival, CallFailure refusal) {
+		Job job = new QueueRules(this.builder).createJob(key, arrival, List.of());
+		this.builder.jobsByAttempt = this.builder.jobsByAttempt.put(arrival.attempt(), key);
+		appendOutcome(job, key.key(), new CallOutcome.Failed(refusal));
 	}
 
-	private void meet(Arrival arrival, Job job) {
-		if (job.stage() instanceof Stage.Settling settling && settling.overdue()) {
-			this.draft.finish(arrival.entry(), arrival.attempt(), settling.outcome());
+	private void attach(IncomingAttempt arrival, Job job) {
+		if (job.stage() instanceof Stage.Committing settling && settling.timedOut()) {
+			this.builder.finish(arrival.entry(), arrival.attempt(), settling.outcome());
 			return;
 		}
-		new HomeRules(this.draft).join(arrival, job);
+		new HomeRules(this.builder).join(arrival, job);
 	}
 
 	/**
@@ -93,21 +93,21 @@
 	 * @param key the key of the call
 	 * @param outcome the outcome
 	 */
-	void ended(Job job, CallKey key, CallOutcome outcome) {
-		new HomeRules(this.draft).settle(job, outcome);
-		this.draft.append(new LedgerRecord.CallSettled(key, this.draft.self, outcome));
+	void appendOutcome(Job job, CallKey key, CallOutcome outcome) {
+		new HomeRules(this.builder).awaitCommit(job, outcome);
+		this.builder.append(new LedgerRecord.CallSettled(key, this.builder.self, outcome));
 	}
 
 	/**
 	 * Tells the outcome of a claimed call, since the log holds it.
 	 * @param key the key of the call
 	 */
-	void settled(CallKey key) {
+	void outcomeCommitted(CallKey key) {
 		JobKey name = new JobKey.ForClaim(key);
-		Optional<Job> job = this.draft.job(name);
-		if (job.isPresent() && job.get().stage() instanceof Stage.Settling settling) {
-			this.draft.jobs = this.draft.jobs.remove(name);
-			this.draft.finishAll(job.get(), settling.outcome());
+		Optional<Job> job = this.builder.job(name);
+		if (job.isPresent() && job.get().stage() instanceof Stage.Committing settling) {
+			this.builder.jobs = this.builder.jobs.remove(name);
+			this.builder.finishAll(job.get(), settling.outcome());
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
@@ -24,25 +24,26 @@
  */
 final class EntryRules {
 
-	private static final int PARKED_BOUND = 1024;
+	private static final int MAX_AWAITING_LOG = 1024;
 
-	private static final Duration LOG_WAIT = Duration.ofSeconds(2);
+	private static final Duration LOG_WAIT_TIMEOUT = Duration.ofSeconds(2);
 
-	private static final Duration ORPHAN_GRACE = Duration.ofSeconds(5);
+	private static final Duration ORPHAN_TIMEOUT = Duration.ofSeconds(5);
 
-	private static final Duration RETRY_SOON = Duration.ofSeconds(1);
+	private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
-	private final Draft draft;
+	private final StateBuilder builder;
 
-	EntryRules(Draft draft) {
-		this.draft = draft;
+	EntryRules(StateBuilder draft) {
+		this.builder = draft;
 	}
 
-	void linked(ProcessId entry) {
-		this.draft.entries = this.draft.entries.put(entry, this.draft.entries.getOrElse(entry, HashSet.empty()));
-		this.draft.lastReport = Optional.empty();
-		if (this.draft.stopping) {
-			this.draft.send(entry, new LinkMessage.Leaving());
+	void connected(ProcessId entry) {
+		this.builder.openAttempts = this.builder.openAttempts.put(entry,
+				this.builder.openAttempts.getOrElse(entry, HashSet.empty()));
+		this.builder.lastReport = Optional.empty();
+		if (this.builder.draining) {
+			this.builder.send(entry, new LinkMessage.Leaving());
 		}
 	}
 
@@ -51,18 +52,18 @@
 	 * to another entry, which joins the work under way.
 	 * @param entry the entry
 	 */
-	void unlinked(ProcessId entry) {
-		for (AttemptId attempt : this.draft.entries.getOrElse(entry, HashSet.empty())) {
+	void disconnected(ProcessId entry) {
+		for (AttemptId attempt : this.builder.openAttempts.getOrElse(entry, HashSet.empty())) {
 			cancel(entry, attempt);
 		}
-		this.draft.entries = this.draft.entries.remove(entry);
+		this.builder.openAttempts = this.builder.openAttempts.remove(entry);
 	}
 
-	void spoke(ProcessId entry, LinkMessage.ToSidecar message) {
+	void handle(ProcessId entry, LinkMessage.ToSidecar message) {
 		switch (message) {
 			case LinkMessage.Dispatch dispatch -> dispatch(entry, dispatch);
 			case LinkMessage.Cancel cancel -> cancel(entry, cancel.attempt());
-			case LinkMessage.AskProgram question -> answer(entry, question);
+			case LinkMessage.AskProgram question -> sendProgramView(entry, question);
 			case LinkMessage.Hello hello -> {
 			}
 			case LinkMessage.Heartbeat heartbeat -> {
@@ -73,56 +74,56 @@
 	}
 
 	private void dispatch(ProcessId entry, LinkMessage.Dispatch message) {
-		if (this.draft.isOpen(message.attempt())) {
+		if (this.builder.isOpen(message.attempt())) {
 			return;
 		}
-		Arrival arrival = new Arrival(message.attempt(), entry, message.call(), message.standing(),
-				this.draft.now.plus(message.timeLeft()), message.delivered());
-		this.draft.opened(entry, arrival.attempt());
-		if (this.draft.setup.flatMap(Setup::upstream).isEmpty()) {
-			this.draft.refuse(arrival, notRunSoon(FailureCause.NOT_READY, "The sidecar has no configuration."));
+		IncomingAttempt arrival = new IncomingAttempt(message.attempt(), entry, message.call(), message.standing(),
+				this.builder.now.plus(message.timeLeft()), message.delivered());
+		this.builder.addOpenAttempt(entry, arrival.attempt());
+		if (this.builder.configuration.flatMap(ActiveConfiguration::upstream).isEmpty()) {
+			this.builder.refuse(arrival, retryableRefusal(FailureCause.NOT_READY, "The sidecar has no configuration."));
 			return;
 		}
-		receive(arrival);
+		route(arrival);
 	}
 
-	private void receive(Arrival arrival) {
+	private void route(IncomingAttempt arrival) {
 		switch (arrival.standing()) {
 			case Standing.ForHome standing -> {
-				if (!standing.home().equals(this.draft.self)) {
-					this.draft.refuse(arrival, notRunSoon(FailureCause.MOVED, "The program has another home."));
+				if (!standing.home().equals(this.builder.self)) {
+					this.builder.refuse(arrival, retryableRefusal(FailureCause.MOVED, "The program has another home."));
 				}
-				else if (this.draft.log.hasRead(standing.offset())) {
-					new HomeRules(this.draft).arrive(arrival, standing);
+				else if (this.builder.log.hasRead(standing.offset())) {
+					new HomeRules(this.builder).handle(arrival, standing);
 				}
 				else {
-					park(arrival);
+					awaitLog(arrival);
 				}
 			}
 			case Standing.ForClaimedCall standing -> {
-				if (!standing.executor().equals(this.draft.self)) {
+				if (!standing.executor().equals(this.builder.self)) {
 					// The life that was to run the call is over and may have run it. This
 					// one knows nothing of it, and not knowing is no proof.
-					this.draft.refuse(arrival, CallFailure.mayHaveRun(FailureCause.OUTCOME_UNKNOWN,
+					this.builder.refuse(arrival, CallFailure.mayHaveRun(FailureCause.OUTCOME_UNKNOWN,
 							"The process that was to run the request is gone."));
 				}
-				else if (this.draft.log.hasRead(standing.offset())) {
-					new ClaimRules(this.draft).arrive(arrival, standing);
+				else if (this.builder.log.hasRead(standing.offset())) {
+					new ClaimRules(this.builder).handle(arrival, standing);
 				}
 				else {
-					park(arrival);
+					awaitLog(arrival);
 				}
 			}
-			case Standing.ForSingleCall standing -> single(arrival);
+			case Standing.ForSingleCall standing -> handleSingleCall(arrival);
 		}
 	}
 
-	private void single(Arrival arrival) {
-		if (refusedAsNew(arrival)) {
+	private void handleSingleCall(IncomingAttempt arrival) {
+		if (refuseIfUnavailable(arrival)) {
 			return;
 		}
 		List<String> added = arrival.modelCall().map(CallRequest.ForModel::messages).orElse(List.of());
-		new QueueRules(this.draft).enqueue(new JobKey.ForAttempt(arrival.attempt()), arrival, added);
+		new QueueRules(this.builder).enqueue(new JobKey.ForAttempt(arrival.attempt()), arrival, added);
 	}
 
 	/**
@@ -130,9 +131,9 @@
 	 * @param arrival the attempt
 	 * @return whether it was refused
 	 */
-	boolean refusedAsNew(Arrival arrival) {
-		Optional<CallFailure> refusal = refusalOfNew();
-		refusal.ifPresent((failure) -> this.draft.refuse(arrival, failure));
+	boolean refuseIfUnavailable(IncomingAttempt arrival) {
+		Optional<CallFailure> refusal = unavailability();
+		refusal.ifPresent((failure) -> this.builder.refuse(arrival, failure));
 		return refusal.isPresent();
 	}
 
@@ -140,42 +141,42 @@
 	 * Returns why no new work can be taken.
 	 * @return the refusal, or an empty result if new work can be taken
 	 */
-	Optional<CallFailure> refusalOfNew() {
-		if (this.draft.stopping) {
-			return Optional.of(notRunSoon(FailureCause.STOPPING, "The upstream is leaving."));
+	Optional<CallFailure> unavailability() {
+		if (this.builder.draining) {
+			return Optional.of(retryableRefusal(FailureCause.STOPPING, "The upstream is leaving."));
 		}
-		if (!this.draft.upstream.up()) {
-			return Optional.of(notRunSoon(FailureCause.NO_UPSTREAM, "The upstream does not answer."));
+		if (!this.builder.upstream.reachable()) {
+			return Optional.of(retryableRefusal(FailureCause.NO_UPSTREAM, "The upstream does not answer."));
 		}
 		return Optional.empty();
 	}
 
-	private void park(Arrival arrival) {
-		if (this.draft.parked.size() >= PARKED_BOUND) {
-			this.draft.refuse(arrival, notRunSoon(FailureCause.NOT_READY, "The sidecar is behind the log."));
+	private void awaitLog(IncomingAttempt arrival) {
+		if (this.builder.awaitingLog.size() >= MAX_AWAITING_LOG) {
+			this.builder.refuse(arrival, retryableRefusal(FailureCause.NOT_READY, "The sidecar is behind the log."));
 			return;
 		}
-		this.draft.parked = this.draft.parked.append(arrival);
-		this.draft.remind(LOG_WAIT, new Duty.GiveUpParked(arrival.attempt()));
+		this.builder.awaitingLog = this.builder.awaitingLog.append(arrival);
+		this.builder.schedule(LOG_WAIT_TIMEOUT, new SidecarTimer.LogWaitTimeout(arrival.attempt()));
 	}
 
 	/**
 	 * Looks at the parked attempts again after more of the log was read.
 	 */
-	void unpark() {
-		Vector<Arrival> parked = this.draft.parked;
-		this.draft.parked = Vector.empty();
-		parked.forEach(this::receive);
+	void retryAwaitingLog() {
+		Vector<IncomingAttempt> parked = this.builder.awaitingLog;
+		this.builder.awaitingLog = Vector.empty();
+		parked.forEach(this::route);
 	}
 
-	void giveUpParked(AttemptId attempt) {
-		Option<Arrival> arrival = this.draft.parked.find((parked) -> parked.attempt().equals(attempt));
+	void logWaitTimedOut(AttemptId attempt) {
+		Option<IncomingAttempt> arrival = this.builder.awaitingLog.find((parked) -> parked.attempt().equals(attempt));
 		if (arrival.isEmpty()) {
 			return;
 		}
-		this.draft.parked = this.draft.parked.remove(arrival.get());
-		this.draft.refuse(arrival.get(),
-				notRunSoon(FailureCause.LOG_UNAVAILABLE, "The sidecar cannot read the log far enough."));
+		this.builder.awaitingLog = this.builder.awaitingLog.remove(arrival.get());
+		this.builder.refuse(arrival.get(),
+				retryableRefusal(FailureCause.LOG_UNAVAILABLE, "The sidecar cannot read the log far enough."));
 	}
 
 	/**
@@ -184,40 +185,40 @@
 	 * @param attempt the attempt
 	 */
 	void cancel(ProcessId entry, AttemptId attempt) {
-		Option<JobKey> key = this.draft.attempts.get(attempt);
-		Option<ProgramId> program = this.draft.waiting.get(attempt);
-		this.draft.closed(entry, attempt);
-		this.draft.parked = this.draft.parked.filter((arrival) -> !arrival.attempt().equals(attempt));
-		program.forEach((name) -> new HomeRules(this.draft).forgetWaiting(name, attempt));
-		key.toJavaOptional().flatMap(this.draft::job).ifPresent((job) -> leave(job.without(attempt)));
+		Option<JobKey> key = this.builder.jobsByAttempt.get(attempt);
+		Option<ProgramId> program = this.builder.programsByWaitingAttempt.get(attempt);
+		this.builder.removeAttempt(entry, attempt);
+		this.builder.awaitingLog = this.builder.awaitingLog.filter((arrival) -> !arrival.attempt().equals(attempt));
+		program.forEach((name) -> new HomeRules(this.builder).removeWaiting(name, attempt));
+		key.toJavaOptional().flatMap(this.builder::job).ifPresent((job) -> listenerRemoved(job.without(attempt)));
 	}
 
-	private void leave(Job job) {
-		this.draft.put(job);
+	private void listenerRemoved(Job job) {
+		this.builder.put(job);
 		if (job.listeners().nonEmpty()) {
 			return;
 		}
 		switch (job.stage()) {
 			case Stage.Queued queued -> {
-				new QueueRules(this.draft).take(job.key());
-				new HomeRules(this.draft).afterJob(job.key());
+				new QueueRules(this.builder).remove(job.key());
+				new HomeRules(this.builder).jobRemoved(job.key());
 			}
-			case Stage.Running running -> abandon(job, running);
-			case Stage.Settling settling -> {
+			case Stage.Running running -> orphaned(job, running);
+			case Stage.Committing settling -> {
 			}
 		}
 	}
 
 	// A claimed call, and one that may not be repeated, goes on: breaking it off would
 	// leave its outcome unknown, and a resend of the caller asks for it.
-	private void abandon(Job job, Stage.Running running) {
+	private void orphaned(Job job, Stage.Running running) {
 		switch (job.key()) {
-			case JobKey.ForTurn key -> this.draft.remind(ORPHAN_GRACE, new Duty.StopOrphan(key));
+			case JobKey.ForTurn key -> this.builder.schedule(ORPHAN_TIMEOUT, new SidecarTimer.OrphanTimeout(key));
 			case JobKey.ForClaim key -> {
 			}
 			case JobKey.ForAttempt key -> {
 				if (isRepeatable(job.call())) {
-					this.draft.run(new SidecarEffect.CancelRun(running.run()));
+					this.builder.emit(new SidecarEffect.CancelRun(running.run()));
 				}
 			}
 		}
@@ -230,24 +231,24 @@
 		};
 	}
 
-	void stopOrphan(JobKey key) {
-		Optional<Job> job = this.draft.job(key);
+	void orphanTimedOut(JobKey key) {
+		Optional<Job> job = this.builder.job(key);
 		if (job.isPresent() && job.get().listeners().isEmpty() && job.get().stage() instanceof Stage.Running running) {
-			this.draft.run(new SidecarEffect.CancelRun(running.run()));
+			this.builder.emit(new SidecarEffect.CancelRun(running.run()));
 		}
 	}
 
-	private void answer(ProcessId entry, LinkMessage.AskProgram question) {
-		Optional<ProgramState> state = this.draft.log.ledger().program(question.program());
-		Optional<ProgramView> view = this.draft.home(question.program())
+	private void sendProgramView(ProcessId entry, LinkMessage.AskProgram question) {
+		Optional<ProgramState> state = this.builder.log.ledger().program(question.program());
+		Optional<ProgramView> view = this.builder.home(question.program())
 			.filter(Home::ready)
-			.map((home) -> new ProgramView(home.program(), home.epoch(), home.turns().size(), home.pending(),
+			.map((home) -> new ProgramView(home.program(), home.epoch(), home.turns().size(), home.pendingCount(),
 					state.flatMap(ProgramState::endReason), home.messages().asJava()));
-		this.draft.send(entry, new LinkMessage.ProgramAnswer(question.attempt(), view));
+		this.builder.send(entry, new LinkMessage.ProgramAnswer(question.attempt(), view));
 	}
 
-	static CallFailure notRunSoon(FailureCause cause, String message) {
-		return CallFailure.notRun(cause, message).retryAfter(RETRY_SOON);
+	static CallFailure retryableRefusal(FailureCause cause, String message) {
+		return CallFailure.notRun(cause, message).retryAfter(RETRY_DELAY);
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Home.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Home.java
@@ -21,13 +21,13 @@
  * @param turns the history
  * @param committed the number of turns in the log
  * @param appending whether a turn is on its way into the log
- * @param active the job of the turn that waits or runs
+ * @param activeJob the job of the turn that waits or runs
  * @param waiting the attempts whose turn has not come
- * @param lastUsed when the program was last active
- * @param expires when the program has lived as long as it may
+ * @param lastUsedAt when the program was last active
+ * @param expiresAt when the program has lived as long as it may
  */
 record Home(ProgramId program, Epoch epoch, boolean ready, Vector<Turn> turns, int committed, boolean appending,
-		Optional<JobKey> active, Vector<Arrival> waiting, Instant lastUsed, Instant expires) {
+		Optional<JobKey> activeJob, Vector<IncomingAttempt> waiting, Instant lastUsedAt, Instant expiresAt) {
 
 	static Home of(ProgramId program, Epoch epoch, boolean ready, Instant now, Instant expires) {
 		return new Home(program, epoch, ready, Vector.empty(), 0, false, Optional.empty(), Vector.empty(), now,
@@ -35,45 +35,45 @@
 	}
 
 	Home withHistory(Vector<Turn> read) {
-		return new Home(this.program, this.epoch, true, read, read.size(), false, this.active, this.waiting,
-				this.lastUsed, this.expires);
+		return new Home(this.program, this.epoch, true, read, read.size(), false, this.activeJob, this.waiting,
+				this.lastUsedAt, this.expiresAt);
 	}
 
-	Home inEpoch(Epoch newer) {
-		return new Home(this.program, newer, this.ready, this.turns, this.committed, false, this.active, this.waiting,
-				this.lastUsed, this.expires);
+	Home withEpoch(Epoch newer) {
+		return new Home(this.program, newer, this.ready, this.turns, this.committed, false, this.activeJob,
+				this.waiting, this.lastUsedAt, this.expiresAt);
 	}
 
 	Home withTurn(Turn turn, Instant now) {
 		return new Home(this.program, this.epoch, this.ready, this.turns.append(turn), this.committed, this.appending,
-				Optional.empty(), this.waiting, now, this.expires);
+				Optional.empty(), this.waiting, now, this.expiresAt);
 	}
 
 	Home withCommitted(int number) {
-		return new Home(this.program, this.epoch, this.ready, this.turns, number, false, this.active, this.waiting,
-				this.lastUsed, this.expires);
+		return new Home(this.program, this.epoch, this.ready, this.turns, number, false, this.activeJob, this.waiting,
+				this.lastUsedAt, this.expiresAt);
 	}
 
-	Home whileAppending(boolean value) {
-		return new Home(this.program, this.epoch, this.ready, this.turns, this.committed, value, this.active,
-				this.waiting, this.lastUsed, this.expires);
+	Home withAppending(boolean value) {
+		return new Home(this.program, this.epoch, this.ready, this.turns, this.committed, value, this.activeJob,
+				this.waiting, this.lastUsedAt, this.expiresAt);
 	}
 
 	Home withActive(Optional<JobKey> job, Instant now) {
 		return new Home(this.program, this.epoch, this.ready, this.turns, this.committed, this.appending, job,
-				this.waiting, now, this.expires);
+				this.waiting, now, this.expiresAt);
 	}
 
-	Home withWaiting(Vector<Arrival> arrivals) {
-		return new Home(this.program, this.epoch, this.ready, this.turns, this.committed, this.appending, this.active,
-				arrivals, this.lastUsed, this.expires);
+	Home withWaiting(Vector<IncomingAttempt> arrivals) {
+		return new Home(this.program, this.epoch, this.ready, this.turns, this.committed, this.appending,
+				this.activeJob, arrivals, this.lastUsedAt, this.expiresAt);
 	}
 
 	/**
 	 * Returns the number of the turn that comes next.
 	 * @return the number
 	 */
-	int next() {
+	int nextNumber() {
 		return this.turns.size() + 1;
 	}
 
@@ -81,7 +81,7 @@
 	 * Returns the number of turns that are not yet in the log.
 	 * @return the number of turns
 	 */
-	int pending() {
+	int pendingCount() {
 		return this.turns.size() - this.committed;
 	}
 
@@ -90,7 +90,7 @@
 	 * @return the turn, or an empty result
 	 */
 	Optional<Turn> firstPending() {
-		return (pending() > 0) ? Optional.of(this.turns.get(this.committed)) : Optional.empty();
+		return (pendingCount() > 0) ? Optional.of(this.turns.get(this.committed)) : Optional.empty();
 	}
 
 	/**
@@ -99,10 +99,10 @@
 	 * @return the turn with the same key or number, or the last one if it has the same
 	 * content and the call has neither
 	 */
-	Optional<Turn> turnOf(CallRequest call) {
+	Optional<Turn> findTurn(CallRequest call) {
 		Optional<Integer> number = call.place().flatMap(ProgramCall::number);
 		if (number.isPresent()) {
-			return (number.get() < next()) ? Optional.of(this.turns.get(number.get() - 1)) : Optional.empty();
+			return (number.get() < nextNumber()) ? Optional.of(this.turns.get(number.get() - 1)) : Optional.empty();
 		}
 		if (call.key().isPresent()) {
 			return this.turns.find((turn) -> turn.key().equals(call.key())).toJavaOptional();
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
@@ -39,25 +39,25 @@
  */
 final class HomeRules {
 
-	private static final int WAITING_BOUND = 16;
+	private static final int MAX_WAITING_CALLS = 16;
 
-	private static final int PENDING_BOUND = 8;
+	private static final int MAX_PENDING_TURNS = 8;
 
 	/**
 	 * The most bytes that a call may add. A turn is one record, and the log takes no
 	 * record over 1 MiB: a larger turn would be answered and then wait for ever to be
 	 * kept. The rest is left for the answer and the envelope.
 	 */
-	private static final int TURN_BYTES = 768 << 10;
+	private static final int MAX_ADDED_BYTES = 768 << 10;
 
-	private static final Duration ORDER_WAIT = Duration.ofSeconds(5);
+	private static final Duration ORDER_TIMEOUT = Duration.ofSeconds(5);
 
-	private static final Duration OUTCOME_WAIT = Duration.ofSeconds(1);
+	private static final Duration COMMIT_TIMEOUT = Duration.ofSeconds(1);
 
-	private final Draft draft;
+	private final StateBuilder builder;
 
-	HomeRules(Draft draft) {
-		this.draft = draft;
+	HomeRules(StateBuilder draft) {
+		this.builder = draft;
 	}
 
 	/**
@@ -65,55 +65,56 @@
 	 * @param arrival the attempt
 	 * @param standing the claim it names
 	 */
-	void arrive(Arrival arrival, Standing.ForHome standing) {
+	void handle(IncomingAttempt arrival, Standing.ForHome standing) {
 		ProgramId program = arrival.call().place().orElseThrow().program();
-		Optional<ProgramState> state = this.draft.log.ledger().program(program);
-		if (state.isEmpty() || !state.get().home().equals(this.draft.self)
+		Optional<ProgramState> state = this.builder.log.ledger().program(program);
+		if (state.isEmpty() || !state.get().home().equals(this.builder.self)
 				|| !state.get().epoch().equals(standing.epoch())) {
-			this.draft.refuse(arrival, EntryRules.notRunSoon(FailureCause.MOVED, "The program has another home."));
+			this.builder.refuse(arrival,
+					EntryRules.retryableRefusal(FailureCause.MOVED, "The program has another home."));
 			return;
 		}
 		if (state.get().endReason().isPresent()) {
-			this.draft.refuse(arrival, CallFailure.ofEndedProgram(arrival.call(), state.get().lastCall()));
+			this.builder.refuse(arrival, CallFailure.ofEndedProgram(arrival.call(), state.get().lastCall()));
 			return;
 		}
-		Home home = this.draft.home(program).orElseGet(() -> open(program, state.get()));
-		if (home.waiting().size() >= WAITING_BOUND) {
-			this.draft.refuse(arrival,
-					EntryRules.notRunSoon(FailureCause.QUEUE_FULL, "Too many calls of this program wait."));
+		Home home = this.builder.home(program).orElseGet(() -> openHome(program, state.get()));
+		if (home.waiting().size() >= MAX_WAITING_CALLS) {
+			this.builder.refuse(arrival,
+					EntryRules.retryableRefusal(FailureCause.QUEUE_FULL, "Too many calls of this program wait."));
 			return;
 		}
-		this.draft.put(home.withWaiting(home.waiting().append(arrival)));
-		this.draft.waiting = this.draft.waiting.put(arrival.attempt(), program);
-		advance(program);
-		if (this.draft.waiting.containsKey(arrival.attempt())) {
-			this.draft.remind(ORDER_WAIT, new Duty.CheckWaiting(program, arrival.attempt()));
-			this.draft.remindAt(arrival.deadline(), new Duty.CheckWaiting(program, arrival.attempt()));
+		this.builder.put(home.withWaiting(home.waiting().append(arrival)));
+		this.builder.programsByWaitingAttempt = this.builder.programsByWaitingAttempt.put(arrival.attempt(), program);
+		processWaiting(program);
+		if (this.builder.programsByWaitingAttempt.containsKey(arrival.attempt())) {
+			this.builder.schedule(ORDER_TIMEOUT, new SidecarTimer.WaitingCallCheck(program, arrival.attempt()));
+			this.builder.scheduleAt(arrival.deadline(), new SidecarTimer.WaitingCallCheck(program, arrival.attempt()));
 		}
 	}
 
-	private Home open(ProgramId program, ProgramState state) {
-		Duration age = Duration.between(state.createdAt(), this.draft.log.time());
-		Instant expires = this.draft.now.plus(limits().programs().lifetime().minus(age));
-		Home home = Home.of(program, state.epoch(), state.lastTurnPosition().isEmpty(), this.draft.now, expires);
-		this.draft.put(home);
+	private Home openHome(ProgramId program, ProgramState state) {
+		Duration age = Duration.between(state.createdAt(), this.builder.log.time());
+		Instant expires = this.builder.now.plus(limits().programs().lifetime().minus(age));
+		Home home = Home.of(program, state.epoch(), state.lastTurnPosition().isEmpty(), this.builder.now, expires);
+		this.builder.put(home);
 		state.lastTurnPosition()
-			.ifPresent((last) -> this.draft.run(new SidecarEffect.ReadHistory(program, state.epoch(), last)));
-		this.draft.remindAt(nextCheck(home), new Duty.CheckAge(program));
+			.ifPresent((last) -> this.builder.emit(new SidecarEffect.ReadHistory(program, state.epoch(), last)));
+		this.builder.scheduleAt(nextCheck(home), new SidecarTimer.ProgramAgeCheck(program));
 		return home;
 	}
 
 	private Limits limits() {
-		return this.draft.setup.map(Setup::limits).orElse(Limits.DEFAULT);
+		return this.builder.configuration.map(ActiveConfiguration::limits).orElse(Limits.DEFAULT);
 	}
 
 	void historyRead(ProgramId program, Epoch epoch, List<Turn> turns) {
-		Optional<Home> home = this.draft.home(program).filter((known) -> known.epoch().equals(epoch));
+		Optional<Home> home = this.builder.home(program).filter((known) -> known.epoch().equals(epoch));
 		if (home.isEmpty() || home.get().ready()) {
 			return;
 		}
-		this.draft.put(home.get().withHistory(Vector.ofAll(turns)));
-		advance(program);
+		this.builder.put(home.get().withHistory(Vector.ofAll(turns)));
+		processWaiting(program);
 	}
 
 	/**
@@ -123,15 +124,15 @@
 	 * @param epoch the epoch for which it was to be read
 	 * @param lost whether the log no longer holds it
 	 */
-	void historyUnreadable(ProgramId program, Epoch epoch, boolean lost) {
-		Optional<Home> home = this.draft.home(program).filter((known) -> known.epoch().equals(epoch));
+	void historyReadFailed(ProgramId program, Epoch epoch, boolean lost) {
+		Optional<Home> home = this.builder.home(program).filter((known) -> known.epoch().equals(epoch));
 		if (home.isEmpty() || home.get().ready()) {
 			return;
 		}
-		this.draft.homes = this.draft.homes.remove(program);
+		this.builder.homes = this.builder.homes.remove(program);
 		CallFailure failure = (lost)
 				? CallFailure.notRun(FailureCause.LIMIT_REACHED, "The history is older than the log keeps.")
-				: EntryRules.notRunSoon(FailureCause.LOG_UNAVAILABLE, "The history cannot be read now.");
+				: EntryRules.retryableRefusal(FailureCause.LOG_UNAVAILABLE, "The history cannot be read now.");
 		home.get().waiting().forEach((arrival) -> refuseWaiting(arrival, home.get(), failure));
 	}
 
@@ -139,49 +140,49 @@
 	 * Looks at the waiting calls of a program, in the order in which they came.
 	 * @param program the program
 	 */
-	void advance(ProgramId program) {
-		Optional<Home> home = this.draft.home(program).filter(Home::ready);
+	void processWaiting(ProgramId program) {
+		Optional<Home> home = this.builder.home(program).filter(Home::ready);
 		if (home.isEmpty()) {
 			return;
 		}
-		this.draft.put(home.get().withWaiting(Vector.empty()));
-		Vector<Arrival> kept = Vector.empty();
-		for (Arrival arrival : home.get().waiting()) {
-			if (!decide(arrival, this.draft.home(program).orElseThrow())) {
+		this.builder.put(home.get().withWaiting(Vector.empty()));
+		Vector<IncomingAttempt> kept = Vector.empty();
+		for (IncomingAttempt arrival : home.get().waiting()) {
+			if (!process(arrival, this.builder.home(program).orElseThrow())) {
 				kept = kept.append(arrival);
 			}
 			else {
-				this.draft.waiting = this.draft.waiting.remove(arrival.attempt());
+				this.builder.programsByWaitingAttempt = this.builder.programsByWaitingAttempt.remove(arrival.attempt());
 			}
 		}
-		Home now = this.draft.home(program).orElseThrow();
-		this.draft.put(now.withWaiting(kept.appendAll(now.waiting())));
+		Home now = this.builder.home(program).orElseThrow();
+		this.builder.put(now.withWaiting(kept.appendAll(now.waiting())));
 	}
 
 	// Returns whether the attempt need not wait any more.
-	private boolean decide(Arrival arrival, Home home) {
-		Optional<Turn> turn = home.turnOf(arrival.call());
+	private boolean process(IncomingAttempt arrival, Home home) {
+		Optional<Turn> turn = home.findTurn(arrival.call());
 		if (turn.isPresent()) {
-			repeat(arrival, home, turn.get());
+			answerResend(arrival, home, turn.get());
 			return true;
 		}
 		// Also a job whose blame is on its way into the log: begun anew, the call would
 		// take its place, run in company, and leave the first attempt without an answer.
-		Optional<Job> underWay = this.draft.job(new JobKey.ForTurn(home.program(), home.next()));
+		Optional<Job> underWay = this.builder.job(new JobKey.ForTurn(home.program(), home.nextNumber()));
 		if (underWay.isPresent()) {
 			return isSameCall(arrival, underWay.get()) && join(arrival, underWay.get());
 		}
-		if (arrival.number().orElse(home.next()) > home.next()) {
+		if (arrival.callNumber().orElse(home.nextNumber()) > home.nextNumber()) {
 			return false;
 		}
-		begin(arrival, home);
+		startTurn(arrival, home);
 		return true;
 	}
 
-	private static boolean isSameCall(Arrival arrival, Job job) {
+	private static boolean isSameCall(IncomingAttempt arrival, Job job) {
 		CallRequest call = arrival.call();
-		if (arrival.number().isPresent()) {
-			return job.key() instanceof JobKey.ForTurn turn && turn.number() == arrival.number().get();
+		if (arrival.callNumber().isPresent()) {
+			return job.key() instanceof JobKey.ForTurn turn && turn.number() == arrival.callNumber().get();
 		}
 		if (call.key().isPresent()) {
 			return call.key().equals(job.call().key());
@@ -189,24 +190,24 @@
 		return call.content().equals(job.call().content());
 	}
 
-	private void repeat(Arrival arrival, Home home, Turn turn) {
+	private void answerResend(IncomingAttempt arrival, Home home, Turn turn) {
 		if (!turn.content().equals(arrival.call().content())) {
-			this.draft.refuse(arrival, reused());
+			this.builder.refuse(arrival, keyReused());
 			return;
 		}
-		Optional<Job> settling = this.draft.job(new JobKey.ForTurn(home.program(), turn.number()));
+		Optional<Job> settling = this.builder.job(new JobKey.ForTurn(home.program(), turn.number()));
 		if (settling.isPresent()) {
 			join(arrival, settling.get());
 			return;
 		}
 		Durability durability = (turn.number() <= home.committed()) ? Durability.COMMITTED : Durability.PENDING;
-		this.draft.finish(arrival.entry(), arrival.attempt(),
+		this.builder.finish(arrival.entry(), arrival.attempt(),
 				new CallOutcome.Answered(turn.answer(), durability, turn.number()));
-		this.draft.report(NoticeCode.DUPLICATE_ANSWERED.with(FieldName.PROGRAM, home.program())
+		this.builder.report(NoticeCode.DUPLICATE_ANSWERED.with(FieldName.PROGRAM, home.program())
 			.with(FieldName.CALL, turn.number()));
 	}
 
-	private static CallFailure reused() {
+	private static CallFailure keyReused() {
 		return CallFailure.notRun(FailureCause.KEY_REUSED, "This number or key belongs to a call with other content.");
 	}
 
@@ -216,58 +217,59 @@
 	 * @param job the job
 	 * @return {@code true}, since the attempt is taken care of
 	 */
-	boolean join(Arrival arrival, Job job) {
+	boolean join(IncomingAttempt arrival, Job job) {
 		if (!job.call().content().equals(arrival.call().content())) {
-			this.draft.refuse(arrival, reused());
+			this.builder.refuse(arrival, keyReused());
 			return true;
 		}
 		Optional<String> rest = job.transcript().after(arrival.delivered());
 		if (rest.isEmpty()) {
-			this.draft.refuse(arrival, CallFailure.mayHaveRun(FailureCause.UPSTREAM_FAILED,
+			this.builder.refuse(arrival, CallFailure.mayHaveRun(FailureCause.UPSTREAM_FAILED,
 					"The answer begun before cannot be continued."));
 			return true;
 		}
 		Listener listener = new Listener(arrival.attempt(), arrival.entry(), 0);
-		this.draft.attempts = this.draft.attempts.put(arrival.attempt(), job.key());
-		this.draft.send(arrival.entry(), new LinkMessage.Accepted(arrival.attempt()));
+		this.builder.jobsByAttempt = this.builder.jobsByAttempt.put(arrival.attempt(), job.key());
+		this.builder.send(arrival.entry(), new LinkMessage.Accepted(arrival.attempt()));
 		if (!rest.get().isEmpty()) {
-			this.draft.send(arrival.entry(), new LinkMessage.Delta(arrival.attempt(), 0, rest.get()));
+			this.builder.send(arrival.entry(), new LinkMessage.Delta(arrival.attempt(), 0, rest.get()));
 			listener = listener.afterDelta();
 		}
-		this.draft.put(job.withListener(listener));
+		this.builder.put(job.withListener(listener));
 		return true;
 	}
 
-	private void begin(Arrival arrival, Home home) {
-		if (new EntryRules(this.draft).refusedAsNew(arrival)) {
+	private void startTurn(IncomingAttempt arrival, Home home) {
+		if (new EntryRules(this.builder).refuseIfUnavailable(arrival)) {
 			return;
 		}
 		CallRequest.ForModel call = arrival.modelCall().orElseThrow();
 		Optional<CallFailure> limit = limitReached(home, call);
 		if (limit.isPresent()) {
-			this.draft.refuse(arrival, limit.get());
+			this.builder.refuse(arrival, limit.get());
 			return;
 		}
-		Optional<List<String>> added = addedBy(call, home);
+		Optional<List<String>> added = addedMessages(call, home);
 		if (added.isEmpty()) {
-			this.draft.refuse(arrival, CallFailure.notRun(FailureCause.HISTORY_MISMATCH,
+			this.builder.refuse(arrival, CallFailure.notRun(FailureCause.HISTORY_MISMATCH,
 					"The messages do not begin with the history of the program."));
-			this.draft.report(NoticeCode.HISTORY_MISMATCH.with(FieldName.PROGRAM, home.program())
-				.with(FieldName.CALL, home.next()));
+			this.builder.report(NoticeCode.HISTORY_MISMATCH.with(FieldName.PROGRAM, home.program())
+				.with(FieldName.CALL, home.nextNumber()));
 			return;
 		}
 		if (added.get().isEmpty()) {
-			this.draft.refuse(arrival, CallFailure.notRun(FailureCause.INVALID, "The call adds no message."));
+			this.builder.refuse(arrival, CallFailure.notRun(FailureCause.INVALID, "The call adds no message."));
 			return;
 		}
-		if (bytesOf(added.get()) > TURN_BYTES) {
-			this.draft.refuse(arrival, CallFailure.notRun(FailureCause.TOO_LARGE,
-					"A call may add at most " + TURN_BYTES + " bytes to the history."));
+		if (bytesOf(added.get()) > MAX_ADDED_BYTES) {
+			this.builder.refuse(arrival, CallFailure.notRun(FailureCause.TOO_LARGE,
+					"A call may add at most " + MAX_ADDED_BYTES + " bytes to the history."));
 			return;
 		}
-		JobKey key = new JobKey.ForTurn(home.program(), home.next());
-		if (new QueueRules(this.draft).enqueue(key, arrival, added.get())) {
-			this.draft.put(this.draft.home(home.program()).orElseThrow().withActive(Optional.of(key), this.draft.now));
+		JobKey key = new JobKey.ForTurn(home.program(), home.nextNumber());
+		if (new QueueRules(this.builder).enqueue(key, arrival, added.get())) {
+			this.builder
+				.put(this.builder.home(home.program()).orElseThrow().withActive(Optional.of(key), this.builder.now));
 		}
 	}
 
@@ -277,8 +279,8 @@
 
 	private Optional<CallFailure> limitReached(Home home, CallRequest.ForModel call) {
 		ProgramLimits limits = limits().programs();
-		if (home.pending() >= PENDING_BOUND) {
-			return Optional.of(EntryRules.notRunSoon(FailureCause.LOG_UNAVAILABLE,
+		if (home.pendingCount() >= MAX_PENDING_TURNS) {
+			return Optional.of(EntryRules.retryableRefusal(FailureCause.LOG_UNAVAILABLE,
 					"Too many turns of the program wait for the log."));
 		}
 		if (home.turns().size() >= limits.turns()) {
@@ -291,7 +293,7 @@
 		return Optional.empty();
 	}
 
-	private static Optional<List<String>> addedBy(CallRequest.ForModel call, Home home) {
+	private static Optional<List<String>> addedMessages(CallRequest.ForModel call, Home home) {
 		if (call.mode() == HistoryMode.NEW) {
 			return Optional.of(call.messages());
 		}
@@ -310,16 +312,17 @@
 	 * @param answer the answer
 	 */
 	void answered(Job job, ProgramId program, Answer.FromModel answer) {
-		Optional<Home> home = this.draft.home(program).filter((known) -> known.active().equals(Optional.of(job.key())));
+		Optional<Home> home = this.builder.home(program)
+			.filter((known) -> known.activeJob().equals(Optional.of(job.key())));
 		if (home.isEmpty()) {
 			return;
 		}
-		int number = home.get().next();
+		int number = home.get().nextNumber();
 		Turn turn = new Turn(number, job.call().content(), job.call().key(), job.added(), answer);
-		this.draft.put(home.get().withTurn(turn, this.draft.now));
-		settle(job, new CallOutcome.Answered(answer, Durability.COMMITTED, number));
-		commitNext(program);
-		advance(program);
+		this.builder.put(home.get().withTurn(turn, this.builder.now));
+		awaitCommit(job, new CallOutcome.Answered(answer, Durability.COMMITTED, number));
+		appendNextTurn(program);
+		processWaiting(program);
 	}
 
 	/**
@@ -327,9 +330,9 @@
 	 * @param job the job
 	 * @param outcome the outcome
 	 */
-	void settle(Job job, CallOutcome outcome) {
-		this.draft.put(job.at(new Stage.Settling(outcome, false)));
-		this.draft.remind(OUTCOME_WAIT, new Duty.TellOutcome(job.key()));
+	void awaitCommit(Job job, CallOutcome outcome) {
+		this.builder.put(job.withStage(new Stage.Committing(outcome, false)));
+		this.builder.schedule(COMMIT_TIMEOUT, new SidecarTimer.CommitTimeout(job.key()));
 	}
 
 	/**
@@ -337,15 +340,15 @@
 	 * next one names where this one stands.
 	 * @param program the program
 	 */
-	void commitNext(ProgramId program) {
-		Optional<Home> home = this.draft.home(program).filter((known) -> !known.appending());
+	void appendNextTurn(ProgramId program) {
+		Optional<Home> home = this.builder.home(program).filter((known) -> !known.appending());
 		Optional<Turn> turn = home.flatMap(Home::firstPending);
-		Optional<ProgramState> state = this.draft.log.ledger().program(program);
+		Optional<ProgramState> state = this.builder.log.ledger().program(program);
 		if (turn.isEmpty() || state.isEmpty()) {
 			return;
 		}
-		this.draft.put(home.get().whileAppending(true));
-		this.draft.append(new LedgerRecord.TurnCommitted(program, home.get().epoch(), turn.get(),
+		this.builder.put(home.get().withAppending(true));
+		this.builder.append(new LedgerRecord.TurnCommitted(program, home.get().epoch(), turn.get(),
 				state.get().lastTurnPosition()));
 	}
 
@@ -355,27 +358,27 @@
 	 * @param state the program's state with the turn
 	 * @param position where the turn stands
 	 */
-	void committed(ProgramId program, ProgramState state, Position position) {
-		Optional<Home> home = this.draft.home(program).filter((known) -> known.epoch().equals(state.epoch()));
+	void turnCommitted(ProgramId program, ProgramState state, Position position) {
+		Optional<Home> home = this.builder.home(program).filter((known) -> known.epoch().equals(state.epoch()));
 		if (home.isEmpty() || state.lastCall() <= home.get().committed()) {
 			return;
 		}
-		this.draft.put(home.get().withCommitted(state.lastCall()));
-		this.draft.report(NoticeCode.TURN_COMMITTED.with(FieldName.PROGRAM, program)
+		this.builder.put(home.get().withCommitted(state.lastCall()));
+		this.builder.report(NoticeCode.TURN_COMMITTED.with(FieldName.PROGRAM, program)
 			.with(FieldName.CALL, state.lastCall())
 			.with(FieldName.EPOCH, state.epoch())
 			.with(FieldName.OFFSET, position));
-		conclude(new JobKey.ForTurn(program, state.lastCall()));
-		commitNext(program);
-		advance(program);
+		finishCommitted(new JobKey.ForTurn(program, state.lastCall()));
+		appendNextTurn(program);
+		processWaiting(program);
 	}
 
 	// Tells the outcome of a job that the log holds now.
-	private void conclude(JobKey key) {
-		Optional<Job> job = this.draft.job(key);
-		if (job.isPresent() && job.get().stage() instanceof Stage.Settling settling) {
-			this.draft.jobs = this.draft.jobs.remove(key);
-			this.draft.finishAll(job.get(), settling.outcome());
+	private void finishCommitted(JobKey key) {
+		Optional<Job> job = this.builder.job(key);
+		if (job.isPresent() && job.get().stage() instanceof Stage.Committing settling) {
+			this.builder.jobs = this.builder.jobs.remove(key);
+			this.builder.finishAll(job.get(), settling.outcome());
 		}
 	}
 
@@ -383,21 +386,21 @@
 	 * Notes that a job of a program is gone without a turn.
 	 * @param key the job
 	 */
-	void afterJob(JobKey key) {
+	void jobRemoved(JobKey key) {
 		if (!(key instanceof JobKey.ForTurn turn)) {
 			return;
 		}
-		Optional<Home> home = this.draft.home(turn.program())
-			.filter((known) -> known.active().equals(Optional.of(key)));
+		Optional<Home> home = this.builder.home(turn.program())
+			.filter((known) -> known.activeJob().equals(Optional.of(key)));
 		if (home.isPresent()) {
-			this.draft.put(home.get().withActive(Optional.empty(), this.draft.now));
-			advance(turn.program());
+			this.builder.put(home.get().withActive(Optional.empty(), this.builder.now));
+			processWaiting(turn.program());
 		}
 	}
 
-	void forgetWaiting(ProgramId program, AttemptId attempt) {
-		this.draft.home(program)
-			.ifPresent((home) -> this.draft
+	void removeWaiting(ProgramId program, AttemptId attempt) {
+		this.builder.home(program)
+			.ifPresent((home) -> this.builder
 				.put(home.withWaiting(home.waiting().filter((arrival) -> !arrival.attempt().equals(attempt)))));
 	}
 
@@ -407,25 +410,25 @@
 	 * @param attempt the attempt
 	 */
 	void checkWaiting(ProgramId program, AttemptId attempt) {
-		Optional<Home> home = this.draft.home(program);
-		Optional<Arrival> arrival = home
+		Optional<Home> home = this.builder.home(program);
+		Optional<IncomingAttempt> arrival = home
 			.flatMap((known) -> known.waiting().find((each) -> each.attempt().equals(attempt)).toJavaOptional());
 		if (arrival.isEmpty()) {
 			return;
 		}
-		int reachable = home.get().next() + ((home.get().active().isPresent()) ? 1 : 0);
-		boolean outOfOrder = home.get().ready() && arrival.get().number().orElse(0) > reachable;
-		boolean late = !arrival.get().deadline().isAfter(this.draft.now);
+		int reachable = home.get().nextNumber() + ((home.get().activeJob().isPresent()) ? 1 : 0);
+		boolean outOfOrder = home.get().ready() && arrival.get().callNumber().orElse(0) > reachable;
+		boolean late = !arrival.get().deadline().isAfter(this.builder.now);
 		if (!outOfOrder && !late) {
 			return;
 		}
-		forgetWaiting(program, attempt);
+		removeWaiting(program, attempt);
 		FailureCause cause = (outOfOrder) ? FailureCause.OUT_OF_ORDER : FailureCause.DEADLINE_PASSED;
-		String message = (outOfOrder) ? "The call numbered " + home.get().next() + " has not arrived."
+		String message = (outOfOrder) ? "The call numbered " + home.get().nextNumber() + " has not arrived."
 				: "The deadline passed while the call waited for the one before it.";
-		refuseWaiting(arrival.get(), home.get(), EntryRules.notRunSoon(cause, message));
-		this.draft.report(NoticeCode.CALL_OUT_OF_ORDER.with(FieldName.PROGRAM, program)
-			.with(FieldName.CALL, arrival.get().number().orElse(0))
+		refuseWaiting(arrival.get(), home.get(), EntryRules.retryableRefusal(cause, message));
+		this.builder.report(NoticeCode.CALL_OUT_OF_ORDER.with(FieldName.PROGRAM, program)
+			.with(FieldName.CALL, arrival.get().callNumber().orElse(0))
 			.with(FieldName.REASON, cause));
 	}
 
@@ -436,30 +439,30 @@
 	 * @param program the program
 	 */
 	void checkAge(ProgramId program) {
-		Optional<Home> home = this.draft.home(program);
+		Optional<Home> home = this.builder.home(program);
 		if (home.isEmpty()) {
 			return;
 		}
 		ProgramLimits limits = limits().programs();
-		if (!home.get().expires().isAfter(this.draft.now)) {
-			end(program, EndReason.LIFETIME);
+		if (!home.get().expiresAt().isAfter(this.builder.now)) {
+			endProgram(program, EndReason.LIFETIME);
 			return;
 		}
-		Instant idle = home.get().lastUsed().plus(limits.idleTime());
-		if (home.get().active().isEmpty() && !idle.isAfter(this.draft.now)) {
-			this.draft.report(NoticeCode.PROGRAM_IDLE_LIMIT.with(FieldName.PROGRAM, program)
+		Instant idle = home.get().lastUsedAt().plus(limits.idleTime());
+		if (home.get().activeJob().isEmpty() && !idle.isAfter(this.builder.now)) {
+			this.builder.report(NoticeCode.PROGRAM_IDLE_LIMIT.with(FieldName.PROGRAM, program)
 				.with(FieldName.LIMIT, limits.idleTime()));
-			end(program, EndReason.IDLE);
+			endProgram(program, EndReason.IDLE);
 			return;
 		}
-		this.draft.remindAt(nextCheck(home.get()), new Duty.CheckAge(program));
+		this.builder.scheduleAt(nextCheck(home.get()), new SidecarTimer.ProgramAgeCheck(program));
 	}
 
 	private Instant nextCheck(Home home) {
 		Duration limit = limits().programs().idleTime();
-		Instant idle = home.lastUsed().plus(limit);
-		Instant checked = (idle.isAfter(this.draft.now)) ? idle : this.draft.now.plus(limit);
-		return (home.expires().isBefore(checked)) ? home.expires() : checked;
+		Instant idle = home.lastUsedAt().plus(limit);
+		Instant checked = (idle.isAfter(this.builder.now)) ? idle : this.builder.now.plus(limit);
+		return (home.expiresAt().isBefore(checked)) ? home.expiresAt() : checked;
 	}
 
 	/**
@@ -467,16 +470,16 @@
 	 * more, and their cache would stay held until they were idle for too long.
 	 * @param configuration the configuration in force
 	 */
-	void endWithoutGroup(Configuration configuration) {
-		for (ProgramId program : this.draft.homes.keySet()) {
+	void endProgramsWithoutGroup(Configuration configuration) {
+		for (ProgramId program : this.builder.homes.keySet()) {
 			if (configuration.group(program.group()).isEmpty()) {
-				end(program, EndReason.GROUP_REMOVED);
+				endProgram(program, EndReason.GROUP_REMOVED);
 			}
 		}
 	}
 
-	private void end(ProgramId program, EndReason reason) {
-		this.draft.append(new LedgerRecord.ProgramEnded(program, reason));
+	private void endProgram(ProgramId program, EndReason reason) {
+		this.builder.append(new LedgerRecord.ProgramEnded(program, reason));
 	}
 
 	/**
@@ -485,17 +488,17 @@
 	 * @param program the program
 	 * @param state the program's state with the new home
 	 */
-	void moved(ProgramId program, ProgramState state) {
-		Optional<Home> home = this.draft.home(program);
+	void homeChanged(ProgramId program, ProgramState state) {
+		Optional<Home> home = this.builder.home(program);
 		if (home.isEmpty()) {
 			return;
 		}
-		if (!home.get().ready() || !state.home().equals(this.draft.self)) {
+		if (!home.get().ready() || !state.home().equals(this.builder.self)) {
 			close(program, FailureCause.MOVED, "The program moved to another home.");
 			return;
 		}
-		this.draft.put(home.get().inEpoch(state.epoch()));
-		commitNext(program);
+		this.builder.put(home.get().withEpoch(state.epoch()));
+		appendNextTurn(program);
 	}
 
 	/**
@@ -506,23 +509,23 @@
 	 * @param message a sentence for the callers
 	 */
 	void close(ProgramId program, FailureCause cause, String message) {
-		Optional<Home> home = this.draft.home(program);
+		Optional<Home> home = this.builder.home(program);
 		if (home.isEmpty()) {
 			return;
 		}
-		this.draft.homes = this.draft.homes.remove(program);
-		CallFailure notRun = EntryRules.notRunSoon(cause, message);
+		this.builder.homes = this.builder.homes.remove(program);
+		CallFailure notRun = EntryRules.retryableRefusal(cause, message);
 		home.get().waiting().forEach((arrival) -> refuseWaiting(arrival, home.get(), notRun));
-		home.get().active().ifPresent((key) -> closeJob(key, cause, message));
-		for (int number = home.get().committed() + 1; number < home.get().next(); number++) {
+		home.get().activeJob().ifPresent((key) -> closeJob(key, cause, message));
+		for (int number = home.get().committed() + 1; number < home.get().nextNumber(); number++) {
 			closeJob(new JobKey.ForTurn(program, number), cause, message);
-			this.draft.report(NoticeCode.TURN_SUPERSEDED.with(FieldName.PROGRAM, program)
+			this.builder.report(NoticeCode.TURN_SUPERSEDED.with(FieldName.PROGRAM, program)
 				.with(FieldName.CALL, number)
 				.with(FieldName.EPOCH, home.get().epoch())
 				.with(FieldName.REASON, cause));
 		}
-		this.draft.queue = this.draft.queue.forget(program);
-		new SessionRules(this.draft).release(program);
+		this.builder.queue = this.builder.queue.forget(program);
+		new SessionRules(this.builder).release(program);
 	}
 
 	/**
@@ -533,12 +536,12 @@
 	 * @param state its state
 	 * @param reason why it ended
 	 */
-	void ended(ProgramId program, ProgramState state, EndReason reason) {
-		if (state.home().equals(this.draft.self)) {
+	void programEnded(ProgramId program, ProgramState state, EndReason reason) {
+		if (state.home().equals(this.builder.self)) {
 			Duration latency = Duration.between(state.createdAt(), state.lastActiveAt());
-			this.draft
+			this.builder
 				.measure(new Measurement.ProgramEnded(program.group(), latency, state.lastCall(), labelOf(reason)));
-			this.draft.report(NoticeCode.PROGRAM_ENDED.with(FieldName.PROGRAM, program)
+			this.builder.report(NoticeCode.PROGRAM_ENDED.with(FieldName.PROGRAM, program)
 				.with(FieldName.REASON, reason)
 				.with(FieldName.COUNT, state.lastCall())
 				.with(FieldName.MILLISECONDS, latency.toMillis()));
@@ -557,52 +560,53 @@
 
 	// A home that has not read its history can't tell a new call from the resend of one
 	// whose turn is in it, and must not say of that one that it did not run.
-	private void refuseWaiting(Arrival arrival, Home home, CallFailure failure) {
-		this.draft.refuse(arrival, (home.ready()) ? failure : failure.after(Verdict.MAY_HAVE_RUN));
+	private void refuseWaiting(IncomingAttempt arrival, Home home, CallFailure failure) {
+		this.builder.refuse(arrival, (home.ready()) ? failure : failure.after(Verdict.MAY_HAVE_RUN));
 	}
 
 	private void closeJob(JobKey key, FailureCause cause, String message) {
-		Optional<Job> job = this.draft.job(key);
+		Optional<Job> job = this.builder.job(key);
 		if (job.isEmpty()) {
 			return;
 		}
 		boolean queued = job.get().stage() instanceof Stage.Queued;
 		if (job.get().stage() instanceof Stage.Running running) {
-			this.draft.run(new SidecarEffect.CancelRun(running.run()));
+			this.builder.emit(new SidecarEffect.CancelRun(running.run()));
 		}
-		new QueueRules(this.draft).take(key);
-		CallFailure failure = (queued) ? EntryRules.notRunSoon(cause, message) : CallFailure.mayHaveRun(cause, message);
-		this.draft.finishAll(job.get(), new CallOutcome.Failed(failure));
+		new QueueRules(this.builder).remove(key);
+		CallFailure failure = (queued) ? EntryRules.retryableRefusal(cause, message)
+				: CallFailure.mayHaveRun(cause, message);
+		this.builder.finishAll(job.get(), new CallOutcome.Failed(failure));
 	}
 
 	/**
 	 * Tells the outcome of a job whose record takes too long.
 	 * @param key the job
 	 */
-	void tellOutcome(JobKey key) {
-		Optional<Job> job = this.draft.job(key);
-		if (job.isEmpty() || !(job.get().stage() instanceof Stage.Settling settling) || settling.overdue()) {
+	void commitTimedOut(JobKey key) {
+		Optional<Job> job = this.builder.job(key);
+		if (job.isEmpty() || !(job.get().stage() instanceof Stage.Committing settling) || settling.timedOut()) {
 			return;
 		}
-		CallOutcome outcome = pending(settling.outcome());
-		this.draft.finishAll(job.get(), outcome);
+		CallOutcome outcome = asPending(settling.outcome());
+		this.builder.finishAll(job.get(), outcome);
 		switch (key) {
 			case JobKey.ForTurn turn -> {
-				this.draft.jobs = this.draft.jobs.remove(key);
+				this.builder.jobs = this.builder.jobs.remove(key);
 				if (outcome instanceof CallOutcome.Answered) {
-					this.draft.report(NoticeCode.TURN_PENDING.with(FieldName.PROGRAM, turn.program())
+					this.builder.report(NoticeCode.TURN_PENDING.with(FieldName.PROGRAM, turn.program())
 						.with(FieldName.CALL, turn.number()));
 				}
-				advance(turn.program());
+				processWaiting(turn.program());
 			}
 			// Kept until the log holds its outcome, so that no resend runs it again.
-			case JobKey.ForClaim claim ->
-				this.draft.put(job.get().withListeners(Vector.empty()).at(new Stage.Settling(outcome, true)));
-			case JobKey.ForAttempt attempt -> this.draft.jobs = this.draft.jobs.remove(key);
+			case JobKey.ForClaim claim -> this.builder
+				.put(job.get().withListeners(Vector.empty()).withStage(new Stage.Committing(outcome, true)));
+			case JobKey.ForAttempt attempt -> this.builder.jobs = this.builder.jobs.remove(key);
 		}
 	}
 
-	private static CallOutcome pending(CallOutcome outcome) {
+	private static CallOutcome asPending(CallOutcome outcome) {
 		return switch (outcome) {
 			case CallOutcome.Answered answered ->
 				new CallOutcome.Answered(answered.answer(), Durability.PENDING, answered.number());
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Arrival.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/IncomingAttempt.java
@@ -19,7 +19,7 @@
  * @param deadline when the caller gives up
  * @param delivered the text of the answer that the caller already has
  */
-record Arrival(AttemptId attempt, ProcessId entry, CallRequest call, Standing standing, Instant deadline,
+record IncomingAttempt(AttemptId attempt, ProcessId entry, CallRequest call, Standing standing, Instant deadline,
 		String delivered) {
 
 	/**
@@ -34,7 +34,7 @@
 	 * Returns the number that the caller gave to the call.
 	 * @return the number, or an empty result
 	 */
-	Optional<Integer> number() {
+	Optional<Integer> callNumber() {
 		return this.call.place().flatMap(ProgramCall::number);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Job.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Job.java
@@ -20,39 +20,40 @@
  * @param listeners the attempts that wait for its end
  * @param stage how far it is
  * @param transcript the text of the answer so far
- * @param begun the text that was there before the upstream was asked
- * @param alone whether nothing else may run at the upstream meanwhile
- * @param entry its entry in the queue
+ * @param prefix the text that was there before the upstream was asked
+ * @param isolated whether nothing else may run at the upstream meanwhile
+ * @param queueEntry its entry in the queue
  */
 record Job(JobKey key, CallRequest call, List<String> added, Vector<Listener> listeners, Stage stage,
-		Transcript transcript, String begun, boolean alone, FairQueue.Entry<JobKey, JobKey> entry) {
+		Transcript transcript, String prefix, boolean isolated, FairQueue.Entry<JobKey, JobKey> queueEntry) {
 
 	Job withListener(Listener listener) {
 		return new Job(this.key, this.call, this.added, this.listeners.append(listener), this.stage, this.transcript,
-				this.begun, this.alone, this.entry);
+				this.prefix, this.isolated, this.queueEntry);
 	}
 
 	Job withListeners(Vector<Listener> others) {
-		return new Job(this.key, this.call, this.added, others, this.stage, this.transcript, this.begun, this.alone,
-				this.entry);
+		return new Job(this.key, this.call, this.added, others, this.stage, this.transcript, this.prefix, this.isolated,
+				this.queueEntry);
 	}
 
 	Job without(AttemptId attempt) {
 		return withListeners(this.listeners.filter((listener) -> !listener.attempt().equals(attempt)));
 	}
 
-	Job at(Stage next) {
-		return new Job(this.key, this.call, this.added, this.listeners, next, this.transcript, this.begun, this.alone,
-				this.entry);
+	Job withStage(Stage next) {
+		return new Job(this.key, this.call, this.added, this.listeners, next, this.transcript, this.prefix,
+				this.isolated, this.queueEntry);
 	}
 
-	Job runAlone() {
-		return new Job(this.key, this.call, this.added, this.listeners, this.stage, this.transcript, this.begun, true,
-				this.entry);
+	Job withIsolation() {
+		return new Job(this.key, this.call, this.added, this.listeners, this.stage, this.transcript, this.prefix, true,
+				this.queueEntry);
 	}
 
-	Job withText(Transcript longer, Vector<Listener> served) {
-		return new Job(this.key, this.call, this.added, served, this.stage, longer, this.begun, this.alone, this.entry);
+	Job withTranscript(Transcript longer, Vector<Listener> served) {
+		return new Job(this.key, this.call, this.added, served, this.stage, longer, this.prefix, this.isolated,
+				this.queueEntry);
 	}
 
 	/**
@@ -73,7 +74,7 @@
 		 * @param run the request to the upstream
 		 * @param since when the upstream was asked
 		 */
-		record Running(RunId run, Instant since) implements Stage {
+		record Running(RunId run, Instant startedAt) implements Stage {
 
 		}
 
@@ -83,7 +84,7 @@
 		 * @param outcome the outcome
 		 * @param overdue whether the log took too long and the listeners were told
 		 */
-		record Settling(CallOutcome outcome, boolean overdue) implements Stage {
+		record Committing(CallOutcome outcome, boolean timedOut) implements Stage {
 
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
@@ -22,57 +22,58 @@
  */
 final class LedgerRules {
 
-	private static final Duration PAUSE_BEFORE_APPEND_AGAIN = Duration.ofMillis(250);
+	private static final Duration APPEND_RETRY_DELAY = Duration.ofMillis(250);
 
 	/**
 	 * How long after its answer was lost an append may take effect.
 	 */
-	private static final Duration LATEST_APPEND = Duration.ofMinutes(5);
+	private static final Duration UNCERTAIN_APPEND_TIMEOUT = Duration.ofMinutes(5);
 
-	private final Draft draft;
+	private final StateBuilder builder;
 
-	LedgerRules(Draft draft) {
-		this.draft = draft;
+	LedgerRules(StateBuilder draft) {
+		this.builder = draft;
 	}
 
-	void learned(LogEvent event) {
+	void handle(LogEvent event) {
 		switch (event) {
-			case LogEvent.BatchRead read -> read(read);
-			case LogEvent.CaughtUp caughtUp -> back(caughtUp.next());
-			case LogEvent.Unreachable unreachable -> unreachable();
-			case LogEvent.GapFound gap -> startAnew(gap);
-			case LogEvent.AppendEnded ended -> appended(ended);
+			case LogEvent.BatchRead read -> applyBatch(read);
+			case LogEvent.CaughtUp caughtUp -> logReachable(caughtUp.next());
+			case LogEvent.Unreachable unreachable -> logUnreachable();
+			case LogEvent.GapFound gap -> resetAfterGap(gap);
+			case LogEvent.AppendEnded ended -> appendCompleted(ended);
 		}
 	}
 
-	private void read(LogEvent.BatchRead event) {
-		if (event.offset() < this.draft.log.next()) {
+	private void applyBatch(LogEvent.BatchRead event) {
+		if (event.offset() < this.builder.log.next()) {
 			return;
 		}
 		int index = 0;
 		for (LedgerRecord record : event.batch()) {
 			Position position = new Position(event.offset(), index);
-			Ledger.ApplyResult reading = this.draft.log.ledger().apply(position, event.time(), record);
-			this.draft.log = this.draft.log.withLedger(reading.ledger());
-			reading.changes().forEach((change) -> follow(change, position));
+			Ledger.ApplyResult reading = this.builder.log.ledger().apply(position, event.time(), record);
+			this.builder.log = this.builder.log.withLedger(reading.ledger());
+			reading.changes().forEach((change) -> handleChange(change, position));
 			index++;
 		}
-		this.draft.log = this.draft.log.readTo(event.offset() + 1, event.time());
-		new EntryRules(this.draft).unpark();
-		new QueueRules(this.draft).pump();
+		this.builder.log = this.builder.log.readTo(event.offset() + 1, event.time());
+		new EntryRules(this.builder).retryAwaitingLog();
+		new QueueRules(this.builder).startJobs();
 	}
 
-	private void follow(LedgerChange change, Position position) {
-		HomeRules homes = new HomeRules(this.draft);
+	private void handleChange(LedgerChange change, Position position) {
+		HomeRules homes = new HomeRules(this.builder);
 		switch (change) {
-			case LedgerChange.HomeChanged changed -> homes.moved(changed.program(), changed.state());
-			case LedgerChange.TurnAdded added -> homes.committed(added.program(), added.state(), position);
-			case LedgerChange.ProgramEnded closed -> homes.ended(closed.program(), closed.state(), closed.reason());
+			case LedgerChange.HomeChanged changed -> homes.homeChanged(changed.program(), changed.state());
+			case LedgerChange.TurnAdded added -> homes.turnCommitted(added.program(), added.state(), position);
+			case LedgerChange.ProgramEnded closed ->
+				homes.programEnded(closed.program(), closed.state(), closed.reason());
 			case LedgerChange.CallClaimed taken -> {
 			}
-			case LedgerChange.CallCompleted done -> new ClaimRules(this.draft).settled(done.key());
-			case LedgerChange.CallReleased released -> new ClaimRules(this.draft).settled(released.key());
-			case LedgerChange.CrashCountChanged counted -> new RunRules(this.draft).blamed(counted.content());
+			case LedgerChange.CallCompleted done -> new ClaimRules(this.builder).outcomeCommitted(done.key());
+			case LedgerChange.CallReleased released -> new ClaimRules(this.builder).outcomeCommitted(released.key());
+			case LedgerChange.CrashCountChanged counted -> new RunRules(this.builder).crashRecorded(counted.content());
 			case LedgerChange.SliceGranted granted -> {
 			}
 			case LedgerChange.SliceReturned givenBack -> {
@@ -82,51 +83,51 @@
 		}
 	}
 
-	private void back(long next) {
-		if (this.draft.log.unreachableSince().isPresent()) {
-			this.draft.report(NoticeCode.LOG_BACK.with(FieldName.OFFSET, next));
+	private void logReachable(long next) {
+		if (this.builder.log.unreachableSince().isPresent()) {
+			this.builder.report(NoticeCode.LOG_BACK.with(FieldName.OFFSET, next));
 		}
-		this.draft.log = this.draft.log.reachable();
+		this.builder.log = this.builder.log.reachable();
 	}
 
-	private void unreachable() {
-		if (this.draft.log.unreachableSince().isEmpty()) {
-			this.draft.report(NoticeCode.LOG_UNAVAILABLE.with(FieldName.STREAM, "programs"));
+	private void logUnreachable() {
+		if (this.builder.log.unreachableSince().isEmpty()) {
+			this.builder.report(NoticeCode.LOG_UNAVAILABLE.with(FieldName.STREAM, "programs"));
 		}
-		this.draft.log = this.draft.log.unreachable(this.draft.now);
+		this.builder.log = this.builder.log.unreachable(this.builder.now);
 	}
 
 	// Records were lost before they were read: this process may have missed that its
 	// homes
 	// moved. It acts as if it had just started, and reads what the log still has.
-	private void startAnew(LogEvent.GapFound gap) {
-		this.draft.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.from())
+	private void resetAfterGap(LogEvent.GapFound gap) {
+		this.builder.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.from())
 			.with(FieldName.COUNT, gap.first() - gap.from()));
-		if (this.draft.log.next() > 0) {
-			for (ProgramId program : this.draft.homes.keySet()) {
-				new HomeRules(this.draft).close(program, FailureCause.MOVED, "The program may have moved.");
+		if (this.builder.log.next() > 0) {
+			for (ProgramId program : this.builder.homes.keySet()) {
+				new HomeRules(this.builder).close(program, FailureCause.MOVED, "The program may have moved.");
 			}
 		}
-		this.draft.log = LogView.unread().readTo(gap.first(), Instant.EPOCH);
+		this.builder.log = LogView.unread().readTo(gap.first(), Instant.EPOCH);
 	}
 
-	private void appended(LogEvent.AppendEnded event) {
-		Optional<LedgerRecord> record = this.draft.appends.get(event.append()).toJavaOptional();
-		this.draft.appends = this.draft.appends.remove(event.append());
+	private void appendCompleted(LogEvent.AppendEnded event) {
+		Optional<LedgerRecord> record = this.builder.appends.get(event.append()).toJavaOptional();
+		this.builder.appends = this.builder.appends.remove(event.append());
 		if (record.isEmpty() || event.result() == AppendResult.APPENDED) {
 			return;
 		}
 		if (event.result() == AppendResult.UNKNOWN) {
-			this.draft.report(NoticeCode.APPEND_UNKNOWN.with(FieldName.STREAM, "programs"));
-			noteRelease(record.get());
+			this.builder.report(NoticeCode.APPEND_UNKNOWN.with(FieldName.STREAM, "programs"));
+			recordUncertainRelease(record.get());
 		}
-		this.draft.remind(PAUSE_BEFORE_APPEND_AGAIN, new Duty.AppendAgain(record.get()));
+		this.builder.schedule(APPEND_RETRY_DELAY, new SidecarTimer.AppendRetry(record.get()));
 	}
 
-	private void noteRelease(LedgerRecord record) {
+	private void recordUncertainRelease(LedgerRecord record) {
 		if (record instanceof LedgerRecord.CallSettled settled && settled.outcome().verdict() == Verdict.NOT_RUN) {
-			this.draft.unsureReleases = this.draft.unsureReleases.add(settled.key());
-			this.draft.remind(LATEST_APPEND, new Duty.ForgetRelease(settled.key()));
+			this.builder.uncertainReleases = this.builder.uncertainReleases.add(settled.key());
+			this.builder.schedule(UNCERTAIN_APPEND_TIMEOUT, new SidecarTimer.UncertainReleaseExpiry(settled.key()));
 		}
 	}
 
@@ -135,23 +136,23 @@
 	 * this one void.
 	 * @param record the record
 	 */
-	void appendAgain(LedgerRecord record) {
-		if (isWanted(record)) {
-			this.draft.append(record);
+	void retryAppend(LedgerRecord record) {
+		if (isStillNeeded(record)) {
+			this.builder.append(record);
 		}
 	}
 
-	private boolean isWanted(LedgerRecord record) {
+	private boolean isStillNeeded(LedgerRecord record) {
 		return switch (record) {
-			case LedgerRecord.TurnCommitted committed -> this.draft.home(committed.program())
+			case LedgerRecord.TurnCommitted committed -> this.builder.home(committed.program())
 				.filter((home) -> home.epoch().equals(committed.epoch()))
 				.flatMap(Home::firstPending)
 				.filter((turn) -> turn.number() == committed.turn().number())
 				.isPresent();
-			case LedgerRecord.CallSettled settled -> this.draft.jobs.containsKey(new JobKey.ForClaim(settled.key()));
-			case LedgerRecord.ProgramEnded ended -> this.draft.home(ended.program()).isPresent();
+			case LedgerRecord.CallSettled settled -> this.builder.jobs.containsKey(new JobKey.ForClaim(settled.key()));
+			case LedgerRecord.ProgramEnded ended -> this.builder.home(ended.program()).isPresent();
 			case LedgerRecord.UpstreamCrashed blamed -> true;
-			case LedgerRecord.CrashesCleared cleared -> this.draft.log.ledger().crashCount(cleared.content()) > 0;
+			case LedgerRecord.CrashesCleared cleared -> this.builder.log.ledger().crashCount(cleared.content()) > 0;
 			case LedgerRecord.ProgramClaimed claimed -> false;
 			case LedgerRecord.CallClaimed claimed -> false;
 			case LedgerRecord.SliceReserved reserved -> false;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Listener.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Listener.java
@@ -9,16 +9,16 @@
  *
  * @param attempt the attempt
  * @param entry the entry that made it
- * @param sequence the number of the next part of the answer
+ * @param nextSequence the number of the next part of the answer
  */
-record Listener(AttemptId attempt, ProcessId entry, int sequence) {
+record Listener(AttemptId attempt, ProcessId entry, int nextSequence) {
 
 	/**
 	 * Returns this listener after one more part of the answer.
 	 * @return the listener
 	 */
 	Listener afterDelta() {
-		return new Listener(this.attempt, this.entry, this.sequence + 1);
+		return new Listener(this.attempt, this.entry, this.nextSequence + 1);
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
@@ -24,119 +24,122 @@
  */
 final class NodeRules {
 
-	private static final Duration MEASURING_INTERVAL = Duration.ofSeconds(1);
+	private static final Duration METRICS_INTERVAL = Duration.ofSeconds(1);
 
-	private final Draft draft;
+	private final StateBuilder builder;
 
-	NodeRules(Draft draft) {
-		this.draft = draft;
+	NodeRules(StateBuilder draft) {
+		this.builder = draft;
 	}
 
-	void happened(NodeEvent event) {
+	void handle(NodeEvent event) {
 		switch (event) {
-			case NodeEvent.ConfigurationAccepted accepted -> accept(accepted);
+			case NodeEvent.ConfigurationAccepted accepted -> configurationAccepted(accepted);
 			case NodeEvent.VmListRead read -> {
 			}
 			case NodeEvent.Ticked ticked -> tick();
-			case NodeEvent.StopRequested requested -> stop();
+			case NodeEvent.StopRequested requested -> startDraining();
 		}
 	}
 
-	private void accept(NodeEvent.ConfigurationAccepted event) {
-		if (this.draft.setup.filter((setup) -> setup.version() >= event.version()).isPresent()) {
+	private void configurationAccepted(NodeEvent.ConfigurationAccepted event) {
+		if (this.builder.configuration.filter((setup) -> setup.version() >= event.version()).isPresent()) {
 			return;
 		}
 		Configuration configuration = event.configuration();
-		this.draft.setup = Optional
-			.of(new Setup(event.version(), configuration, configuration.upstream(this.draft.self.vm())));
-		this.draft.queue = this.draft.queue.withShares(Shares.in(configuration))
+		this.builder.configuration = Optional.of(new ActiveConfiguration(event.version(), configuration,
+				configuration.upstream(this.builder.self.vm())));
+		this.builder.queue = this.builder.queue.withShares(Shares.in(configuration))
 			.withBounds(QueueBounds.in(configuration));
-		new HomeRules(this.draft).endWithoutGroup(configuration);
-		new QueueRules(this.draft).pump();
+		new HomeRules(this.builder).endProgramsWithoutGroup(configuration);
+		new QueueRules(this.builder).startJobs();
 	}
 
 	private void tick() {
-		Agenda.Due<Duty> due = this.draft.agenda.due(this.draft.now);
-		this.draft.agenda = due.agenda();
-		due.items().forEach(this::fulfil);
-		new QueueRules(this.draft).pump();
+		Agenda.Due<SidecarTimer> due = this.builder.timers.due(this.builder.now);
+		this.builder.timers = due.agenda();
+		due.items().forEach(this::handleTimer);
+		new QueueRules(this.builder).startJobs();
 		reportLoad();
-		measure();
+		recordMetrics();
 	}
 
-	private void fulfil(Duty duty) {
-		HomeRules homes = new HomeRules(this.draft);
+	private void handleTimer(SidecarTimer duty) {
+		HomeRules homes = new HomeRules(this.builder);
 		switch (duty) {
-			case Duty.TellOutcome tell -> homes.tellOutcome(tell.key());
-			case Duty.StopOrphan orphan -> new EntryRules(this.draft).stopOrphan(orphan.key());
-			case Duty.AppendAgain again -> new LedgerRules(this.draft).appendAgain(again.record());
-			case Duty.ForgetRelease forget ->
-				this.draft.unsureReleases = this.draft.unsureReleases.remove(forget.key());
-			case Duty.ReleaseAgain again -> new SessionRules(this.draft).releaseAgain(again.program());
-			case Duty.CheckAge check -> homes.checkAge(check.program());
-			case Duty.GiveUpParked parked -> new EntryRules(this.draft).giveUpParked(parked.attempt());
-			case Duty.CheckWaiting check -> homes.checkWaiting(check.program(), check.attempt());
+			case SidecarTimer.CommitTimeout tell -> homes.commitTimedOut(tell.key());
+			case SidecarTimer.OrphanTimeout orphan -> new EntryRules(this.builder).orphanTimedOut(orphan.key());
+			case SidecarTimer.AppendRetry again -> new LedgerRules(this.builder).retryAppend(again.record());
+			case SidecarTimer.UncertainReleaseExpiry forget ->
+				this.builder.uncertainReleases = this.builder.uncertainReleases.remove(forget.key());
+			case SidecarTimer.SessionReleaseRetry again -> new SessionRules(this.builder).retryRelease(again.program());
+			case SidecarTimer.ProgramAgeCheck check -> homes.checkAge(check.program());
+			case SidecarTimer.LogWaitTimeout parked -> new EntryRules(this.builder).logWaitTimedOut(parked.attempt());
+			case SidecarTimer.WaitingCallCheck check -> homes.checkWaiting(check.program(), check.attempt());
 		}
 	}
 
 	private void reportLoad() {
-		int limit = (this.draft.upstream.up()) ? this.draft.setup.map(Setup::maximumCalls).orElse(0) : 0;
-		LinkMessage.LoadReport report = new LinkMessage.LoadReport(this.draft.queue.size(), this.draft.runs.size(),
-				limit, this.draft.upstream.heldTokens(), List.of());
-		if (this.draft.lastReport.equals(Optional.of(report))) {
+		int limit = (this.builder.upstream.reachable())
+				? this.builder.configuration.map(ActiveConfiguration::maximumCalls).orElse(0) : 0;
+		LinkMessage.LoadReport report = new LinkMessage.LoadReport(this.builder.queue.size(), this.builder.runs.size(),
+				limit, this.builder.upstream.heldTokens(), List.of());
+		if (this.builder.lastReport.equals(Optional.of(report))) {
 			return;
 		}
-		this.draft.lastReport = Optional.of(report);
-		this.draft.entries.keySet().forEach((entry) -> this.draft.send(entry, report));
+		this.builder.lastReport = Optional.of(report);
+		this.builder.openAttempts.keySet().forEach((entry) -> this.builder.send(entry, report));
 	}
 
-	private void measure() {
-		if (Duration.between(this.draft.lastMeasured, this.draft.now).compareTo(MEASURING_INTERVAL) < 0) {
+	private void recordMetrics() {
+		if (Duration.between(this.builder.lastMeasured, this.builder.now).compareTo(METRICS_INTERVAL) < 0) {
 			return;
 		}
-		this.draft.lastMeasured = this.draft.now;
-		this.draft.measure(new Measurement.QueueLength(Measurement.QueueLength.Kind.SIDECAR, this.draft.queue.size()));
-		this.draft.measure(new Measurement.HeldMemory(this.draft.upstream.heldTokens()));
-		size(CollectionName.PROGRAMS, this.draft.homes.size());
-		size(CollectionName.RUNNING_CALLS, this.draft.runs.size());
-		size(CollectionName.IDEMPOTENCY_RECORDS, this.draft.log.ledger().claimCount());
-		size(CollectionName.CRASH_RECORDS, this.draft.log.ledger().crashRecordCount());
-		size(CollectionName.KV_LEASES, this.draft.sessions.size());
-		size(CollectionName.LINKS, this.draft.entries.size());
-		size(CollectionName.APPEND_QUEUE, this.draft.appends.size());
+		this.builder.lastMeasured = this.builder.now;
+		this.builder
+			.measure(new Measurement.QueueLength(Measurement.QueueLength.Kind.SIDECAR, this.builder.queue.size()));
+		this.builder.measure(new Measurement.HeldMemory(this.builder.upstream.heldTokens()));
+		recordSize(CollectionName.PROGRAMS, this.builder.homes.size());
+		recordSize(CollectionName.RUNNING_CALLS, this.builder.runs.size());
+		recordSize(CollectionName.IDEMPOTENCY_RECORDS, this.builder.log.ledger().claimCount());
+		recordSize(CollectionName.CRASH_RECORDS, this.builder.log.ledger().crashRecordCount());
+		recordSize(CollectionName.KV_LEASES, this.builder.sessions.size());
+		recordSize(CollectionName.LINKS, this.builder.openAttempts.size());
+		recordSize(CollectionName.APPEND_QUEUE, this.builder.appends.size());
 	}
 
-	private void size(CollectionName name, long size) {
-		this.draft.measure(new Measurement.CollectionSize(name, size, 0));
+	private void recordSize(CollectionName name, long size) {
+		this.builder.measure(new Measurement.CollectionSize(name, size, 0));
 	}
 
-	private void stop() {
-		if (this.draft.stopping) {
+	private void startDraining() {
+		if (this.builder.draining) {
 			return;
 		}
-		this.draft.stopping = true;
-		this.draft.entries.keySet().forEach((entry) -> this.draft.send(entry, new LinkMessage.Leaving()));
-		this.draft.report(NoticeCode.DRAINING_BEGAN.with(FieldName.COUNT, this.draft.jobs.size()));
+		this.builder.draining = true;
+		this.builder.openAttempts.keySet().forEach((entry) -> this.builder.send(entry, new LinkMessage.Leaving()));
+		this.builder.report(NoticeCode.DRAINING_BEGAN.with(FieldName.COUNT, this.builder.jobs.size()));
 	}
 
 	/**
 	 * Ends the process once nothing is under way: no job, no turn that only this process
 	 * holds, and no engine memory held for programs that will go on elsewhere.
 	 */
-	void stopIfDone() {
-		if (!this.draft.stopping || this.draft.stopped || !this.draft.jobs.isEmpty() || !this.draft.parked.isEmpty()) {
+	void stopIfDrained() {
+		if (!this.builder.draining || this.builder.stopped || !this.builder.jobs.isEmpty()
+				|| !this.builder.awaitingLog.isEmpty()) {
 			return;
 		}
-		if (this.draft.homes.values().exists((home) -> home.pending() > 0 || !home.waiting().isEmpty())) {
+		if (this.builder.homes.values().exists((home) -> home.pendingCount() > 0 || !home.waiting().isEmpty())) {
 			return;
 		}
-		for (ProgramId program : this.draft.sessions.filterValues(SessionPhase.HELD::equals).keySet()) {
-			new SessionRules(this.draft).release(program);
+		for (ProgramId program : this.builder.sessions.filterValues(SessionPhase.HELD::equals).keySet()) {
+			new SessionRules(this.builder).release(program);
 		}
-		if (this.draft.sessions.isEmpty()) {
-			this.draft.stopped = true;
-			this.draft.report(NoticeCode.DRAINING_ENDED.with(FieldName.COUNT, 0));
-			this.draft.run(new NodeEffect.Stopped());
+		if (this.builder.sessions.isEmpty()) {
+			this.builder.stopped = true;
+			this.builder.report(NoticeCode.DRAINING_ENDED.with(FieldName.COUNT, 0));
+			this.builder.emit(new NodeEffect.Stopped());
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
@@ -27,20 +27,20 @@
  */
 final class QueueRules {
 
-	private static final Duration RETRY_AFTER_FULL = Duration.ofSeconds(1);
+	private static final Duration QUEUE_FULL_RETRY_DELAY = Duration.ofSeconds(1);
 
 	private static final Duration CACHE_LEASE = Duration.ofMinutes(2);
 
 	private static final int CHARACTERS_PER_TOKEN = 4;
 
-	private static final int EXPECTED_TOKENS = 512;
+	private static final int EXPECTED_GENERATED_TOKENS = 512;
 
 	private static final long SERVICE_COST = 100;
 
-	private final Draft draft;
+	private final StateBuilder builder;
 
-	QueueRules(Draft draft) {
-		this.draft = draft;
+	QueueRules(StateBuilder draft) {
+		this.builder = draft;
 	}
 
 	/**
@@ -50,21 +50,21 @@
 	 * @param added the messages that the call adds to the history of its program
 	 * @return whether the job waits now
 	 */
-	boolean enqueue(JobKey key, Arrival arrival, List<String> added) {
-		Job job = jobOf(key, arrival, added);
-		if (isStopped(job.call())) {
-			this.draft.refuse(arrival, crashesUpstreams());
+	boolean enqueue(JobKey key, IncomingAttempt arrival, List<String> added) {
+		Job job = createJob(key, arrival, added);
+		if (isPoison(job.call())) {
+			this.builder.refuse(arrival, poisonFailure());
 			return false;
 		}
-		return switch (this.draft.queue.offer(job.entry())) {
+		return switch (this.builder.queue.offer(job.queueEntry())) {
 			case FairQueue.Offered.Queued<JobKey, JobKey> queued -> {
-				this.draft.queue = queued.queue();
+				this.builder.queue = queued.queue();
 				accept(job, arrival);
 				queued.displaced().ifPresent((entry) -> drop(entry.id(), queueFull()));
 				yield true;
 			}
 			case FairQueue.Offered.Full<JobKey, JobKey> full -> {
-				this.draft.refuse(arrival, queueFull());
+				this.builder.refuse(arrival, queueFull());
 				yield false;
 			}
 		};
@@ -77,40 +77,40 @@
 	 * @param added the messages that the call adds to the history of its program
 	 * @return the job, which waits nowhere yet
 	 */
-	Job jobOf(JobKey key, Arrival arrival, List<String> added) {
+	Job createJob(JobKey key, IncomingAttempt arrival, List<String> added) {
 		CallRequest call = arrival.call();
 		FairQueue.Entry<JobKey, JobKey> entry = new FairQueue.Entry<>(key, call.group(),
-				call.place().map(ProgramCall::program), classOf(call), this.draft.now, arrival.deadline(),
-				estimate(call, added), key);
+				call.place().map(ProgramCall::program), classOf(call), this.builder.now, arrival.deadline(),
+				estimateCost(call, added), key);
 		Listener listener = new Listener(arrival.attempt(), arrival.entry(), 0);
 		return new Job(key, call, added, Vector.of(listener), new Stage.Queued(),
 				Transcript.beginningWith(arrival.delivered()), arrival.delivered(), false, entry);
 	}
 
-	private void accept(Job job, Arrival arrival) {
-		this.draft.put(job);
-		this.draft.attempts = this.draft.attempts.put(arrival.attempt(), job.key());
-		this.draft.send(arrival.entry(), new LinkMessage.Accepted(arrival.attempt()));
+	private void accept(Job job, IncomingAttempt arrival) {
+		this.builder.put(job);
+		this.builder.jobsByAttempt = this.builder.jobsByAttempt.put(arrival.attempt(), job.key());
+		this.builder.send(arrival.entry(), new LinkMessage.Accepted(arrival.attempt()));
 	}
 
 	private TokenCost costOf(CallRequest.ForModel call) {
-		return this.draft.setup.flatMap((setup) -> setup.configuration().model(call.model()))
+		return this.builder.configuration.flatMap((setup) -> setup.configuration().model(call.model()))
 			.map(ModelPolicy::cost)
 			.orElse(TokenCost.DEFAULT);
 	}
 
 	private ServiceClass classOf(CallRequest call) {
-		return this.draft.setup
+		return this.builder.configuration
 			.flatMap((setup) -> call.place()
 				.map((place) -> setup.configuration().classOf(call.group(), place.program().name())))
 			.orElse(ServiceClass.INTERACTIVE);
 	}
 
-	private long estimate(CallRequest call, List<String> messages) {
+	private long estimateCost(CallRequest call, List<String> messages) {
 		return switch (call) {
 			case CallRequest.ForModel model -> {
 				long added = 1 + messages.stream().mapToLong(String::length).sum() / CHARACTERS_PER_TOKEN;
-				int generated = Math.min(model.maximumTokens(), EXPECTED_TOKENS);
+				int generated = Math.min(model.maximumTokens(), EXPECTED_GENERATED_TOKENS);
 				yield costOf(model).of(added, 0, generated);
 			}
 			case CallRequest.ForService service -> SERVICE_COST;
@@ -120,32 +120,32 @@
 	/**
 	 * Starts jobs as long as the upstream takes more.
 	 */
-	void pump() {
-		dropExpired(this.draft.queue.expired(this.draft.now));
-		if (!this.draft.upstream.up()) {
+	void startJobs() {
+		dropExpired(this.builder.queue.expired(this.builder.now));
+		if (!this.builder.upstream.reachable()) {
 			return;
 		}
-		while (mayStart()) {
-			FairQueue.Polled<JobKey, JobKey> polled = this.draft.queue.poll(this.draft.now);
-			this.draft.queue = polled.queue();
+		while (canStart()) {
+			FairQueue.Polled<JobKey, JobKey> polled = this.builder.queue.poll(this.builder.now);
+			this.builder.queue = polled.queue();
 			if (polled.entry().isEmpty()) {
 				return;
 			}
-			this.draft.job(polled.entry().get().id()).ifPresent(this::begin);
+			this.builder.job(polled.entry().get().id()).ifPresent(this::startOrIsolate);
 		}
 	}
 
-	private boolean mayStart() {
-		if (this.draft.alone.isPresent()) {
-			startAlone();
+	private boolean canStart() {
+		if (this.builder.isolatedJob.isPresent()) {
+			startIsolated();
 			return false;
 		}
-		return this.draft.runs.size() < this.draft.setup.map(Setup::maximumCalls).orElse(0);
+		return this.builder.runs.size() < this.builder.configuration.map(ActiveConfiguration::maximumCalls).orElse(0);
 	}
 
-	private void begin(Job job) {
-		if (isStopped(job.call())) {
-			drop(job.key(), crashesUpstreams());
+	private void startOrIsolate(Job job) {
+		if (isPoison(job.call())) {
+			drop(job.key(), poisonFailure());
 			return;
 		}
 		if (crashesOf(job.call()) == 0) {
@@ -155,58 +155,62 @@
 		// A request that was running when an upstream crashed may be the one that crashes
 		// them, and would take others down with it. Alone it harms nobody else, and what
 		// happens then tells for sure whether it was the cause.
-		this.draft.put(job.runAlone());
-		this.draft.alone = Optional.of(job.key());
-		startAlone();
+		this.builder.put(job.withIsolation());
+		this.builder.isolatedJob = Optional.of(job.key());
+		startIsolated();
 	}
 
-	private void startAlone() {
-		Optional<Job> job = this.draft.alone.flatMap(this.draft::job);
+	private void startIsolated() {
+		Optional<Job> job = this.builder.isolatedJob.flatMap(this.builder::job);
 		if (job.isEmpty()) {
-			this.draft.alone = Optional.empty();
+			this.builder.isolatedJob = Optional.empty();
 			return;
 		}
-		if (this.draft.runs.isEmpty() && job.get().stage() instanceof Stage.Queued) {
+		if (this.builder.runs.isEmpty() && job.get().stage() instanceof Stage.Queued) {
 			start(job.get());
 		}
 	}
 
 	private void start(Job job) {
-		RunId run = new RunId(this.draft.nextNumber());
-		this.draft.runs = this.draft.runs.put(run, job.key());
-		this.draft.put(job.at(new Stage.Running(run, this.draft.now)));
-		Duration queued = Duration.between(job.entry().arrived(), this.draft.now);
+		RunId run = new RunId(this.builder.nextNumber());
+		this.builder.runs = this.builder.runs.put(run, job.key());
+		this.builder.put(job.withStage(new Stage.Running(run, this.builder.now)));
+		Duration queued = Duration.between(job.queueEntry().arrived(), this.builder.now);
 		job.listeners()
-			.forEach((listener) -> this.draft.send(listener.entry(),
+			.forEach((listener) -> this.builder.send(listener.entry(),
 					new LinkMessage.Started(listener.attempt(), queued)));
 		switch (job.call()) {
-			case CallRequest.ForModel call -> this.draft.run(new SidecarEffect.Generate(run, order(job, call)));
+			case CallRequest.ForModel call ->
+				this.builder.emit(new SidecarEffect.Generate(run, generationRequest(job, call)));
 			case CallRequest.ForService call ->
-				this.draft.run(new SidecarEffect.CallService(run, call.service(), call.message(), timeoutOf(call)));
+				this.builder.emit(new SidecarEffect.CallService(run, call.service(), call.message(), timeoutOf(call)));
 		}
 	}
 
-	private GenerationRequest order(Job job, CallRequest.ForModel call) {
+	private GenerationRequest generationRequest(Job job, CallRequest.ForModel call) {
 		Optional<ProgramId> program = (job.key() instanceof JobKey.ForTurn turn) ? Optional.of(turn.program())
 				: Optional.empty();
-		program.ifPresent(new SessionRules(this.draft)::hold);
-		Vector<String> history = program.flatMap(this.draft::home).map(Home::messages).orElse(Vector.empty());
-		return new GenerationRequest(call.model(), history.appendAll(job.added()).asJava(), job.begun(),
+		program.ifPresent(new SessionRules(this.builder)::markHeld);
+		Vector<String> history = program.flatMap(this.builder::home).map(Home::messages).orElse(Vector.empty());
+		return new GenerationRequest(call.model(), history.appendAll(job.added()).asJava(), job.prefix(),
 				call.maximumTokens(), call.parameters(), program, CACHE_LEASE);
 	}
 
 	private Duration timeoutOf(CallRequest.ForService call) {
-		return this.draft.setup.flatMap((setup) -> setup.configuration().service(call.service()))
+		return this.builder.configuration.flatMap((setup) -> setup.configuration().service(call.service()))
 			.map(ServicePolicy::timeout)
 			.orElse(ServicePolicy.DEFAULT_TIMEOUT);
 	}
 
 	private int crashesOf(CallRequest call) {
-		return this.draft.log.ledger().crashCount(call.content());
+		return this.builder.log.ledger().crashCount(call.content());
 	}
 
-	private boolean isStopped(CallRequest call) {
-		int limit = this.draft.setup.map(Setup::limits).orElse(Limits.DEFAULT).faults().crashesBeforeStop();
+	private boolean isPoison(CallRequest call) {
+		int limit = this.builder.configuration.map(ActiveConfiguration::limits)
+			.orElse(Limits.DEFAULT)
+			.faults()
+			.crashesBeforeStop();
 		return crashesOf(call) >= limit;
 	}
 
@@ -216,36 +220,36 @@
 	 * @param failure why
 	 */
 	void drop(JobKey key, CallFailure failure) {
-		Optional<Job> job = this.draft.job(key);
+		Optional<Job> job = this.builder.job(key);
 		if (job.isEmpty()) {
 			return;
 		}
-		take(key);
+		remove(key);
 		CallOutcome outcome = new CallOutcome.Failed(failure);
 		if (key instanceof JobKey.ForClaim claim) {
 			// The claim is released in the log before anyone is told, so that another
 			// sidecar may run the call.
-			new ClaimRules(this.draft).ended(job.get(), claim.key(), outcome);
+			new ClaimRules(this.builder).appendOutcome(job.get(), claim.key(), outcome);
 			return;
 		}
-		this.draft.finishAll(job.get(), outcome);
-		new HomeRules(this.draft).afterJob(key);
+		this.builder.finishAll(job.get(), outcome);
+		new HomeRules(this.builder).jobRemoved(key);
 	}
 
 	/**
 	 * Takes a waiting job out of the queue without telling anyone.
 	 * @param key the job
 	 */
-	void take(JobKey key) {
-		this.draft.queue.remove(key).ifPresent((removed) -> this.draft.queue = removed.queue());
-		this.draft.jobs = this.draft.jobs.remove(key);
-		if (this.draft.alone.equals(Optional.of(key))) {
-			this.draft.alone = Optional.empty();
+	void remove(JobKey key) {
+		this.builder.queue.remove(key).ifPresent((removed) -> this.builder.queue = removed.queue());
+		this.builder.jobs = this.builder.jobs.remove(key);
+		if (this.builder.isolatedJob.equals(Optional.of(key))) {
+			this.builder.isolatedJob = Optional.empty();
 		}
 	}
 
 	private void dropExpired(FairQueue.Expired<JobKey, JobKey> expired) {
-		this.draft.queue = expired.queue();
+		this.builder.queue = expired.queue();
 		for (FairQueue.Entry<JobKey, JobKey> entry : expired.entries()) {
 			drop(entry.id(), CallFailure.notRun(FailureCause.DEADLINE_PASSED,
 					"The deadline passed while the request waited for an upstream."));
@@ -256,18 +260,18 @@
 	 * Refuses all jobs that wait, since the upstream does not answer. Entries run them
 	 * elsewhere; kept here they would only wait for their deadlines.
 	 */
-	void dropAll() {
-		for (Job job : this.draft.jobs.values().filter((job) -> job.stage() instanceof Stage.Queued)) {
+	void dropQueued() {
+		for (Job job : this.builder.jobs.values().filter((job) -> job.stage() instanceof Stage.Queued)) {
 			drop(job.key(), CallFailure.notRun(FailureCause.UPSTREAM_FAILED, "The upstream does not answer."));
 		}
 	}
 
 	private static CallFailure queueFull() {
 		return CallFailure.notRun(FailureCause.QUEUE_FULL, "Too many requests wait for this upstream.")
-			.retryAfter(RETRY_AFTER_FULL);
+			.retryAfter(QUEUE_FULL_RETRY_DELAY);
 	}
 
-	private static CallFailure crashesUpstreams() {
+	private static CallFailure poisonFailure() {
 		return CallFailure.mayHaveRun(FailureCause.CRASHES_UPSTREAMS,
 				"The request crashed upstreams before and is not run again.");
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SessionRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SessionRules.java
@@ -13,16 +13,16 @@
  */
 final class SessionRules {
 
-	private static final Duration PAUSE_BEFORE_RELEASE_AGAIN = Duration.ofSeconds(1);
+	private static final Duration RELEASE_RETRY_DELAY = Duration.ofSeconds(1);
 
-	private final Draft draft;
+	private final StateBuilder builder;
 
-	SessionRules(Draft draft) {
-		this.draft = draft;
+	SessionRules(StateBuilder draft) {
+		this.builder = draft;
 	}
 
-	void hold(ProgramId program) {
-		this.draft.sessions = this.draft.sessions.put(program, SessionPhase.HELD);
+	void markHeld(ProgramId program) {
+		this.builder.sessions = this.builder.sessions.put(program, SessionPhase.HELD);
 	}
 
 	/**
@@ -32,35 +32,35 @@
 	 * @param program the program
 	 */
 	void release(ProgramId program) {
-		if (!this.draft.sessions.containsKey(program)) {
+		if (!this.builder.sessions.containsKey(program)) {
 			return;
 		}
-		this.draft.sessions = this.draft.sessions.put(program, SessionPhase.RELEASING);
-		this.draft.run(new SidecarEffect.ReleaseSession(program));
+		this.builder.sessions = this.builder.sessions.put(program, SessionPhase.RELEASING);
+		this.builder.emit(new SidecarEffect.ReleaseSession(program));
 	}
 
 	void released(ProgramId program) {
 		if (!isReleasing(program)) {
 			return;
 		}
-		this.draft.sessions = this.draft.sessions.remove(program);
-		this.draft.report(NoticeCode.KV_RELEASED.with(FieldName.PROGRAM, program));
+		this.builder.sessions = this.builder.sessions.remove(program);
+		this.builder.report(NoticeCode.KV_RELEASED.with(FieldName.PROGRAM, program));
 	}
 
-	void notReleased(ProgramId program) {
+	void releaseFailed(ProgramId program) {
 		if (isReleasing(program)) {
-			this.draft.remind(PAUSE_BEFORE_RELEASE_AGAIN, new Duty.ReleaseAgain(program));
+			this.builder.schedule(RELEASE_RETRY_DELAY, new SidecarTimer.SessionReleaseRetry(program));
 		}
 	}
 
-	void releaseAgain(ProgramId program) {
+	void retryRelease(ProgramId program) {
 		if (isReleasing(program)) {
 			release(program);
 		}
 	}
 
 	private boolean isReleasing(ProgramId program) {
-		return this.draft.sessions.get(program).contains(SessionPhase.RELEASING);
+		return this.builder.sessions.get(program).contains(SessionPhase.RELEASING);
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarReducer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarReducer.java
@@ -16,21 +16,21 @@
 
 	@Override
 	public Step<SidecarState, SidecarEffect> apply(SidecarState state, SidecarEvent event) {
-		Draft draft = new Draft(state, event.now());
-		follow(draft, event);
-		new NodeRules(draft).stopIfDone();
+		StateBuilder draft = new StateBuilder(state, event.now());
+		dispatch(draft, event);
+		new NodeRules(draft).stopIfDrained();
 		return draft.toStep();
 	}
 
-	private static void follow(Draft draft, SidecarEvent event) {
+	private static void dispatch(StateBuilder draft, SidecarEvent event) {
 		switch (event) {
-			case SidecarEvent.LogEventReceived spoke -> new LedgerRules(draft).learned(spoke.event());
-			case SidecarEvent.NodeEventReceived spoke -> new NodeRules(draft).happened(spoke.event());
-			case SidecarEvent.EntryConnected linked -> new EntryRules(draft).linked(linked.entry());
-			case SidecarEvent.EntryDisconnected unlinked -> new EntryRules(draft).unlinked(unlinked.entry());
+			case SidecarEvent.LogEventReceived spoke -> new LedgerRules(draft).handle(spoke.event());
+			case SidecarEvent.NodeEventReceived spoke -> new NodeRules(draft).handle(spoke.event());
+			case SidecarEvent.EntryConnected linked -> new EntryRules(draft).connected(linked.entry());
+			case SidecarEvent.EntryDisconnected unlinked -> new EntryRules(draft).disconnected(unlinked.entry());
 			case SidecarEvent.EntryMessageReceived spoke -> {
-				new EntryRules(draft).spoke(spoke.entry(), spoke.message());
-				new QueueRules(draft).pump();
+				new EntryRules(draft).handle(spoke.entry(), spoke.message());
+				new QueueRules(draft).startJobs();
 			}
 			case SidecarEvent.RunStarted started -> {
 			}
@@ -39,14 +39,14 @@
 			case SidecarEvent.RunEnded ended -> new RunRules(draft).ended(ended.run(), ended.result());
 			case SidecarEvent.HistoryRead read -> {
 				new HomeRules(draft).historyRead(read.program(), read.epoch(), read.turns());
-				new QueueRules(draft).pump();
+				new QueueRules(draft).startJobs();
 			}
 			case SidecarEvent.HistoryReadFailed unreadable ->
-				new HomeRules(draft).historyUnreadable(unreadable.program(), unreadable.epoch(), unreadable.lost());
-			case SidecarEvent.UpstreamLoadReceived reported -> new RunRules(draft).reported(reported);
+				new HomeRules(draft).historyReadFailed(unreadable.program(), unreadable.epoch(), unreadable.lost());
+			case SidecarEvent.UpstreamLoadReceived reported -> new RunRules(draft).loadReceived(reported);
 			case SidecarEvent.UpstreamUnreachable unreachable -> new RunRules(draft).unreachable();
 			case SidecarEvent.SessionReleased released -> new SessionRules(draft).released(released.program());
-			case SidecarEvent.SessionReleaseFailed kept -> new SessionRules(draft).notReleased(kept.program());
+			case SidecarEvent.SessionReleaseFailed kept -> new SessionRules(draft).releaseFailed(kept.program());
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarState.java
@@ -33,45 +33,45 @@
  */
 public final class SidecarState {
 
-	private static final int NOTHING_CONFIGURED = -1;
+	private static final int NO_CONFIGURATION_VERSION = -1;
 
 	final ProcessId self;
 
 	final ZoneName zone;
 
-	final Optional<Setup> setup;
+	final Optional<ActiveConfiguration> configuration;
 
 	final LogView log;
 
-	final Map<ProcessId, Set<AttemptId>> entries;
+	final Map<ProcessId, Set<AttemptId>> openAttempts;
 
 	final Map<JobKey, Job> jobs;
 
-	final Map<AttemptId, JobKey> attempts;
+	final Map<AttemptId, JobKey> jobsByAttempt;
 
 	final Map<RunId, JobKey> runs;
 
-	final Map<Digest, Set<JobKey>> blamed;
+	final Map<Digest, Set<JobKey>> awaitingCrashRecord;
 
-	final Optional<JobKey> alone;
+	final Optional<JobKey> isolatedJob;
 
 	final FairQueue<JobKey, JobKey> queue;
 
 	final Map<ProgramId, Home> homes;
 
-	final Map<AttemptId, ProgramId> waiting;
+	final Map<AttemptId, ProgramId> programsByWaitingAttempt;
 
-	final Vector<Arrival> parked;
+	final Vector<IncomingAttempt> awaitingLog;
 
 	final Map<AppendId, LedgerRecord> appends;
 
-	final Set<CallKey> unsureReleases;
+	final Set<CallKey> uncertainReleases;
 
 	final Map<ProgramId, SessionPhase> sessions;
 
 	final UpstreamView upstream;
 
-	final Agenda<Duty> agenda;
+	final Agenda<SidecarTimer> timers;
 
 	final Optional<LinkMessage.LoadReport> lastReport;
 
@@ -79,62 +79,62 @@
 
 	final long nextNumber;
 
-	final boolean stopping;
+	final boolean draining;
 
 	final boolean stopped;
 
 	private SidecarState(ProcessId self, ZoneName zone) {
 		this.self = self;
 		this.zone = zone;
-		this.setup = Optional.empty();
+		this.configuration = Optional.empty();
 		this.log = LogView.unread();
-		this.entries = HashMap.empty();
+		this.openAttempts = HashMap.empty();
 		this.jobs = HashMap.empty();
-		this.attempts = HashMap.empty();
+		this.jobsByAttempt = HashMap.empty();
 		this.runs = HashMap.empty();
-		this.blamed = HashMap.empty();
-		this.alone = Optional.empty();
+		this.awaitingCrashRecord = HashMap.empty();
+		this.isolatedJob = Optional.empty();
 		this.queue = FairQueue.create(Ordering.ForFairShare.DEFAULT, Shares.EQUAL,
 				QueueBounds.of(QueueLimits.DEFAULT.callsInAll(), QueueLimits.DEFAULT.callsPerGroup()));
 		this.homes = HashMap.empty();
-		this.waiting = HashMap.empty();
-		this.parked = Vector.empty();
+		this.programsByWaitingAttempt = HashMap.empty();
+		this.awaitingLog = Vector.empty();
 		this.appends = HashMap.empty();
-		this.unsureReleases = HashSet.empty();
+		this.uncertainReleases = HashSet.empty();
 		this.sessions = HashMap.empty();
 		this.upstream = UpstreamView.unknown();
-		this.agenda = Agenda.empty();
+		this.timers = Agenda.empty();
 		this.lastReport = Optional.empty();
 		this.lastMeasured = Instant.EPOCH;
 		this.nextNumber = 1;
-		this.stopping = false;
+		this.draining = false;
 		this.stopped = false;
 	}
 
-	SidecarState(Draft draft) {
+	SidecarState(StateBuilder draft) {
 		this.self = draft.self;
 		this.zone = draft.zone;
-		this.setup = draft.setup;
+		this.configuration = draft.configuration;
 		this.log = draft.log;
-		this.entries = draft.entries;
+		this.openAttempts = draft.openAttempts;
 		this.jobs = draft.jobs;
-		this.attempts = draft.attempts;
+		this.jobsByAttempt = draft.jobsByAttempt;
 		this.runs = draft.runs;
-		this.blamed = draft.blamed;
-		this.alone = draft.alone;
+		this.awaitingCrashRecord = draft.awaitingCrashRecord;
+		this.isolatedJob = draft.isolatedJob;
 		this.queue = draft.queue;
 		this.homes = draft.homes;
-		this.waiting = draft.waiting;
-		this.parked = draft.parked;
+		this.programsByWaitingAttempt = draft.programsByWaitingAttempt;
+		this.awaitingLog = draft.awaitingLog;
 		this.appends = draft.appends;
-		this.unsureReleases = draft.unsureReleases;
+		this.uncertainReleases = draft.uncertainReleases;
 		this.sessions = draft.sessions;
 		this.upstream = draft.upstream;
-		this.agenda = draft.agenda;
+		this.timers = draft.timers;
 		this.lastReport = draft.lastReport;
 		this.lastMeasured = draft.lastMeasured;
 		this.nextNumber = draft.nextNumber;
-		this.stopping = draft.stopping;
+		this.draining = draft.draining;
 		this.stopped = draft.stopped;
 	}
 
@@ -153,11 +153,12 @@
 	 * @return the status
 	 */
 	public SidecarStatus status() {
-		return new SidecarStatus(this.self, this.setup.map(Setup::version).orElse((long) NOTHING_CONFIGURED),
-				this.log.next(), this.upstream.up(), this.entries.size(), this.queue.size(), this.runs.size(),
-				this.setup.map(Setup::maximumCalls).orElse(0), this.homes.size(),
-				this.homes.values().map(Home::pending).sum().intValue(), this.sessions.size(),
-				this.upstream.heldTokens(), this.stopping);
+		return new SidecarStatus(this.self,
+				this.configuration.map(ActiveConfiguration::version).orElse((long) NO_CONFIGURATION_VERSION),
+				this.log.next(), this.upstream.reachable(), this.openAttempts.size(), this.queue.size(),
+				this.runs.size(), this.configuration.map(ActiveConfiguration::maximumCalls).orElse(0),
+				this.homes.size(), this.homes.values().map(Home::pendingCount).sum().intValue(), this.sessions.size(),
+				this.upstream.heldTokens(), this.draining);
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Duty.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarTimer.java
@@ -9,14 +9,14 @@
  * Something to look at when its time comes. It may have become needless by then.
  * Implementations are immutable and safe for use by several threads.
  */
-sealed interface Duty {
+sealed interface SidecarTimer {
 
 	/**
 	 * The outcome of a job should be in the log.
 	 *
 	 * @param key the job
 	 */
-	record TellOutcome(JobKey key) implements Duty {
+	record CommitTimeout(JobKey key) implements SidecarTimer {
 
 	}
 
@@ -25,7 +25,7 @@
 	 *
 	 * @param key the job
 	 */
-	record StopOrphan(JobKey key) implements Duty {
+	record OrphanTimeout(JobKey key) implements SidecarTimer {
 
 	}
 
@@ -34,7 +34,7 @@
 	 *
 	 * @param record the record
 	 */
-	record AppendAgain(LedgerRecord record) implements Duty {
+	record AppendRetry(LedgerRecord record) implements SidecarTimer {
 
 	}
 
@@ -43,7 +43,7 @@
 	 *
 	 * @param key the key that was released
 	 */
-	record ForgetRelease(CallKey key) implements Duty {
+	record UncertainReleaseExpiry(CallKey key) implements SidecarTimer {
 
 	}
 
@@ -52,7 +52,7 @@
 	 *
 	 * @param program the program
 	 */
-	record ReleaseAgain(ProgramId program) implements Duty {
+	record SessionReleaseRetry(ProgramId program) implements SidecarTimer {
 
 	}
 
@@ -61,7 +61,7 @@
 	 *
 	 * @param program the program
 	 */
-	record CheckAge(ProgramId program) implements Duty {
+	record ProgramAgeCheck(ProgramId program) implements SidecarTimer {
 
 	}
 
@@ -70,7 +70,7 @@
 	 *
 	 * @param attempt the attempt
 	 */
-	record GiveUpParked(AttemptId attempt) implements Duty {
+	record LogWaitTimeout(AttemptId attempt) implements SidecarTimer {
 
 	}
 
@@ -80,7 +80,7 @@
 	 * @param program the program
 	 * @param attempt the attempt
 	 */
-	record CheckWaiting(ProgramId program, AttemptId attempt) implements Duty {
+	record WaitingCallCheck(ProgramId program, AttemptId attempt) implements SidecarTimer {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Draft.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/StateBuilder.java
@@ -34,7 +34,7 @@
  * A state in the making: the working copy of one application of the reducer. Confined to
  * that application and the thread that runs it.
  */
-final class Draft {
+final class StateBuilder {
 
 	final ProcessId self;
 
@@ -42,39 +42,39 @@
 
 	final Instant now;
 
-	Optional<Setup> setup;
+	Optional<ActiveConfiguration> configuration;
 
 	LogView log;
 
-	Map<ProcessId, Set<AttemptId>> entries;
+	Map<ProcessId, Set<AttemptId>> openAttempts;
 
 	Map<JobKey, Job> jobs;
 
-	Map<AttemptId, JobKey> attempts;
+	Map<AttemptId, JobKey> jobsByAttempt;
 
 	Map<RunId, JobKey> runs;
 
-	Map<Digest, Set<JobKey>> blamed;
+	Map<Digest, Set<JobKey>> awaitingCrashRecord;
 
-	Optional<JobKey> alone;
+	Optional<JobKey> isolatedJob;
 
 	FairQueue<JobKey, JobKey> queue;
 
 	Map<ProgramId, Home> homes;
 
-	Map<AttemptId, ProgramId> waiting;
+	Map<AttemptId, ProgramId> programsByWaitingAttempt;
 
-	Vector<Arrival> parked;
+	Vector<IncomingAttempt> awaitingLog;
 
 	Map<AppendId, LedgerRecord> appends;
 
-	Set<CallKey> unsureReleases;
+	Set<CallKey> uncertainReleases;
 
 	Map<ProgramId, SessionPhase> sessions;
 
 	UpstreamView upstream;
 
-	Agenda<Duty> agenda;
+	Agenda<SidecarTimer> timers;
 
 	Optional<LinkMessage.LoadReport> lastReport;
 
@@ -82,37 +82,37 @@
 
 	long nextNumber;
 
-	boolean stopping;
+	boolean draining;
 
 	boolean stopped;
 
 	private final List<SidecarEffect> effects = new ArrayList<>();
 
-	Draft(SidecarState state, Instant now) {
+	StateBuilder(SidecarState state, Instant now) {
 		this.now = now;
 		this.self = state.self;
 		this.zone = state.zone;
-		this.setup = state.setup;
+		this.configuration = state.configuration;
 		this.log = state.log;
-		this.entries = state.entries;
+		this.openAttempts = state.openAttempts;
 		this.jobs = state.jobs;
-		this.attempts = state.attempts;
+		this.jobsByAttempt = state.jobsByAttempt;
 		this.runs = state.runs;
-		this.blamed = state.blamed;
-		this.alone = state.alone;
+		this.awaitingCrashRecord = state.awaitingCrashRecord;
+		this.isolatedJob = state.isolatedJob;
 		this.queue = state.queue;
 		this.homes = state.homes;
-		this.waiting = state.waiting;
-		this.parked = state.parked;
+		this.programsByWaitingAttempt = state.programsByWaitingAttempt;
+		this.awaitingLog = state.awaitingLog;
 		this.appends = state.appends;
-		this.unsureReleases = state.unsureReleases;
+		this.uncertainReleases = state.uncertainReleases;
 		this.sessions = state.sessions;
 		this.upstream = state.upstream;
-		this.agenda = state.agenda;
+		this.timers = state.timers;
 		this.lastReport = state.lastReport;
 		this.lastMeasured = state.lastMeasured;
 		this.nextNumber = state.nextNumber;
-		this.stopping = state.stopping;
+		this.draining = state.draining;
 		this.stopped = state.stopped;
 	}
 
@@ -120,38 +120,38 @@
 		return new Step<>(new SidecarState(this), this.effects);
 	}
 
-	void run(SidecarEffect effect) {
+	void emit(SidecarEffect effect) {
 		this.effects.add(effect);
 	}
 
-	void run(NodeEffect effect) {
+	void emit(NodeEffect effect) {
 		this.effects.add(new SidecarEffect.ForNode(effect));
 	}
 
 	void send(ProcessId entry, LinkMessage.FromSidecar message) {
-		run(new SidecarEffect.Send(entry, message));
+		emit(new SidecarEffect.Send(entry, message));
 	}
 
 	void report(Notice notice) {
-		run(new NodeEffect.Report(notice));
+		emit(new NodeEffect.Report(notice));
 	}
 
 	void measure(Measurement measurement) {
-		run(new NodeEffect.Measure(measurement));
+		emit(new NodeEffect.Measure(measurement));
 	}
 
 	void append(LedgerRecord record) {
 		AppendId id = new AppendId(nextNumber());
 		this.appends = this.appends.put(id, record);
-		run(new NodeEffect.Append(id, record));
+		emit(new NodeEffect.Append(id, record));
 	}
 
-	void remind(Duration delay, Duty duty) {
-		remindAt(this.now.plus(delay), duty);
+	void schedule(Duration delay, SidecarTimer duty) {
+		scheduleAt(this.now.plus(delay), duty);
 	}
 
-	void remindAt(Instant time, Duty duty) {
-		this.agenda = this.agenda.with(time, duty);
+	void scheduleAt(Instant time, SidecarTimer duty) {
+		this.timers = this.timers.with(time, duty);
 	}
 
 	long nextNumber() {
@@ -182,30 +182,30 @@
 	 * @return whether it is known
 	 */
 	boolean isOpen(AttemptId attempt) {
-		return this.attempts.containsKey(attempt) || this.waiting.containsKey(attempt)
-				|| this.parked.exists((arrival) -> arrival.attempt().equals(attempt));
+		return this.jobsByAttempt.containsKey(attempt) || this.programsByWaitingAttempt.containsKey(attempt)
+				|| this.awaitingLog.exists((arrival) -> arrival.attempt().equals(attempt));
 	}
 
-	void opened(ProcessId entry, AttemptId attempt) {
-		Set<AttemptId> open = this.entries.getOrElse(entry, HashSet.empty());
-		this.entries = this.entries.put(entry, open.add(attempt));
+	void addOpenAttempt(ProcessId entry, AttemptId attempt) {
+		Set<AttemptId> open = this.openAttempts.getOrElse(entry, HashSet.empty());
+		this.openAttempts = this.openAttempts.put(entry, open.add(attempt));
 	}
 
 	void finish(ProcessId entry, AttemptId attempt, CallOutcome outcome) {
-		closed(entry, attempt);
+		removeAttempt(entry, attempt);
 		send(entry, new LinkMessage.Finished(attempt, outcome));
 	}
 
-	void closed(ProcessId entry, AttemptId attempt) {
-		this.attempts = this.attempts.remove(attempt);
-		this.waiting = this.waiting.remove(attempt);
-		Set<AttemptId> open = this.entries.getOrElse(entry, HashSet.empty());
+	void removeAttempt(ProcessId entry, AttemptId attempt) {
+		this.jobsByAttempt = this.jobsByAttempt.remove(attempt);
+		this.programsByWaitingAttempt = this.programsByWaitingAttempt.remove(attempt);
+		Set<AttemptId> open = this.openAttempts.getOrElse(entry, HashSet.empty());
 		if (open.contains(attempt)) {
-			this.entries = this.entries.put(entry, open.remove(attempt));
+			this.openAttempts = this.openAttempts.put(entry, open.remove(attempt));
 		}
 	}
 
-	void refuse(Arrival arrival, CallFailure failure) {
+	void refuse(IncomingAttempt arrival, CallFailure failure) {
 		finish(arrival.entry(), arrival.attempt(), new CallOutcome.Failed(failure));
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/QueueRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/QueueRulesTests.java
@@ -25,10 +25,10 @@
 	// did not run and when to come again; who waits keeps its place.
 	@Test
 	void refusesWhatDoesNotFit() {
-		SidecarSite site = new SidecarSite(ONE_WAITS, 1);
-		site.callAlone("one", LONG);
-		AttemptId waiting = site.callAlone("two", LONG);
-		CallFailure failure = site.failureOf(site.callAlone("three", LONG));
+		SidecarFixture site = new SidecarFixture(ONE_WAITS, 1);
+		site.callWithoutProgram("one", LONG);
+		AttemptId waiting = site.callWithoutProgram("two", LONG);
+		CallFailure failure = site.failureOf(site.callWithoutProgram("three", LONG));
 		assertThat(failure.cause()).isEqualTo(FailureCause.QUEUE_FULL);
 		assertThat(failure.verdict()).isEqualTo(Verdict.NOT_RUN);
 		assertThat(failure.retryAfter()).isPresent();
@@ -41,10 +41,10 @@
 	// caller can be told for sure that it did not and will not run.
 	@Test
 	void neverStartsACallAfterItsDeadline() {
-		SidecarSite site = new SidecarSite(Limits.DEFAULT, 1);
-		site.callAlone("one", LONG);
-		AttemptId waiting = site.callAlone("two", SHORT);
-		site.pass(SHORT);
+		SidecarFixture site = new SidecarFixture(Limits.DEFAULT, 1);
+		site.callWithoutProgram("one", LONG);
+		AttemptId waiting = site.callWithoutProgram("two", SHORT);
+		site.advanceTime(SHORT);
 		assertThat(site.failureOf(waiting).cause()).isEqualTo(FailureCause.DEADLINE_PASSED);
 		assertThat(site.failureOf(waiting).verdict()).isEqualTo(Verdict.NOT_RUN);
 		site.answer(0);
@@ -56,10 +56,10 @@
 	// one takes its place.
 	@Test
 	void forgetsAWaitingCallThatIsCancelled() {
-		SidecarSite site = new SidecarSite(Limits.DEFAULT, 1);
-		site.callAlone("one", LONG);
-		AttemptId cancelled = site.callAlone("two", LONG);
-		site.callAlone("three", LONG);
+		SidecarFixture site = new SidecarFixture(Limits.DEFAULT, 1);
+		site.callWithoutProgram("one", LONG);
+		AttemptId cancelled = site.callWithoutProgram("two", LONG);
+		site.callWithoutProgram("three", LONG);
 		site.cancel(cancelled);
 		site.answer(0);
 		site.answer(1);
@@ -73,24 +73,24 @@
 	// time: that is its limit, and it is not run a third time.
 	@Test
 	void stopsARequestThatCrashesTheEngineAlone() {
-		SidecarSite site = new SidecarSite(Limits.DEFAULT, 4);
-		AttemptId guilty = site.callAlone("guilty", LONG);
+		SidecarFixture site = new SidecarFixture(Limits.DEFAULT, 4);
+		AttemptId guilty = site.callWithoutProgram("guilty", LONG);
 		site.crash(0);
 		assertThat(site.outcomeOf(guilty)).isEmpty();
-		site.settleLog();
+		site.completeAppends();
 		assertThat(site.failureOf(guilty).verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 		site.report(2);
-		site.callAlone("before", LONG);
-		AttemptId again = site.callAlone("guilty", LONG);
-		site.callAlone("after", LONG);
+		site.callWithoutProgram("before", LONG);
+		AttemptId again = site.callWithoutProgram("guilty", LONG);
+		site.callWithoutProgram("after", LONG);
 		assertThat(site.started()).containsExactly("guilty", "before");
 		site.answer(1);
 		assertThat(site.started()).containsExactly("guilty", "before", "guilty");
 		site.crash(2);
-		site.settleLog();
+		site.completeAppends();
 		assertThat(site.failureOf(again).cause()).isEqualTo(FailureCause.UPSTREAM_FAILED);
 		site.report(3);
-		CallFailure stopped = site.failureOf(site.callAlone("guilty", LONG));
+		CallFailure stopped = site.failureOf(site.callWithoutProgram("guilty", LONG));
 		assertThat(stopped.cause()).isEqualTo(FailureCause.CRASHES_UPSTREAMS);
 		assertThat(stopped.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 		assertThat(site.started()).containsExactly("guilty", "before", "guilty", "after");
@@ -101,20 +101,20 @@
 	// on it runs in company again.
 	@Test
 	void clearsAnInnocentRequestThatEndsAlone() {
-		SidecarSite site = new SidecarSite(Limits.DEFAULT, 4);
-		site.callAlone("guilty", LONG);
-		site.callAlone("innocent", LONG);
+		SidecarFixture site = new SidecarFixture(Limits.DEFAULT, 4);
+		site.callWithoutProgram("guilty", LONG);
+		site.callWithoutProgram("innocent", LONG);
 		site.crash(0);
 		site.crash(1);
-		site.settleLog();
+		site.completeAppends();
 		site.report(2);
-		AttemptId alone = site.callAlone("innocent", LONG);
-		site.callAlone("other", LONG);
+		AttemptId alone = site.callWithoutProgram("innocent", LONG);
+		site.callWithoutProgram("other", LONG);
 		assertThat(site.started()).containsExactly("guilty", "innocent", "innocent");
 		site.answer(2);
-		site.settleLog();
+		site.completeAppends();
 		assertThat(site.answerOf(alone).answer()).isNotNull();
-		site.callAlone("innocent", LONG);
+		site.callWithoutProgram("innocent", LONG);
 		assertThat(site.started()).containsExactly("guilty", "innocent", "innocent", "other", "innocent");
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarFixture.java
@@ -47,7 +47,7 @@
  * A sidecar of an engine with the log it reads and two entries. Nothing happens, and no
  * time passes, but by the calls of a test. Confined to one thread.
  */
-final class SidecarSite {
+final class SidecarFixture {
 
 	static final ZoneName ZONE = new ZoneName("hall");
 
@@ -77,11 +77,11 @@
 
 	private long offset;
 
-	private int settled;
+	private int completedAppends;
 
 	private long attempts;
 
-	SidecarSite(Limits limits, int maximumCalls) {
+	SidecarFixture(Limits limits, int maximumCalls) {
 		UpstreamPolicy upstream = new UpstreamPolicy(SELF.vm(), ZONE, new Endpoint("127.0.0.1", 7001),
 				new Endpoint("127.0.0.1", 7002), new UpstreamKind.ForEngine(Set.of(MODEL), true, 100_000),
 				maximumCalls);
@@ -102,8 +102,8 @@
 	 * Returns a sidecar that is the home of {@link #PROGRAM} in its first epoch.
 	 * @return the site
 	 */
-	static SidecarSite asHome() {
-		SidecarSite site = new SidecarSite(Limits.DEFAULT, 4);
+	static SidecarFixture withHome() {
+		SidecarFixture site = new SidecarFixture(Limits.DEFAULT, 4);
 		site.read(new LedgerRecord.ProgramClaimed(PROGRAM, Epoch.NONE.next(), SELF, Optional.empty()));
 		return site;
 	}
@@ -117,7 +117,7 @@
 		apply(new SidecarEvent.UpstreamLoadReceived(instance, 0, 0, 0, this.now));
 	}
 
-	void pass(Duration time) {
+	void advanceTime(Duration time) {
 		this.now = this.now.plus(time);
 		apply(new SidecarEvent.NodeEventReceived(new NodeEvent.Ticked(this.now, 1)));
 	}
@@ -130,16 +130,16 @@
 	/**
 	 * Lets all appends that the log has not answered take effect and be read.
 	 */
-	void settleLog() {
-		while (this.settled < appends().size()) {
-			NodeEffect.Append append = appends().get(this.settled);
+	void completeAppends() {
+		while (this.completedAppends < appends().size()) {
+			NodeEffect.Append append = appends().get(this.completedAppends);
 			endAppend(AppendResult.APPENDED);
 			read(append.record());
 		}
 	}
 
 	void endAppend(AppendResult result) {
-		NodeEffect.Append append = appends().get(this.settled++);
+		NodeEffect.Append append = appends().get(this.completedAppends++);
 		apply(new SidecarEvent.LogEventReceived(new LogEvent.AppendEnded(append.append(), result, this.now)));
 	}
 
@@ -180,7 +180,7 @@
 	 * @param timeLeft the time until its deadline
 	 * @return the attempt
 	 */
-	AttemptId callAlone(String message, Duration timeLeft) {
+	AttemptId callWithoutProgram(String message, Duration timeLeft) {
 		return dispatch(ENTRY, Optional.empty(), HistoryMode.WHOLE, message, new Standing.ForSingleCall(), timeLeft,
 				"");
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarLeftovers.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarLeftovers.java
@@ -18,17 +18,17 @@
 	public static List<String> in(SidecarState state) {
 		List<String> left = new ArrayList<>();
 		note(left, "jobs", state.jobs.size());
-		note(left, "attempts", state.attempts.size());
+		note(left, "attempts", state.jobsByAttempt.size());
 		note(left, "runs", state.runs.size());
-		note(left, "blamed", state.blamed.size());
-		note(left, "alone", (state.alone.isPresent()) ? 1 : 0);
+		note(left, "blamed", state.awaitingCrashRecord.size());
+		note(left, "alone", (state.isolatedJob.isPresent()) ? 1 : 0);
 		note(left, "queue", state.queue.size());
 		note(left, "homes", state.homes.size());
-		note(left, "waiting", state.waiting.size());
-		note(left, "parked", state.parked.size());
+		note(left, "waiting", state.programsByWaitingAttempt.size());
+		note(left, "parked", state.awaitingLog.size());
 		note(left, "appends", state.appends.size());
 		note(left, "sessions", state.sessions.size());
-		note(left, "open", state.entries.values().map(Set::size).sum().intValue());
+		note(left, "open", state.openAttempts.values().map(Set::size).sum().intValue());
 		return left;
 	}
 
