--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ActiveConfiguration.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ActiveConfiguration.java
@@ -7,12 +7,13 @@
 import io.lentilslip.core.configuration.UpstreamPolicy;
 
 /**
- * The configuration in force and what it says of this sidecar's upstream. Immutable and
- * safe for use by several threads.
+ * Immutable view of the active configuration and its policy for this sidecar's upstream.
+ * Safe for use by several threads.
  *
- * @param version the version
+ * @param version the version of the configuration
  * @param configuration the configuration
- * @param upstream the upstream, if the configuration still has it
+ * @param upstream the policy of the upstream, or an empty result if the configuration
+ * does not contain it
  */
 record ActiveConfiguration(long version, Configuration configuration, Optional<UpstreamPolicy> upstream) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ClaimRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ClaimRules.java
@@ -14,81 +14,81 @@
 import io.lentilslip.core.sidecar.Job.Stage;
 
 /**
- * The rules for calls that the log gave to this life of the sidecar: each runs at most
- * once, and everyone who asks gets the same outcome. Confined to one application of the
- * reducer.
+ * Handles calls claimed for this incarnation of the sidecar: each runs at most once, and
+ * every attempt receives the same outcome. Confined to one application of the reducer.
  */
 final class ClaimRules {
 
 	private final StateBuilder builder;
 
-	ClaimRules(StateBuilder draft) {
-		this.builder = draft;
+	ClaimRules(StateBuilder builder) {
+		this.builder = builder;
 	}
 
 	/**
-	 * Takes a claimed call, having read the log up to its claim.
-	 * @param arrival the attempt
-	 * @param standing the claim it names
+	 * Handles an attempt of a claimed call once the log has been read up to the claim.
+	 * @param incoming the attempt
+	 * @param standing the claim that the attempt refers to
 	 */
-	void handle(IncomingAttempt arrival, Standing.ForClaimedCall standing) {
+	void handle(IncomingAttempt incoming, Standing.ForClaimedCall standing) {
 		Optional<ClaimState> claim = this.builder.log.ledger().claim(standing.key());
 		if (claim.isEmpty() || !claim.get().executor().equals(this.builder.self)) {
-			this.builder.refuse(arrival, EntryRules.retryableRefusal(FailureCause.MOVED, "The claim was released."));
+			this.builder.refuse(incoming,
+					EntryRules.retryableRefusal(FailureCause.MOVED, "The claim on the call was released."));
 			return;
 		}
-		if (!claim.get().content().equals(arrival.call().content())) {
-			this.builder.refuse(arrival,
-					CallFailure.notRun(FailureCause.KEY_REUSED, "This key belongs to a call with other content."));
+		if (!claim.get().content().equals(incoming.call().content())) {
+			this.builder.refuse(incoming, CallFailure.notRun(FailureCause.KEY_REUSED,
+					"The key or number of the call was already used for a call with different content."));
 			return;
 		}
 		if (claim.get().outcome().isPresent()) {
-			this.builder.finish(arrival.entry(), arrival.attempt(), claim.get().outcome().get());
+			this.builder.finish(incoming.entry(), incoming.attempt(), claim.get().outcome().get());
 			return;
 		}
 		JobKey.ForClaim key = new JobKey.ForClaim(standing.key());
 		Optional<Job> job = this.builder.job(key);
 		if (job.isPresent()) {
-			attach(arrival, job.get());
+			attach(incoming, job.get());
 			return;
 		}
 		Optional<CallFailure> refusal = refusalFor(standing.key());
 		if (refusal.isPresent()) {
-			release(key, arrival, refusal.get());
+			release(key, incoming, refusal.get());
 			return;
 		}
-		// This life holds the claim, has no outcome and no job for it: it never ran it,
-		// and no other process may. Running it now is the first time.
-		List<String> added = arrival.modelCall().map(CallRequest.ForModel::messages).orElse(List.of());
-		new QueueRules(this.builder).enqueue(key, arrival, added);
+		// This incarnation holds the claim and has neither an outcome nor a job for it,
+		// so the call has never run, and no other process may run it.
+		List<String> addedMessages = incoming.modelCall().map(CallRequest.ForModel::messages).orElse(List.of());
+		new QueueRules(this.builder).enqueue(key, incoming, addedMessages);
 	}
 
-	// An earlier release of this key whose append had no answer may yet take effect. It
-	// would release this claim while the call runs, and another process would run it a
-	// second time. What does not run here can be released any number of times.
+	// A release whose append result is unknown may still take effect. It would release
+	// the claim while the call runs, and another process would run the call again. A call
+	// that does not run may be released any number of times.
 	private Optional<CallFailure> refusalFor(CallKey key) {
 		if (this.builder.uncertainReleases.contains(key)) {
-			return Optional.of(EntryRules.retryableRefusal(FailureCause.MOVED, "The claim was released."));
+			return Optional.of(EntryRules.retryableRefusal(FailureCause.MOVED, "The claim on the call was released."));
 		}
 		return new EntryRules(this.builder).unavailability();
 	}
 
-	private void release(JobKey.ForClaim key, IncomingAttempt arrival, CallFailure refusal) {
-		Job job = new QueueRules(this.builder).createJob(key, arrival, List.of());
-		this.builder.jobsByAttempt = this.builder.jobsByAttempt.put(arrival.attempt(), key);
+	private void release(JobKey.ForClaim key, IncomingAttempt incoming, CallFailure refusal) {
+		Job job = new QueueRules(this.builder).createJob(key, incoming, List.of());
+		this.builder.jobsByAttempt = this.builder.jobsByAttempt.put(incoming.attempt(), key);
 		appendOutcome(job, key.key(), new CallOutcome.Failed(refusal));
 	}
 
-	private void attach(IncomingAttempt arrival, Job job) {
-		if (job.stage() instanceof Stage.Committing settling && settling.timedOut()) {
-			this.builder.finish(arrival.entry(), arrival.attempt(), settling.outcome());
+	private void attach(IncomingAttempt incoming, Job job) {
+		if (job.stage() instanceof Stage.Committing committing && committing.timedOut()) {
+			this.builder.finish(incoming.entry(), incoming.attempt(), committing.outcome());
 			return;
 		}
-		new HomeRules(this.builder).join(arrival, job);
+		new HomeRules(this.builder).join(incoming, job);
 	}
 
 	/**
-	 * Writes the outcome of a claimed call to the log.
+	 * Appends the outcome of a claimed call to the log.
 	 * @param job the job
 	 * @param key the key of the call
 	 * @param outcome the outcome
@@ -99,15 +99,15 @@
 	}
 
 	/**
-	 * Tells the outcome of a claimed call, since the log holds it.
+	 * Sends the outcome of a claimed call to its listeners once it is committed.
 	 * @param key the key of the call
 	 */
 	void outcomeCommitted(CallKey key) {
-		JobKey name = new JobKey.ForClaim(key);
-		Optional<Job> job = this.builder.job(name);
-		if (job.isPresent() && job.get().stage() instanceof Stage.Committing settling) {
-			this.builder.jobs = this.builder.jobs.remove(name);
-			this.builder.finishAll(job.get(), settling.outcome());
+		JobKey jobKey = new JobKey.ForClaim(key);
+		Optional<Job> job = this.builder.job(jobKey);
+		if (job.isPresent() && job.get().stage() instanceof Stage.Committing committing) {
+			this.builder.jobs = this.builder.jobs.remove(jobKey);
+			this.builder.finishAll(job.get(), committing.outcome());
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
@@ -20,7 +20,8 @@
 import io.vavr.control.Option;
 
 /**
- * The rules for what entries send. Confined to one application of the reducer.
+ * Handles connections and messages of entries. Confined to one application of the
+ * reducer.
  */
 final class EntryRules {
 
@@ -34,8 +35,8 @@
 
 	private final StateBuilder builder;
 
-	EntryRules(StateBuilder draft) {
-		this.builder = draft;
+	EntryRules(StateBuilder builder) {
+		this.builder = builder;
 	}
 
 	void connected(ProcessId entry) {
@@ -48,8 +49,8 @@
 	}
 
 	/**
-	 * Forgets an entry. What it asked for goes on for a while: the caller may have come
-	 * to another entry, which joins the work under way.
+	 * Removes an entry and its attempts. Their jobs continue for a while, since the
+	 * caller may retry through another entry, which joins the running job.
 	 * @param entry the entry
 	 */
 	void disconnected(ProcessId entry) {
@@ -77,119 +78,122 @@
 		if (this.builder.isOpen(message.attempt())) {
 			return;
 		}
-		IncomingAttempt arrival = new IncomingAttempt(message.attempt(), entry, message.call(), message.standing(),
+		IncomingAttempt incoming = new IncomingAttempt(message.attempt(), entry, message.call(), message.standing(),
 				this.builder.now.plus(message.timeLeft()), message.delivered());
-		this.builder.addOpenAttempt(entry, arrival.attempt());
+		this.builder.addOpenAttempt(entry, incoming.attempt());
 		if (this.builder.configuration.flatMap(ActiveConfiguration::upstream).isEmpty()) {
-			this.builder.refuse(arrival, retryableRefusal(FailureCause.NOT_READY, "The sidecar has no configuration."));
+			this.builder.refuse(incoming,
+					retryableRefusal(FailureCause.NOT_READY, "The sidecar has not loaded a configuration yet."));
 			return;
 		}
-		route(arrival);
+		route(incoming);
 	}
 
-	private void route(IncomingAttempt arrival) {
-		switch (arrival.standing()) {
+	private void route(IncomingAttempt incoming) {
+		switch (incoming.standing()) {
 			case Standing.ForHome standing -> {
 				if (!standing.home().equals(this.builder.self)) {
-					this.builder.refuse(arrival, retryableRefusal(FailureCause.MOVED, "The program has another home."));
+					this.builder.refuse(incoming,
+							retryableRefusal(FailureCause.MOVED, "The program has moved to another home."));
 				}
 				else if (this.builder.log.hasRead(standing.offset())) {
-					new HomeRules(this.builder).handle(arrival, standing);
+					new HomeRules(this.builder).handle(incoming, standing);
 				}
 				else {
-					awaitLog(arrival);
+					awaitLog(incoming);
 				}
 			}
 			case Standing.ForClaimedCall standing -> {
 				if (!standing.executor().equals(this.builder.self)) {
-					// The life that was to run the call is over and may have run it. This
-					// one knows nothing of it, and not knowing is no proof.
-					this.builder.refuse(arrival, CallFailure.mayHaveRun(FailureCause.OUTCOME_UNKNOWN,
-							"The process that was to run the request is gone."));
+					// The incarnation that holds the claim has ended and may have run the
+					// call.
+					this.builder.refuse(incoming, CallFailure.mayHaveRun(FailureCause.OUTCOME_UNKNOWN,
+							"The process that held the claim on the request has ended; whether the request ran is unknown."));
 				}
 				else if (this.builder.log.hasRead(standing.offset())) {
-					new ClaimRules(this.builder).handle(arrival, standing);
+					new ClaimRules(this.builder).handle(incoming, standing);
 				}
 				else {
-					awaitLog(arrival);
+					awaitLog(incoming);
 				}
 			}
-			case Standing.ForSingleCall standing -> handleSingleCall(arrival);
+			case Standing.ForSingleCall standing -> handleSingleCall(incoming);
 		}
 	}
 
-	private void handleSingleCall(IncomingAttempt arrival) {
-		if (refuseIfUnavailable(arrival)) {
+	private void handleSingleCall(IncomingAttempt incoming) {
+		if (refuseIfUnavailable(incoming)) {
 			return;
 		}
-		List<String> added = arrival.modelCall().map(CallRequest.ForModel::messages).orElse(List.of());
-		new QueueRules(this.builder).enqueue(new JobKey.ForAttempt(arrival.attempt()), arrival, added);
+		List<String> addedMessages = incoming.modelCall().map(CallRequest.ForModel::messages).orElse(List.of());
+		new QueueRules(this.builder).enqueue(new JobKey.ForAttempt(incoming.attempt()), incoming, addedMessages);
 	}
 
 	/**
-	 * Refuses an attempt that asks for new work if none can be taken.
-	 * @param arrival the attempt
+	 * Refuses an attempt that needs a new job while none can be accepted.
+	 * @param incoming the attempt
 	 * @return whether it was refused
 	 */
-	boolean refuseIfUnavailable(IncomingAttempt arrival) {
+	boolean refuseIfUnavailable(IncomingAttempt incoming) {
 		Optional<CallFailure> refusal = unavailability();
-		refusal.ifPresent((failure) -> this.builder.refuse(arrival, failure));
+		refusal.ifPresent((failure) -> this.builder.refuse(incoming, failure));
 		return refusal.isPresent();
 	}
 
 	/**
-	 * Returns why no new work can be taken.
-	 * @return the refusal, or an empty result if new work can be taken
+	 * Returns why no new job can be accepted.
+	 * @return the refusal, or an empty result if new jobs are accepted
 	 */
 	Optional<CallFailure> unavailability() {
 		if (this.builder.draining) {
-			return Optional.of(retryableRefusal(FailureCause.STOPPING, "The upstream is leaving."));
+			return Optional.of(retryableRefusal(FailureCause.STOPPING, "The upstream is draining."));
 		}
 		if (!this.builder.upstream.reachable()) {
-			return Optional.of(retryableRefusal(FailureCause.NO_UPSTREAM, "The upstream does not answer."));
+			return Optional.of(retryableRefusal(FailureCause.NO_UPSTREAM, "The upstream is unreachable."));
 		}
 		return Optional.empty();
 	}
 
-	private void awaitLog(IncomingAttempt arrival) {
+	private void awaitLog(IncomingAttempt incoming) {
 		if (this.builder.awaitingLog.size() >= MAX_AWAITING_LOG) {
-			this.builder.refuse(arrival, retryableRefusal(FailureCause.NOT_READY, "The sidecar is behind the log."));
+			this.builder.refuse(incoming, retryableRefusal(FailureCause.NOT_READY,
+					"The sidecar lags behind the log, and too many calls wait for it."));
 			return;
 		}
-		this.builder.awaitingLog = this.builder.awaitingLog.append(arrival);
-		this.builder.schedule(LOG_WAIT_TIMEOUT, new SidecarTimer.LogWaitTimeout(arrival.attempt()));
+		this.builder.awaitingLog = this.builder.awaitingLog.append(incoming);
+		this.builder.schedule(LOG_WAIT_TIMEOUT, new SidecarTimer.LogWaitTimeout(incoming.attempt()));
 	}
 
 	/**
-	 * Looks at the parked attempts again after more of the log was read.
+	 * Handles the attempts that wait for the log again after a batch has been read.
 	 */
 	void retryAwaitingLog() {
-		Vector<IncomingAttempt> parked = this.builder.awaitingLog;
+		Vector<IncomingAttempt> attempts = this.builder.awaitingLog;
 		this.builder.awaitingLog = Vector.empty();
-		parked.forEach(this::route);
+		attempts.forEach(this::route);
 	}
 
 	void logWaitTimedOut(AttemptId attempt) {
-		Option<IncomingAttempt> arrival = this.builder.awaitingLog.find((parked) -> parked.attempt().equals(attempt));
-		if (arrival.isEmpty()) {
+		Option<IncomingAttempt> incoming = this.builder.awaitingLog.find((each) -> each.attempt().equals(attempt));
+		if (incoming.isEmpty()) {
 			return;
 		}
-		this.builder.awaitingLog = this.builder.awaitingLog.remove(arrival.get());
-		this.builder.refuse(arrival.get(),
-				retryableRefusal(FailureCause.LOG_UNAVAILABLE, "The sidecar cannot read the log far enough."));
+		this.builder.awaitingLog = this.builder.awaitingLog.remove(incoming.get());
+		this.builder.refuse(incoming.get(), retryableRefusal(FailureCause.LOG_UNAVAILABLE,
+				"The sidecar could not read the log up to the required offset in time."));
 	}
 
 	/**
-	 * Ends an attempt whose caller has gone.
-	 * @param entry the entry that made it
+	 * Cancels an attempt whose caller has disconnected.
+	 * @param entry the entry that sent it
 	 * @param attempt the attempt
 	 */
 	void cancel(ProcessId entry, AttemptId attempt) {
 		Option<JobKey> key = this.builder.jobsByAttempt.get(attempt);
 		Option<ProgramId> program = this.builder.programsByWaitingAttempt.get(attempt);
 		this.builder.removeAttempt(entry, attempt);
-		this.builder.awaitingLog = this.builder.awaitingLog.filter((arrival) -> !arrival.attempt().equals(attempt));
-		program.forEach((name) -> new HomeRules(this.builder).removeWaiting(name, attempt));
+		this.builder.awaitingLog = this.builder.awaitingLog.filter((incoming) -> !incoming.attempt().equals(attempt));
+		program.forEach((id) -> new HomeRules(this.builder).removeWaiting(id, attempt));
 		key.toJavaOptional().flatMap(this.builder::job).ifPresent((job) -> listenerRemoved(job.without(attempt)));
 	}
 
@@ -204,13 +208,13 @@
 				new HomeRules(this.builder).jobRemoved(job.key());
 			}
 			case Stage.Running running -> orphaned(job, running);
-			case Stage.Committing settling -> {
+			case Stage.Committing committing -> {
 			}
 		}
 	}
 
-	// A claimed call, and one that may not be repeated, goes on: breaking it off would
-	// leave its outcome unknown, and a resend of the caller asks for it.
+	// Claimed calls and calls that may not be repeated continue: cancelling them would
+	// leave their outcome unknown, and a retry of the caller joins them.
 	private void orphaned(Job job, Stage.Running running) {
 		switch (job.key()) {
 			case JobKey.ForTurn key -> this.builder.schedule(ORPHAN_TIMEOUT, new SidecarTimer.OrphanTimeout(key));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Home.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Home.java
@@ -11,20 +11,20 @@
 import io.vavr.collection.Vector;
 
 /**
- * A program whose home is this sidecar. Turns are numbered from 1 without a gap; those
- * after the first {@code committed} are not yet in the log. Immutable and safe for use by
- * several threads.
+ * Immutable state of a program whose home is this sidecar. Turns are numbered from 1
+ * without gaps; those after the first {@code committed} are not yet committed to the log.
+ * Safe for use by several threads.
  *
  * @param program the program
  * @param epoch the epoch of the home
- * @param ready whether the history has been read
- * @param turns the history
- * @param committed the number of turns in the log
- * @param appending whether a turn is on its way into the log
- * @param activeJob the job of the turn that waits or runs
- * @param waiting the attempts whose turn has not come
+ * @param ready whether the history has been read from the log
+ * @param turns the turns of the history
+ * @param committed the number of committed turns
+ * @param appending whether the append of a turn is in flight
+ * @param activeJob the queued or running job of the next turn
+ * @param waiting the attempts that wait for a preceding call
  * @param lastUsedAt when the program was last active
- * @param expiresAt when the program has lived as long as it may
+ * @param expiresAt when the program reaches its lifetime
  */
 record Home(ProgramId program, Epoch epoch, boolean ready, Vector<Turn> turns, int committed, boolean appending,
 		Optional<JobKey> activeJob, Vector<IncomingAttempt> waiting, Instant lastUsedAt, Instant expiresAt) {
@@ -34,13 +34,13 @@
 				expires);
 	}
 
-	Home withHistory(Vector<Turn> read) {
-		return new Home(this.program, this.epoch, true, read, read.size(), false, this.activeJob, this.waiting,
+	Home withHistory(Vector<Turn> history) {
+		return new Home(this.program, this.epoch, true, history, history.size(), false, this.activeJob, this.waiting,
 				this.lastUsedAt, this.expiresAt);
 	}
 
-	Home withEpoch(Epoch newer) {
-		return new Home(this.program, newer, this.ready, this.turns, this.committed, false, this.activeJob,
+	Home withEpoch(Epoch newEpoch) {
+		return new Home(this.program, newEpoch, this.ready, this.turns, this.committed, false, this.activeJob,
 				this.waiting, this.lastUsedAt, this.expiresAt);
 	}
 
@@ -64,13 +64,13 @@
 				this.waiting, now, this.expiresAt);
 	}
 
-	Home withWaiting(Vector<IncomingAttempt> arrivals) {
+	Home withWaiting(Vector<IncomingAttempt> attempts) {
 		return new Home(this.program, this.epoch, this.ready, this.turns, this.committed, this.appending,
-				this.activeJob, arrivals, this.lastUsedAt, this.expiresAt);
+				this.activeJob, attempts, this.lastUsedAt, this.expiresAt);
 	}
 
 	/**
-	 * Returns the number of the turn that comes next.
+	 * Returns the number of the next turn.
 	 * @return the number
 	 */
 	int nextNumber() {
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Returns the number of turns that are not yet in the log.
+	 * Returns the number of uncommitted turns.
 	 * @return the number of turns
 	 */
 	int pendingCount() {
@@ -86,7 +86,7 @@
 	}
 
 	/**
-	 * Returns the first turn that is not yet in the log.
+	 * Returns the first uncommitted turn.
 	 * @return the turn, or an empty result
 	 */
 	Optional<Turn> firstPending() {
@@ -94,10 +94,10 @@
 	}
 
 	/**
-	 * Returns the turn that a resent call asked for before.
+	 * Returns the turn that already answers a call.
 	 * @param call the call
-	 * @return the turn with the same key or number, or the last one if it has the same
-	 * content and the call has neither
+	 * @return the turn with the same number or key; for a call with neither, the last
+	 * turn if it has the same content
 	 */
 	Optional<Turn> findTurn(CallRequest call) {
 		Optional<Integer> number = call.place().flatMap(ProgramCall::number);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
@@ -34,8 +34,8 @@
 import io.vavr.collection.Vector;
 
 /**
- * The rules for programs whose home is this sidecar: calls in their order, each once,
- * against the whole history. Confined to one application of the reducer.
+ * Handles the calls of programs whose home is this sidecar: in order, each at most once,
+ * on the complete history. Confined to one application of the reducer.
  */
 final class HomeRules {
 
@@ -44,9 +44,9 @@
 	private static final int MAX_PENDING_TURNS = 8;
 
 	/**
-	 * The most bytes that a call may add. A turn is one record, and the log takes no
-	 * record over 1 MiB: a larger turn would be answered and then wait for ever to be
-	 * kept. The rest is left for the answer and the envelope.
+	 * Maximum size of the messages that a call adds, in bytes. A turn is one log record,
+	 * and the log rejects records over 1 MiB: a larger turn would be answered but could
+	 * never be committed. The remainder is left for the answer and the envelope.
 	 */
 	private static final int MAX_ADDED_BYTES = 768 << 10;
 
@@ -56,40 +56,42 @@
 
 	private final StateBuilder builder;
 
-	HomeRules(StateBuilder draft) {
-		this.builder = draft;
+	HomeRules(StateBuilder builder) {
+		this.builder = builder;
 	}
 
 	/**
-	 * Takes a call of a program, having read the log up to the claim it names.
-	 * @param arrival the attempt
-	 * @param standing the claim it names
+	 * Handles an attempt of a program's call once the log has been read up to the claim
+	 * of the home.
+	 * @param incoming the attempt
+	 * @param standing the claim of the home that the attempt refers to
 	 */
-	void handle(IncomingAttempt arrival, Standing.ForHome standing) {
-		ProgramId program = arrival.call().place().orElseThrow().program();
+	void handle(IncomingAttempt incoming, Standing.ForHome standing) {
+		ProgramId program = incoming.call().place().orElseThrow().program();
 		Optional<ProgramState> state = this.builder.log.ledger().program(program);
 		if (state.isEmpty() || !state.get().home().equals(this.builder.self)
 				|| !state.get().epoch().equals(standing.epoch())) {
-			this.builder.refuse(arrival,
-					EntryRules.retryableRefusal(FailureCause.MOVED, "The program has another home."));
+			this.builder.refuse(incoming,
+					EntryRules.retryableRefusal(FailureCause.MOVED, "The program has moved to another home."));
 			return;
 		}
 		if (state.get().endReason().isPresent()) {
-			this.builder.refuse(arrival, CallFailure.ofEndedProgram(arrival.call(), state.get().lastCall()));
+			this.builder.refuse(incoming, CallFailure.ofEndedProgram(incoming.call(), state.get().lastCall()));
 			return;
 		}
 		Home home = this.builder.home(program).orElseGet(() -> openHome(program, state.get()));
 		if (home.waiting().size() >= MAX_WAITING_CALLS) {
-			this.builder.refuse(arrival,
-					EntryRules.retryableRefusal(FailureCause.QUEUE_FULL, "Too many calls of this program wait."));
+			this.builder.refuse(incoming, EntryRules.retryableRefusal(FailureCause.QUEUE_FULL,
+					"Too many calls of this program are waiting."));
 			return;
 		}
-		this.builder.put(home.withWaiting(home.waiting().append(arrival)));
-		this.builder.programsByWaitingAttempt = this.builder.programsByWaitingAttempt.put(arrival.attempt(), program);
+		this.builder.put(home.withWaiting(home.waiting().append(incoming)));
+		this.builder.programsByWaitingAttempt = this.builder.programsByWaitingAttempt.put(incoming.attempt(), program);
 		processWaiting(program);
-		if (this.builder.programsByWaitingAttempt.containsKey(arrival.attempt())) {
-			this.builder.schedule(ORDER_TIMEOUT, new SidecarTimer.WaitingCallCheck(program, arrival.attempt()));
-			this.builder.scheduleAt(arrival.deadline(), new SidecarTimer.WaitingCallCheck(program, arrival.attempt()));
+		if (this.builder.programsByWaitingAttempt.containsKey(incoming.attempt())) {
+			this.builder.schedule(ORDER_TIMEOUT, new SidecarTimer.WaitingCallCheck(program, incoming.attempt()));
+			this.builder.scheduleAt(incoming.deadline(),
+					new SidecarTimer.WaitingCallCheck(program, incoming.attempt()));
 		}
 	}
 
@@ -118,11 +120,11 @@
 	}
 
 	/**
-	 * Refuses what waits for a history that cannot be read now. The home is closed, so
-	 * that the next call tries again.
+	 * Closes a home whose history could not be read and refuses its waiting calls. The
+	 * next call opens the home again and retries the read.
 	 * @param program the program
-	 * @param epoch the epoch for which it was to be read
-	 * @param lost whether the log no longer holds it
+	 * @param epoch the epoch that the read was started in
+	 * @param lost whether the log has already deleted records of the history
 	 */
 	void historyReadFailed(ProgramId program, Epoch epoch, boolean lost) {
 		Optional<Home> home = this.builder.home(program).filter((known) -> known.epoch().equals(epoch));
@@ -131,13 +133,15 @@
 		}
 		this.builder.homes = this.builder.homes.remove(program);
 		CallFailure failure = (lost)
-				? CallFailure.notRun(FailureCause.LIMIT_REACHED, "The history is older than the log keeps.")
-				: EntryRules.retryableRefusal(FailureCause.LOG_UNAVAILABLE, "The history cannot be read now.");
-		home.get().waiting().forEach((arrival) -> refuseWaiting(arrival, home.get(), failure));
+				? CallFailure.notRun(FailureCause.LIMIT_REACHED,
+						"The log no longer retains the complete history of the program.")
+				: EntryRules.retryableRefusal(FailureCause.LOG_UNAVAILABLE,
+						"The history could not be read from the log.");
+		home.get().waiting().forEach((incoming) -> refuseWaiting(incoming, home.get(), failure));
 	}
 
 	/**
-	 * Looks at the waiting calls of a program, in the order in which they came.
+	 * Handles the waiting calls of a program in order of arrival.
 	 * @param program the program
 	 */
 	void processWaiting(ProgramId program) {
@@ -146,43 +150,45 @@
 			return;
 		}
 		this.builder.put(home.get().withWaiting(Vector.empty()));
-		Vector<IncomingAttempt> kept = Vector.empty();
-		for (IncomingAttempt arrival : home.get().waiting()) {
-			if (!process(arrival, this.builder.home(program).orElseThrow())) {
-				kept = kept.append(arrival);
+		Vector<IncomingAttempt> stillWaiting = Vector.empty();
+		for (IncomingAttempt incoming : home.get().waiting()) {
+			if (!process(incoming, this.builder.home(program).orElseThrow())) {
+				stillWaiting = stillWaiting.append(incoming);
 			}
 			else {
-				this.builder.programsByWaitingAttempt = this.builder.programsByWaitingAttempt.remove(arrival.attempt());
+				this.builder.programsByWaitingAttempt = this.builder.programsByWaitingAttempt
+					.remove(incoming.attempt());
 			}
 		}
-		Home now = this.builder.home(program).orElseThrow();
-		this.builder.put(now.withWaiting(kept.appendAll(now.waiting())));
+		Home current = this.builder.home(program).orElseThrow();
+		this.builder.put(current.withWaiting(stillWaiting.appendAll(current.waiting())));
 	}
 
-	// Returns whether the attempt need not wait any more.
-	private boolean process(IncomingAttempt arrival, Home home) {
-		Optional<Turn> turn = home.findTurn(arrival.call());
+	// Returns whether the attempt was handled and stops waiting.
+	private boolean process(IncomingAttempt incoming, Home home) {
+		Optional<Turn> turn = home.findTurn(incoming.call());
 		if (turn.isPresent()) {
-			answerResend(arrival, home, turn.get());
+			answerResend(incoming, home, turn.get());
 			return true;
 		}
-		// Also a job whose blame is on its way into the log: begun anew, the call would
-		// take its place, run in company, and leave the first attempt without an answer.
-		Optional<Job> underWay = this.builder.job(new JobKey.ForTurn(home.program(), home.nextNumber()));
-		if (underWay.isPresent()) {
-			return isSameCall(arrival, underWay.get()) && join(arrival, underWay.get());
+		// This includes a job whose crash record is not committed yet. A new job would
+		// replace it, run alongside others, and leave the first attempt without an
+		// outcome.
+		Optional<Job> running = this.builder.job(new JobKey.ForTurn(home.program(), home.nextNumber()));
+		if (running.isPresent()) {
+			return isSameCall(incoming, running.get()) && join(incoming, running.get());
 		}
-		if (arrival.callNumber().orElse(home.nextNumber()) > home.nextNumber()) {
+		if (incoming.callNumber().orElse(home.nextNumber()) > home.nextNumber()) {
 			return false;
 		}
-		startTurn(arrival, home);
+		startTurn(incoming, home);
 		return true;
 	}
 
-	private static boolean isSameCall(IncomingAttempt arrival, Job job) {
-		CallRequest call = arrival.call();
-		if (arrival.callNumber().isPresent()) {
-			return job.key() instanceof JobKey.ForTurn turn && turn.number() == arrival.callNumber().get();
+	private static boolean isSameCall(IncomingAttempt incoming, Job job) {
+		CallRequest call = incoming.call();
+		if (incoming.callNumber().isPresent()) {
+			return job.key() instanceof JobKey.ForTurn turn && turn.number() == incoming.callNumber().get();
 		}
 		if (call.key().isPresent()) {
 			return call.key().equals(job.call().key());
@@ -190,84 +196,86 @@
 		return call.content().equals(job.call().content());
 	}
 
-	private void answerResend(IncomingAttempt arrival, Home home, Turn turn) {
-		if (!turn.content().equals(arrival.call().content())) {
-			this.builder.refuse(arrival, keyReused());
+	private void answerResend(IncomingAttempt incoming, Home home, Turn turn) {
+		if (!turn.content().equals(incoming.call().content())) {
+			this.builder.refuse(incoming, keyReused());
 			return;
 		}
-		Optional<Job> settling = this.builder.job(new JobKey.ForTurn(home.program(), turn.number()));
-		if (settling.isPresent()) {
-			join(arrival, settling.get());
+		Optional<Job> uncommitted = this.builder.job(new JobKey.ForTurn(home.program(), turn.number()));
+		if (uncommitted.isPresent()) {
+			join(incoming, uncommitted.get());
 			return;
 		}
 		Durability durability = (turn.number() <= home.committed()) ? Durability.COMMITTED : Durability.PENDING;
-		this.builder.finish(arrival.entry(), arrival.attempt(),
+		this.builder.finish(incoming.entry(), incoming.attempt(),
 				new CallOutcome.Answered(turn.answer(), durability, turn.number()));
 		this.builder.report(NoticeCode.DUPLICATE_ANSWERED.with(FieldName.PROGRAM, home.program())
 			.with(FieldName.CALL, turn.number()));
 	}
 
 	private static CallFailure keyReused() {
-		return CallFailure.notRun(FailureCause.KEY_REUSED, "This number or key belongs to a call with other content.");
+		return CallFailure.notRun(FailureCause.KEY_REUSED,
+				"The call number or idempotency key was already used for a call with different content.");
 	}
 
 	/**
-	 * Lets an attempt wait for the end of a job under way.
-	 * @param arrival the attempt
+	 * Adds an attempt to the listeners of an existing job.
+	 * @param incoming the attempt
 	 * @param job the job
-	 * @return {@code true}, since the attempt is taken care of
+	 * @return always {@code true}: the attempt was added or refused
 	 */
-	boolean join(IncomingAttempt arrival, Job job) {
-		if (!job.call().content().equals(arrival.call().content())) {
-			this.builder.refuse(arrival, keyReused());
+	boolean join(IncomingAttempt incoming, Job job) {
+		if (!job.call().content().equals(incoming.call().content())) {
+			this.builder.refuse(incoming, keyReused());
 			return true;
 		}
-		Optional<String> rest = job.transcript().after(arrival.delivered());
-		if (rest.isEmpty()) {
-			this.builder.refuse(arrival, CallFailure.mayHaveRun(FailureCause.UPSTREAM_FAILED,
-					"The answer begun before cannot be continued."));
+		Optional<String> remainder = job.transcript().after(incoming.delivered());
+		if (remainder.isEmpty()) {
+			this.builder.refuse(incoming, CallFailure.mayHaveRun(FailureCause.UPSTREAM_FAILED,
+					"The part of the answer that was already delivered does not match the running request."));
 			return true;
 		}
-		Listener listener = new Listener(arrival.attempt(), arrival.entry(), 0);
-		this.builder.jobsByAttempt = this.builder.jobsByAttempt.put(arrival.attempt(), job.key());
-		this.builder.send(arrival.entry(), new LinkMessage.Accepted(arrival.attempt()));
-		if (!rest.get().isEmpty()) {
-			this.builder.send(arrival.entry(), new LinkMessage.Delta(arrival.attempt(), 0, rest.get()));
+		Listener listener = new Listener(incoming.attempt(), incoming.entry(), 0);
+		this.builder.jobsByAttempt = this.builder.jobsByAttempt.put(incoming.attempt(), job.key());
+		this.builder.send(incoming.entry(), new LinkMessage.Accepted(incoming.attempt()));
+		if (!remainder.get().isEmpty()) {
+			this.builder.send(incoming.entry(), new LinkMessage.Delta(incoming.attempt(), 0, remainder.get()));
 			listener = listener.afterDelta();
 		}
 		this.builder.put(job.withListener(listener));
 		return true;
 	}
 
-	private void startTurn(IncomingAttempt arrival, Home home) {
-		if (new EntryRules(this.builder).refuseIfUnavailable(arrival)) {
+	private void startTurn(IncomingAttempt incoming, Home home) {
+		if (new EntryRules(this.builder).refuseIfUnavailable(incoming)) {
 			return;
 		}
-		CallRequest.ForModel call = arrival.modelCall().orElseThrow();
+		CallRequest.ForModel call = incoming.modelCall().orElseThrow();
 		Optional<CallFailure> limit = limitReached(home, call);
 		if (limit.isPresent()) {
-			this.builder.refuse(arrival, limit.get());
+			this.builder.refuse(incoming, limit.get());
 			return;
 		}
 		Optional<List<String>> added = addedMessages(call, home);
 		if (added.isEmpty()) {
-			this.builder.refuse(arrival, CallFailure.notRun(FailureCause.HISTORY_MISMATCH,
-					"The messages do not begin with the history of the program."));
+			this.builder.refuse(incoming, CallFailure.notRun(FailureCause.HISTORY_MISMATCH,
+					"The messages do not start with the history of the program."));
 			this.builder.report(NoticeCode.HISTORY_MISMATCH.with(FieldName.PROGRAM, home.program())
 				.with(FieldName.CALL, home.nextNumber()));
 			return;
 		}
 		if (added.get().isEmpty()) {
-			this.builder.refuse(arrival, CallFailure.notRun(FailureCause.INVALID, "The call adds no message."));
+			this.builder.refuse(incoming,
+					CallFailure.notRun(FailureCause.INVALID, "The call adds no message to the history."));
 			return;
 		}
 		if (bytesOf(added.get()) > MAX_ADDED_BYTES) {
-			this.builder.refuse(arrival, CallFailure.notRun(FailureCause.TOO_LARGE,
+			this.builder.refuse(incoming, CallFailure.notRun(FailureCause.TOO_LARGE,
 					"A call may add at most " + MAX_ADDED_BYTES + " bytes to the history."));
 			return;
 		}
 		JobKey key = new JobKey.ForTurn(home.program(), home.nextNumber());
-		if (new QueueRules(this.builder).enqueue(key, arrival, added.get())) {
+		if (new QueueRules(this.builder).enqueue(key, incoming, added.get())) {
 			this.builder
 				.put(this.builder.home(home.program()).orElseThrow().withActive(Optional.of(key), this.builder.now));
 		}
@@ -281,14 +289,16 @@
 		ProgramLimits limits = limits().programs();
 		if (home.pendingCount() >= MAX_PENDING_TURNS) {
 			return Optional.of(EntryRules.retryableRefusal(FailureCause.LOG_UNAVAILABLE,
-					"Too many turns of the program wait for the log."));
+					"Too many turns of the program are not yet committed to the log."));
 		}
 		if (home.turns().size() >= limits.turns()) {
-			return Optional.of(CallFailure.notRun(FailureCause.LIMIT_REACHED, "The program has its most turns."));
+			return Optional.of(CallFailure.notRun(FailureCause.LIMIT_REACHED,
+					"The program has reached its maximum number of turns."));
 		}
 		long tokens = home.turns().lastOption().map((turn) -> turn.answer().usage().total()).getOrElse(0L);
 		if (tokens >= limits.historyTokens()) {
-			return Optional.of(CallFailure.notRun(FailureCause.LIMIT_REACHED, "The history has its most tokens."));
+			return Optional.of(CallFailure.notRun(FailureCause.LIMIT_REACHED,
+					"The history has reached its maximum number of tokens."));
 		}
 		return Optional.empty();
 	}
@@ -306,7 +316,7 @@
 	}
 
 	/**
-	 * Adds a turn that the engine has answered, and lets it settle in the log.
+	 * Adds an answered turn to the history and starts committing it.
 	 * @param job the job
 	 * @param program the program
 	 * @param answer the answer
@@ -326,7 +336,7 @@
 	}
 
 	/**
-	 * Lets a job wait until the log holds its outcome, for a limited time.
+	 * Holds the outcome of a job until it is committed, for a limited time.
 	 * @param job the job
 	 * @param outcome the outcome
 	 */
@@ -336,8 +346,8 @@
 	}
 
 	/**
-	 * Appends the first turn that is not in the log. One at a time: the record of the
-	 * next one names where this one stands.
+	 * Appends the first uncommitted turn. Only one append is in flight at a time, since
+	 * the record of a turn contains the position of the previous one.
 	 * @param program the program
 	 */
 	void appendNextTurn(ProgramId program) {
@@ -353,10 +363,10 @@
 	}
 
 	/**
-	 * Notes that the log holds a turn.
+	 * Marks a turn as committed.
 	 * @param program the program
 	 * @param state the program's state with the turn
-	 * @param position where the turn stands
+	 * @param position the position of the turn in the log
 	 */
 	void turnCommitted(ProgramId program, ProgramState state, Position position) {
 		Optional<Home> home = this.builder.home(program).filter((known) -> known.epoch().equals(state.epoch()));
@@ -373,17 +383,17 @@
 		processWaiting(program);
 	}
 
-	// Tells the outcome of a job that the log holds now.
+	// Sends the outcome of a job that is committed now.
 	private void finishCommitted(JobKey key) {
 		Optional<Job> job = this.builder.job(key);
-		if (job.isPresent() && job.get().stage() instanceof Stage.Committing settling) {
+		if (job.isPresent() && job.get().stage() instanceof Stage.Committing committing) {
 			this.builder.jobs = this.builder.jobs.remove(key);
-			this.builder.finishAll(job.get(), settling.outcome());
+			this.builder.finishAll(job.get(), committing.outcome());
 		}
 	}
 
 	/**
-	 * Notes that a job of a program is gone without a turn.
+	 * Handles the removal of a job that added no turn.
 	 * @param key the job
 	 */
 	void jobRemoved(JobKey key) {
@@ -401,41 +411,42 @@
 	void removeWaiting(ProgramId program, AttemptId attempt) {
 		this.builder.home(program)
 			.ifPresent((home) -> this.builder
-				.put(home.withWaiting(home.waiting().filter((arrival) -> !arrival.attempt().equals(attempt)))));
+				.put(home.withWaiting(home.waiting().filter((incoming) -> !incoming.attempt().equals(attempt)))));
 	}
 
 	/**
-	 * Looks whether a waiting call has waited long enough.
+	 * Refuses a waiting call whose preceding calls have not arrived in time, or whose
+	 * deadline has passed.
 	 * @param program the program
 	 * @param attempt the attempt
 	 */
 	void checkWaiting(ProgramId program, AttemptId attempt) {
 		Optional<Home> home = this.builder.home(program);
-		Optional<IncomingAttempt> arrival = home
+		Optional<IncomingAttempt> incoming = home
 			.flatMap((known) -> known.waiting().find((each) -> each.attempt().equals(attempt)).toJavaOptional());
-		if (arrival.isEmpty()) {
+		if (incoming.isEmpty()) {
 			return;
 		}
 		int reachable = home.get().nextNumber() + ((home.get().activeJob().isPresent()) ? 1 : 0);
-		boolean outOfOrder = home.get().ready() && arrival.get().callNumber().orElse(0) > reachable;
-		boolean late = !arrival.get().deadline().isAfter(this.builder.now);
-		if (!outOfOrder && !late) {
+		boolean outOfOrder = home.get().ready() && incoming.get().callNumber().orElse(0) > reachable;
+		boolean deadlinePassed = !incoming.get().deadline().isAfter(this.builder.now);
+		if (!outOfOrder && !deadlinePassed) {
 			return;
 		}
 		removeWaiting(program, attempt);
 		FailureCause cause = (outOfOrder) ? FailureCause.OUT_OF_ORDER : FailureCause.DEADLINE_PASSED;
-		String message = (outOfOrder) ? "The call numbered " + home.get().nextNumber() + " has not arrived."
-				: "The deadline passed while the call waited for the one before it.";
-		refuseWaiting(arrival.get(), home.get(), EntryRules.retryableRefusal(cause, message));
+		String message = (outOfOrder) ? "The call numbered " + home.get().nextNumber() + " has not been received."
+				: "The deadline passed while the call waited for the preceding call.";
+		refuseWaiting(incoming.get(), home.get(), EntryRules.retryableRefusal(cause, message));
 		this.builder.report(NoticeCode.CALL_OUT_OF_ORDER.with(FieldName.PROGRAM, program)
-			.with(FieldName.CALL, arrival.get().callNumber().orElse(0))
+			.with(FieldName.CALL, incoming.get().callNumber().orElse(0))
 			.with(FieldName.REASON, cause));
 	}
 
 	/**
-	 * Ends a program that lived too long or was silent too long, or looks again later.
-	 * There is one reminder for both: a second one, due at the end of the longest life,
-	 * would stay in memory for a day after each program.
+	 * Ends a program that has reached its lifetime or idle time, or schedules the next
+	 * check. Both share one timer: a separate timer for the lifetime would stay in memory
+	 * long after the end of a short program.
 	 * @param program the program
 	 */
 	void checkAge(ProgramId program) {
@@ -461,14 +472,14 @@
 	private Instant nextCheck(Home home) {
 		Duration limit = limits().programs().idleTime();
 		Instant idle = home.lastUsedAt().plus(limit);
-		Instant checked = (idle.isAfter(this.builder.now)) ? idle : this.builder.now.plus(limit);
-		return (home.expiresAt().isBefore(checked)) ? home.expiresAt() : checked;
+		Instant nextIdleCheck = (idle.isAfter(this.builder.now)) ? idle : this.builder.now.plus(limit);
+		return (home.expiresAt().isBefore(nextIdleCheck)) ? home.expiresAt() : nextIdleCheck;
 	}
 
 	/**
-	 * Ends the programs whose groups are no longer configured. Nobody could call them any
-	 * more, and their cache would stay held until they were idle for too long.
-	 * @param configuration the configuration in force
+	 * Ends the programs whose groups are no longer configured. They can no longer be
+	 * called, and their cache would be held until the idle time has passed.
+	 * @param configuration the active configuration
 	 */
 	void endProgramsWithoutGroup(Configuration configuration) {
 		for (ProgramId program : this.builder.homes.keySet()) {
@@ -483,8 +494,8 @@
 	}
 
 	/**
-	 * Notes that a program has a new home, which may be this sidecar again: an entry that
-	 * lost sight of it claims it anew, and all it holds is still good.
+	 * Handles a new claim of a program's home. The new home may be this sidecar again,
+	 * claimed by an entry that had lost its connection; its state then stays valid.
 	 * @param program the program
 	 * @param state the program's state with the new home
 	 */
@@ -494,7 +505,7 @@
 			return;
 		}
 		if (!home.get().ready() || !state.home().equals(this.builder.self)) {
-			close(program, FailureCause.MOVED, "The program moved to another home.");
+			close(program, FailureCause.MOVED, "The program has moved to another home.");
 			return;
 		}
 		this.builder.put(home.get().withEpoch(state.epoch()));
@@ -502,11 +513,11 @@
 	}
 
 	/**
-	 * Closes the home of a program that ended or moved away: nothing of it runs on, and
-	 * the engine holds nothing for it.
+	 * Closes the home of a program that ended or moved: cancels its jobs and releases its
+	 * cache in the engine.
 	 * @param program the program
-	 * @param cause why, as callers are told
-	 * @param message a sentence for the callers
+	 * @param cause the cause reported to callers
+	 * @param message the message for callers
 	 */
 	void close(ProgramId program, FailureCause cause, String message) {
 		Optional<Home> home = this.builder.home(program);
@@ -515,7 +526,7 @@
 		}
 		this.builder.homes = this.builder.homes.remove(program);
 		CallFailure notRun = EntryRules.retryableRefusal(cause, message);
-		home.get().waiting().forEach((arrival) -> refuseWaiting(arrival, home.get(), notRun));
+		home.get().waiting().forEach((incoming) -> refuseWaiting(incoming, home.get(), notRun));
 		home.get().activeJob().ifPresent((key) -> closeJob(key, cause, message));
 		for (int number = home.get().committed() + 1; number < home.get().nextNumber(); number++) {
 			closeJob(new JobKey.ForTurn(program, number), cause, message);
@@ -529,9 +540,9 @@
 	}
 
 	/**
-	 * Closes the home of a program that ended, and measures the program: it took from its
-	 * first claim to its last turn, by the log's time. Only its home does so, or each
-	 * program would be counted by every process.
+	 * Closes the home of a program that ended and records its metrics. The latency is
+	 * from the first claim to the last turn, in the log's time. Only the home records it,
+	 * so that each program is counted once.
 	 * @param program the program
 	 * @param state its state
 	 * @param reason why it ended
@@ -558,10 +569,10 @@
 		};
 	}
 
-	// A home that has not read its history can't tell a new call from the resend of one
-	// whose turn is in it, and must not say of that one that it did not run.
-	private void refuseWaiting(IncomingAttempt arrival, Home home, CallFailure failure) {
-		this.builder.refuse(arrival, (home.ready()) ? failure : failure.after(Verdict.MAY_HAVE_RUN));
+	// Without its history a home can't distinguish a new call from a retry of a committed
+	// one, so it must not report the call as not run.
+	private void refuseWaiting(IncomingAttempt incoming, Home home, CallFailure failure) {
+		this.builder.refuse(incoming, (home.ready()) ? failure : failure.after(Verdict.MAY_HAVE_RUN));
 	}
 
 	private void closeJob(JobKey key, FailureCause cause, String message) {
@@ -580,15 +591,15 @@
 	}
 
 	/**
-	 * Tells the outcome of a job whose record takes too long.
+	 * Sends the outcome of a job whose commit has timed out.
 	 * @param key the job
 	 */
 	void commitTimedOut(JobKey key) {
 		Optional<Job> job = this.builder.job(key);
-		if (job.isEmpty() || !(job.get().stage() instanceof Stage.Committing settling) || settling.timedOut()) {
+		if (job.isEmpty() || !(job.get().stage() instanceof Stage.Committing committing) || committing.timedOut()) {
 			return;
 		}
-		CallOutcome outcome = asPending(settling.outcome());
+		CallOutcome outcome = asPending(committing.outcome());
 		this.builder.finishAll(job.get(), outcome);
 		switch (key) {
 			case JobKey.ForTurn turn -> {
@@ -599,7 +610,7 @@
 				}
 				processWaiting(turn.program());
 			}
-			// Kept until the log holds its outcome, so that no resend runs it again.
+			// Kept until its outcome is committed, so that no retry runs it again.
 			case JobKey.ForClaim claim -> this.builder
 				.put(job.get().withListeners(Vector.empty()).withStage(new Stage.Committing(outcome, true)));
 			case JobKey.ForAttempt attempt -> this.builder.jobs = this.builder.jobs.remove(key);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/IncomingAttempt.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/IncomingAttempt.java
@@ -10,28 +10,29 @@
 import io.lentilslip.core.link.Standing;
 
 /**
- * An attempt that an entry sent. Immutable and safe for use by several threads.
+ * Immutable attempt received from an entry, with the deadline in the time of this
+ * process. Safe for use by several threads.
  *
  * @param attempt the attempt
- * @param entry the entry that made it
+ * @param entry the entry that sent it
  * @param call the call
- * @param standing by what right the sidecar may run it
- * @param deadline when the caller gives up
- * @param delivered the text of the answer that the caller already has
+ * @param standing the ground on which this sidecar may run the call
+ * @param deadline when the caller stops waiting
+ * @param delivered the part of the answer that the caller has already received
  */
 record IncomingAttempt(AttemptId attempt, ProcessId entry, CallRequest call, Standing standing, Instant deadline,
 		String delivered) {
 
 	/**
-	 * Returns the model call that this attempt asks for.
-	 * @return the call, or an empty result for a call of a plain service
+	 * Returns the model call of this attempt.
+	 * @return the call, or an empty result for a service call
 	 */
 	Optional<CallRequest.ForModel> modelCall() {
 		return (this.call instanceof CallRequest.ForModel model) ? Optional.of(model) : Optional.empty();
 	}
 
 	/**
-	 * Returns the number that the caller gave to the call.
+	 * Returns the call number chosen by the caller.
 	 * @return the number, or an empty result
 	 */
 	Optional<Integer> callNumber() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Job.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Job.java
@@ -11,18 +11,18 @@
 import io.vavr.collection.Vector;
 
 /**
- * A piece of work for the upstream, with everyone who waits for it. Immutable and safe
- * for use by several threads.
+ * Immutable unit of work for the upstream, with the attempts that wait for its outcome.
+ * Safe for use by several threads.
  *
- * @param key what identifies it
+ * @param key the identity of the job
  * @param call the call to run
  * @param added the messages that the call adds to the history of its program
- * @param listeners the attempts that wait for its end
- * @param stage how far it is
- * @param transcript the text of the answer so far
- * @param prefix the text that was there before the upstream was asked
- * @param isolated whether nothing else may run at the upstream meanwhile
- * @param queueEntry its entry in the queue
+ * @param listeners the attempts that wait for the outcome
+ * @param stage the stage of processing
+ * @param transcript the text of the answer received so far
+ * @param prefix the text that the answer starts with, already delivered to the caller
+ * @param isolated whether no other job may run at the upstream at the same time
+ * @param queueEntry the job's entry in the queue
  */
 record Job(JobKey key, CallRequest call, List<String> added, Vector<Listener> listeners, Stage stage,
 		Transcript transcript, String prefix, boolean isolated, FairQueue.Entry<JobKey, JobKey> queueEntry) {
@@ -32,17 +32,17 @@
 				this.prefix, this.isolated, this.queueEntry);
 	}
 
-	Job withListeners(Vector<Listener> others) {
-		return new Job(this.key, this.call, this.added, others, this.stage, this.transcript, this.prefix, this.isolated,
-				this.queueEntry);
+	Job withListeners(Vector<Listener> newListeners) {
+		return new Job(this.key, this.call, this.added, newListeners, this.stage, this.transcript, this.prefix,
+				this.isolated, this.queueEntry);
 	}
 
 	Job without(AttemptId attempt) {
 		return withListeners(this.listeners.filter((listener) -> !listener.attempt().equals(attempt)));
 	}
 
-	Job withStage(Stage next) {
-		return new Job(this.key, this.call, this.added, this.listeners, next, this.transcript, this.prefix,
+	Job withStage(Stage newStage) {
+		return new Job(this.key, this.call, this.added, this.listeners, newStage, this.transcript, this.prefix,
 				this.isolated, this.queueEntry);
 	}
 
@@ -51,38 +51,39 @@
 				this.queueEntry);
 	}
 
-	Job withTranscript(Transcript longer, Vector<Listener> served) {
-		return new Job(this.key, this.call, this.added, served, this.stage, longer, this.prefix, this.isolated,
-				this.queueEntry);
+	Job withTranscript(Transcript newTranscript, Vector<Listener> newListeners) {
+		return new Job(this.key, this.call, this.added, newListeners, this.stage, newTranscript, this.prefix,
+				this.isolated, this.queueEntry);
 	}
 
 	/**
-	 * How far a job is.
+	 * The stage of processing of a job.
 	 */
 	sealed interface Stage {
 
 		/**
-		 * It waits for the upstream.
+		 * The job is queued.
 		 */
 		record Queued() implements Stage {
 
 		}
 
 		/**
-		 * The upstream works on it.
+		 * The job is running at the upstream.
 		 *
 		 * @param run the request to the upstream
-		 * @param since when the upstream was asked
+		 * @param startedAt when the request was sent
 		 */
 		record Running(RunId run, Instant startedAt) implements Stage {
 
 		}
 
 		/**
-		 * The upstream is done, and the outcome is on its way into the log.
+		 * The request has ended, and its outcome is not yet committed to the log.
 		 *
 		 * @param outcome the outcome
-		 * @param overdue whether the log took too long and the listeners were told
+		 * @param timedOut whether the commit timed out and the outcome was sent without
+		 * it
 		 */
 		record Committing(CallOutcome outcome, boolean timedOut) implements Stage {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/JobKey.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/JobKey.java
@@ -5,8 +5,7 @@
 import io.lentilslip.core.link.AttemptId;
 
 /**
- * What identifies a piece of work for the upstream. Implementations are immutable and
- * safe for use by several threads.
+ * Immutable identity of a job. Safe for use by several threads.
  */
 sealed interface JobKey {
 
@@ -30,9 +29,10 @@
 	}
 
 	/**
-	 * A call that nothing else will ask for.
+	 * A call that has neither a program nor a claim, so no other attempt can join its
+	 * job.
 	 *
-	 * @param attempt the attempt that brought it
+	 * @param attempt the attempt that the job was created for
 	 */
 	record ForAttempt(AttemptId attempt) implements JobKey {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
@@ -18,21 +18,22 @@
 import io.lentilslip.core.verdict.Verdict;
 
 /**
- * The rules for what the log says. Confined to one application of the reducer.
+ * Handles events of the log: applies its records to the ledger and completes appends.
+ * Confined to one application of the reducer.
  */
 final class LedgerRules {
 
 	private static final Duration APPEND_RETRY_DELAY = Duration.ofMillis(250);
 
 	/**
-	 * How long after its answer was lost an append may take effect.
+	 * How long an append whose result is unknown may still take effect.
 	 */
 	private static final Duration UNCERTAIN_APPEND_TIMEOUT = Duration.ofMinutes(5);
 
 	private final StateBuilder builder;
 
-	LedgerRules(StateBuilder draft) {
-		this.builder = draft;
+	LedgerRules(StateBuilder builder) {
+		this.builder = builder;
 	}
 
 	void handle(LogEvent event) {
@@ -97,15 +98,15 @@
 		this.builder.log = this.builder.log.unreachable(this.builder.now);
 	}
 
-	// Records were lost before they were read: this process may have missed that its
-	// homes
-	// moved. It acts as if it had just started, and reads what the log still has.
+	// Records were deleted before they were read, and a home may have moved unnoticed.
+	// The sidecar starts over like a new process and reads the remaining records.
 	private void resetAfterGap(LogEvent.GapFound gap) {
 		this.builder.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.from())
 			.with(FieldName.COUNT, gap.first() - gap.from()));
 		if (this.builder.log.next() > 0) {
 			for (ProgramId program : this.builder.homes.keySet()) {
-				new HomeRules(this.builder).close(program, FailureCause.MOVED, "The program may have moved.");
+				new HomeRules(this.builder).close(program, FailureCause.MOVED,
+						"The program may have moved to another home.");
 			}
 		}
 		this.builder.log = LogView.unread().readTo(gap.first(), Instant.EPOCH);
@@ -132,8 +133,8 @@
 	}
 
 	/**
-	 * Appends a record again if it is still wanted. A copy that took effect unseen makes
-	 * this one void.
+	 * Appends a record again if it is still needed. If the first append did take effect,
+	 * the ledger ignores the second one.
 	 * @param record the record
 	 */
 	void retryAppend(LedgerRecord record) {
@@ -151,7 +152,7 @@
 				.isPresent();
 			case LedgerRecord.CallSettled settled -> this.builder.jobs.containsKey(new JobKey.ForClaim(settled.key()));
 			case LedgerRecord.ProgramEnded ended -> this.builder.home(ended.program()).isPresent();
-			case LedgerRecord.UpstreamCrashed blamed -> true;
+			case LedgerRecord.UpstreamCrashed crashed -> true;
 			case LedgerRecord.CrashesCleared cleared -> this.builder.log.ledger().crashCount(cleared.content()) > 0;
 			case LedgerRecord.ProgramClaimed claimed -> false;
 			case LedgerRecord.CallClaimed claimed -> false;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Listener.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Listener.java
@@ -4,17 +4,16 @@
 import io.lentilslip.core.link.AttemptId;
 
 /**
- * An attempt that waits for the end of a job. Immutable and safe for use by several
- * threads.
+ * Immutable attempt that waits for the outcome of a job. Safe for use by several threads.
  *
  * @param attempt the attempt
- * @param entry the entry that made it
- * @param nextSequence the number of the next part of the answer
+ * @param entry the entry that sent it
+ * @param nextSequence the sequence number of the next part of the answer
  */
 record Listener(AttemptId attempt, ProcessId entry, int nextSequence) {
 
 	/**
-	 * Returns this listener after one more part of the answer.
+	 * Returns this listener with the sequence number advanced by one.
 	 * @return the listener
 	 */
 	Listener afterDelta() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
@@ -19,7 +19,7 @@
 import io.lentilslip.core.sidecar.SidecarState.SessionPhase;
 
 /**
- * The rules for time, configuration and the end of the process. Confined to one
+ * Handles timers, configuration, metrics and the draining of the process. Confined to one
  * application of the reducer.
  */
 final class NodeRules {
@@ -28,8 +28,8 @@
 
 	private final StateBuilder builder;
 
-	NodeRules(StateBuilder draft) {
-		this.builder = draft;
+	NodeRules(StateBuilder builder) {
+		this.builder = builder;
 	}
 
 	void handle(NodeEvent event) {
@@ -43,7 +43,7 @@
 	}
 
 	private void configurationAccepted(NodeEvent.ConfigurationAccepted event) {
-		if (this.builder.configuration.filter((setup) -> setup.version() >= event.version()).isPresent()) {
+		if (this.builder.configuration.filter((active) -> active.version() >= event.version()).isPresent()) {
 			return;
 		}
 		Configuration configuration = event.configuration();
@@ -74,7 +74,7 @@
 				this.builder.uncertainReleases = this.builder.uncertainReleases.remove(forget.key());
 			case SidecarTimer.SessionReleaseRetry again -> new SessionRules(this.builder).retryRelease(again.program());
 			case SidecarTimer.ProgramAgeCheck check -> homes.checkAge(check.program());
-			case SidecarTimer.LogWaitTimeout parked -> new EntryRules(this.builder).logWaitTimedOut(parked.attempt());
+			case SidecarTimer.LogWaitTimeout timeout -> new EntryRules(this.builder).logWaitTimedOut(timeout.attempt());
 			case SidecarTimer.WaitingCallCheck check -> homes.checkWaiting(check.program(), check.attempt());
 		}
 	}
@@ -122,8 +122,8 @@
 	}
 
 	/**
-	 * Ends the process once nothing is under way: no job, no turn that only this process
-	 * holds, and no engine memory held for programs that will go on elsewhere.
+	 * Stops a draining process once it has no jobs, no uncommitted turns and no engine
+	 * cache held for programs.
 	 */
 	void stopIfDrained() {
 		if (!this.builder.draining || this.builder.stopped || !this.builder.jobs.isEmpty()
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
@@ -22,8 +22,8 @@
 import io.vavr.collection.Vector;
 
 /**
- * The rules by which jobs wait for the upstream and start. Confined to one application of
- * the reducer.
+ * Queues jobs and starts them at the upstream. Confined to one application of the
+ * reducer.
  */
 final class QueueRules {
 
@@ -39,62 +39,62 @@
 
 	private final StateBuilder builder;
 
-	QueueRules(StateBuilder draft) {
-		this.builder = draft;
+	QueueRules(StateBuilder builder) {
+		this.builder = builder;
 	}
 
 	/**
-	 * Puts a call into the queue, or refuses it.
-	 * @param key what identifies the job
-	 * @param arrival the attempt that brought the call
+	 * Creates a job and queues it, or refuses the attempt.
+	 * @param key the key of the job
+	 * @param incoming the attempt of the call
 	 * @param added the messages that the call adds to the history of its program
-	 * @return whether the job waits now
+	 * @return whether the job was queued
 	 */
-	boolean enqueue(JobKey key, IncomingAttempt arrival, List<String> added) {
-		Job job = createJob(key, arrival, added);
+	boolean enqueue(JobKey key, IncomingAttempt incoming, List<String> added) {
+		Job job = createJob(key, incoming, added);
 		if (isPoison(job.call())) {
-			this.builder.refuse(arrival, poisonFailure());
+			this.builder.refuse(incoming, poisonFailure());
 			return false;
 		}
 		return switch (this.builder.queue.offer(job.queueEntry())) {
 			case FairQueue.Offered.Queued<JobKey, JobKey> queued -> {
 				this.builder.queue = queued.queue();
-				accept(job, arrival);
+				accept(job, incoming);
 				queued.displaced().ifPresent((entry) -> drop(entry.id(), queueFull()));
 				yield true;
 			}
 			case FairQueue.Offered.Full<JobKey, JobKey> full -> {
-				this.builder.refuse(arrival, queueFull());
+				this.builder.refuse(incoming, queueFull());
 				yield false;
 			}
 		};
 	}
 
 	/**
-	 * Returns the job of a call that an attempt brought.
-	 * @param key what identifies the job
-	 * @param arrival the attempt
+	 * Returns a new job for an attempt.
+	 * @param key the key of the job
+	 * @param incoming the attempt
 	 * @param added the messages that the call adds to the history of its program
-	 * @return the job, which waits nowhere yet
+	 * @return the job, not yet queued
 	 */
-	Job createJob(JobKey key, IncomingAttempt arrival, List<String> added) {
-		CallRequest call = arrival.call();
+	Job createJob(JobKey key, IncomingAttempt incoming, List<String> added) {
+		CallRequest call = incoming.call();
 		FairQueue.Entry<JobKey, JobKey> entry = new FairQueue.Entry<>(key, call.group(),
-				call.place().map(ProgramCall::program), classOf(call), this.builder.now, arrival.deadline(),
+				call.place().map(ProgramCall::program), classOf(call), this.builder.now, incoming.deadline(),
 				estimateCost(call, added), key);
-		Listener listener = new Listener(arrival.attempt(), arrival.entry(), 0);
+		Listener listener = new Listener(incoming.attempt(), incoming.entry(), 0);
 		return new Job(key, call, added, Vector.of(listener), new Stage.Queued(),
-				Transcript.beginningWith(arrival.delivered()), arrival.delivered(), false, entry);
+				Transcript.beginningWith(incoming.delivered()), incoming.delivered(), false, entry);
 	}
 
-	private void accept(Job job, IncomingAttempt arrival) {
+	private void accept(Job job, IncomingAttempt incoming) {
 		this.builder.put(job);
-		this.builder.jobsByAttempt = this.builder.jobsByAttempt.put(arrival.attempt(), job.key());
-		this.builder.send(arrival.entry(), new LinkMessage.Accepted(arrival.attempt()));
+		this.builder.jobsByAttempt = this.builder.jobsByAttempt.put(incoming.attempt(), job.key());
+		this.builder.send(incoming.entry(), new LinkMessage.Accepted(incoming.attempt()));
 	}
 
 	private TokenCost costOf(CallRequest.ForModel call) {
-		return this.builder.configuration.flatMap((setup) -> setup.configuration().model(call.model()))
+		return this.builder.configuration.flatMap((active) -> active.configuration().model(call.model()))
 			.map(ModelPolicy::cost)
 			.orElse(TokenCost.DEFAULT);
 	}
@@ -118,7 +118,7 @@
 	}
 
 	/**
-	 * Starts jobs as long as the upstream takes more.
+	 * Starts queued jobs until the upstream has reached its limit of calls.
 	 */
 	void startJobs() {
 		dropExpired(this.builder.queue.expired(this.builder.now));
@@ -152,9 +152,9 @@
 			start(job);
 			return;
 		}
-		// A request that was running when an upstream crashed may be the one that crashes
-		// them, and would take others down with it. Alone it harms nobody else, and what
-		// happens then tells for sure whether it was the cause.
+		// A request that was running when an upstream crashed may have caused the crash
+		// and may take other requests down with it. Running it in isolation protects the
+		// others and shows whether it is the cause.
 		this.builder.put(job.withIsolation());
 		this.builder.isolatedJob = Optional.of(job.key());
 		startIsolated();
@@ -197,7 +197,7 @@
 	}
 
 	private Duration timeoutOf(CallRequest.ForService call) {
-		return this.builder.configuration.flatMap((setup) -> setup.configuration().service(call.service()))
+		return this.builder.configuration.flatMap((active) -> active.configuration().service(call.service()))
 			.map(ServicePolicy::timeout)
 			.orElse(ServicePolicy.DEFAULT_TIMEOUT);
 	}
@@ -215,9 +215,9 @@
 	}
 
 	/**
-	 * Takes a waiting job out and tells everyone who waits for it.
+	 * Removes a queued job and sends its outcome to the listeners.
 	 * @param key the job
-	 * @param failure why
+	 * @param failure the outcome
 	 */
 	void drop(JobKey key, CallFailure failure) {
 		Optional<Job> job = this.builder.job(key);
@@ -227,8 +227,8 @@
 		remove(key);
 		CallOutcome outcome = new CallOutcome.Failed(failure);
 		if (key instanceof JobKey.ForClaim claim) {
-			// The claim is released in the log before anyone is told, so that another
-			// sidecar may run the call.
+			// The claim is released in the log before the outcome is sent, so that
+			// another sidecar may run the call.
 			new ClaimRules(this.builder).appendOutcome(job.get(), claim.key(), outcome);
 			return;
 		}
@@ -237,7 +237,7 @@
 	}
 
 	/**
-	 * Takes a waiting job out of the queue without telling anyone.
+	 * Removes a job and its queue entry without sending an outcome.
 	 * @param key the job
 	 */
 	void remove(JobKey key) {
@@ -252,28 +252,28 @@
 		this.builder.queue = expired.queue();
 		for (FairQueue.Entry<JobKey, JobKey> entry : expired.entries()) {
 			drop(entry.id(), CallFailure.notRun(FailureCause.DEADLINE_PASSED,
-					"The deadline passed while the request waited for an upstream."));
+					"The deadline passed while the request was queued for the upstream."));
 		}
 	}
 
 	/**
-	 * Refuses all jobs that wait, since the upstream does not answer. Entries run them
-	 * elsewhere; kept here they would only wait for their deadlines.
+	 * Refuses all queued jobs because the upstream is unreachable, so that entries retry
+	 * them elsewhere instead of waiting for the deadline.
 	 */
 	void dropQueued() {
 		for (Job job : this.builder.jobs.values().filter((job) -> job.stage() instanceof Stage.Queued)) {
-			drop(job.key(), CallFailure.notRun(FailureCause.UPSTREAM_FAILED, "The upstream does not answer."));
+			drop(job.key(), CallFailure.notRun(FailureCause.UPSTREAM_FAILED, "The upstream is unreachable."));
 		}
 	}
 
 	private static CallFailure queueFull() {
-		return CallFailure.notRun(FailureCause.QUEUE_FULL, "Too many requests wait for this upstream.")
+		return CallFailure.notRun(FailureCause.QUEUE_FULL, "The request queue of the upstream is full.")
 			.retryAfter(QUEUE_FULL_RETRY_DELAY);
 	}
 
 	private static CallFailure poisonFailure() {
 		return CallFailure.mayHaveRun(FailureCause.CRASHES_UPSTREAMS,
-				"The request crashed upstreams before and is not run again.");
+				"The request has repeatedly crashed upstreams and is not run again.");
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunId.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunId.java
@@ -1,10 +1,9 @@
 package io.lentilslip.core.sidecar;
 
 /**
- * The number by which a sidecar knows one request to its upstream. Immutable and safe for
- * use by several threads.
+ * Immutable identifier of one request to the upstream. Safe for use by several threads.
  *
- * @param value a number that this life of the sidecar uses once
+ * @param value a number that is unique within an incarnation of the sidecar
  */
 public record RunId(long value) implements Comparable<RunId> {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunResult.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunResult.java
@@ -5,47 +5,47 @@
 import io.lentilslip.core.verdict.Verdict;
 
 /**
- * How a request to the upstream ended. Implementations are immutable and safe for use by
- * several threads.
+ * Immutable result of a request to the upstream. Safe for use by several threads.
  */
 public sealed interface RunResult {
 
 	/**
-	 * The engine answered whole.
+	 * The engine completed the answer.
 	 *
-	 * @param message the assistant's whole message as a JSON object
+	 * @param message the complete assistant message as a JSON object
 	 * @param finishReason why the generation ended
-	 * @param usage the tokens taken
+	 * @param usage the tokens used
 	 */
 	record Generated(String message, String finishReason, Usage usage) implements RunResult {
 
 	}
 
 	/**
-	 * The plain service answered whole.
+	 * The service returned a complete response.
 	 *
-	 * @param answer the answer
+	 * @param answer the response
 	 */
 	record Served(Answer.FromService answer) implements RunResult {
 
 	}
 
 	/**
-	 * The upstream refused the request as it is; asking another one makes no sense.
+	 * The upstream rejected the request; a retry at another upstream would fail as well.
 	 *
 	 * @param status the HTTP status
-	 * @param message what the upstream said
+	 * @param message the error message of the upstream
 	 */
 	record Rejected(int status, String message) implements RunResult {
 
 	}
 
 	/**
-	 * The upstream gave no whole answer.
+	 * The request ended without a complete answer.
 	 *
 	 * @param verdict whether the request may have run
-	 * @param reason what happened
-	 * @param crashed whether the upstream broke off, as it does when it crashes
+	 * @param reason a description of the failure
+	 * @param crashed whether the connection was lost in a way that indicates a crash of
+	 * the upstream
 	 */
 	record Failed(Verdict verdict, String reason, boolean crashed) implements RunResult {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunRules.java
@@ -23,7 +23,8 @@
 import io.vavr.collection.Vector;
 
 /**
- * The rules for what the upstream sends. Confined to one application of the reducer.
+ * Handles the load reports and responses of the upstream. Confined to one application of
+ * the reducer.
  */
 final class RunRules {
 
@@ -37,8 +38,8 @@
 
 	private final StateBuilder builder;
 
-	RunRules(StateBuilder draft) {
-		this.builder = draft;
+	RunRules(StateBuilder builder) {
+		this.builder = builder;
 	}
 
 	void progressed(RunId run, String text) {
@@ -46,12 +47,12 @@
 		if (job.isEmpty() || text.isEmpty()) {
 			return;
 		}
-		Vector<Listener> served = job.get().listeners().map((listener) -> {
+		Vector<Listener> listeners = job.get().listeners().map((listener) -> {
 			this.builder.send(listener.entry(),
 					new LinkMessage.Delta(listener.attempt(), listener.nextSequence(), text));
 			return listener.afterDelta();
 		});
-		this.builder.put(job.get().withTranscript(job.get().transcript().with(text), served));
+		this.builder.put(job.get().withTranscript(job.get().transcript().with(text), listeners));
 	}
 
 	void ended(RunId run, RunResult result) {
@@ -65,8 +66,8 @@
 		if (job.isPresent()) {
 			handleResult(job.get(), result);
 		}
-		// A run of a program that closed meanwhile may have had the engine hold its cache
-		// again after the release.
+		// A request of a program whose home was closed meanwhile may have made the engine
+		// hold its cache again after the release.
 		else if (key.isPresent() && key.get() instanceof JobKey.ForTurn turn
 				&& this.builder.home(turn.program()).isEmpty()) {
 			new SessionRules(this.builder).release(turn.program());
@@ -88,9 +89,9 @@
 		}
 	}
 
-	// What a call was expected to cost was charged when it started. A group whose calls
-	// fail
-	// would go on paying for what it never got, and lose its share to the others.
+	// The estimated cost of a call is charged when it starts. Without a correction a
+	// group whose calls fail would pay for work that was not done and lose its share to
+	// other groups.
 	private void correctCharge(Job job, RunResult result) {
 		switch (result) {
 			case RunResult.Generated generated ->
@@ -110,7 +111,7 @@
 			.filter(CallRequest.ForModel.class::isInstance)
 			.map(CallRequest.ForModel.class::cast)
 			.flatMap((model) -> this.builder.configuration
-				.flatMap((setup) -> setup.configuration().model(model.model())))
+				.flatMap((active) -> active.configuration().model(model.model())))
 			.map(ModelPolicy::cost);
 		return cost.map((each) -> weigh(each, usage)).orElse(usage.total());
 	}
@@ -134,7 +135,7 @@
 		}
 	}
 
-	// The request ran alone and nothing crashed, so the earlier crash was not its fault.
+	// The request ran in isolation without a crash, so it did not cause the earlier one.
 	private void clearCrashes(Job job) {
 		if (job.isolated()) {
 			this.builder.append(new LedgerRecord.CrashesCleared(job.call().content(), this.builder.self));
@@ -159,7 +160,7 @@
 
 	private void handleFailure(Job job, RunResult.Failed result) {
 		CallFailure failure = new CallFailure(result.verdict(), FailureCause.UPSTREAM_FAILED,
-				"The upstream gave no whole answer.", Optional.empty());
+				"The upstream did not complete the answer.", Optional.empty());
 		if (result.verdict() == Verdict.NOT_RUN || result.crashed()) {
 			this.builder.upstream = this.builder.upstream.unreachable();
 		}
@@ -170,10 +171,8 @@
 		fail(job, failure);
 	}
 
-	// The listeners are told once the log holds the blame, so that whoever runs the
-	// request
-	// next knows of it; without that it would run in company there and crash that one
-	// too.
+	// The outcome is sent once the crash is recorded in the log, so that the next sidecar
+	// runs the request in isolation instead of alongside others.
 	private void recordCrash(Job job, CallFailure failure) {
 		Digest content = job.call().content();
 		this.builder.append(new LedgerRecord.UpstreamCrashed(content, this.builder.self, job.isolated()));
@@ -190,15 +189,15 @@
 	}
 
 	/**
-	 * Tells the end of the jobs whose blame the log holds now.
-	 * @param content the digest of their request
+	 * Sends the outcome of the jobs whose crash record is committed now.
+	 * @param content the digest of the request
 	 */
 	void crashRecorded(Digest content) {
 		for (JobKey key : this.builder.awaitingCrashRecord.getOrElse(content, HashSet.empty())) {
 			this.builder.job(key).ifPresent((job) -> {
-				if (job.stage() instanceof Stage.Committing settling) {
+				if (job.stage() instanceof Stage.Committing committing) {
 					this.builder.jobs = this.builder.jobs.remove(key);
-					this.builder.finishAll(job, settling.outcome());
+					this.builder.finishAll(job, committing.outcome());
 				}
 			});
 			if (key instanceof JobKey.ForTurn turn) {
@@ -215,15 +214,15 @@
 			default -> (result.status() >= CLIENT_ERROR && result.status() < SERVER_ERROR) ? FailureCause.INVALID
 					: FailureCause.UPSTREAM_FAILED;
 		};
-		return CallFailure.notRun(cause, "The upstream refused the request: " + result.message());
+		return CallFailure.notRun(cause, "The upstream rejected the request: " + result.message());
 	}
 
 	void loadReceived(SidecarEvent.UpstreamLoadReceived event) {
 		UpstreamView before = this.builder.upstream;
 		this.builder.upstream = new UpstreamView(true, event.incarnation(), event.heldTokens());
-		// A report of another instance lags: a request may have begun there before it. So
-		// the sessions stay noted; the engine says for each that it does not know it when
-		// its program ends, and no memory of the new instance is left behind.
+		// A load report may arrive after the first requests to a new incarnation, so the
+		// sessions are not cleared here. For a session that it does not know, the engine
+		// reports the release as done when the program ends.
 		if (!before.reachable()) {
 			this.builder.report(NoticeCode.ENGINE_BACK.with(FieldName.VM, this.builder.self.vm()));
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SessionRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SessionRules.java
@@ -8,8 +8,8 @@
 import io.lentilslip.core.sidecar.SidecarState.SessionPhase;
 
 /**
- * The rules by which engine memory held for programs goes back. Confined to one
- * application of the reducer.
+ * Tracks the engine cache held for programs and releases it. Confined to one application
+ * of the reducer.
  */
 final class SessionRules {
 
@@ -17,8 +17,8 @@
 
 	private final StateBuilder builder;
 
-	SessionRules(StateBuilder draft) {
-		this.builder = draft;
+	SessionRules(StateBuilder builder) {
+		this.builder = builder;
 	}
 
 	void markHeld(ProgramId program) {
@@ -26,9 +26,9 @@
 	}
 
 	/**
-	 * Has the engine release what it holds for a program. An answer that gets lost only
-	 * repeats the wish; if the engine is never reached again, its own lease ends the
-	 * hold.
+	 * Requests the engine to release the cache of a program. If the response is lost, the
+	 * request is retried; if the engine stays unreachable, its lease on the cache
+	 * expires.
 	 * @param program the program
 	 */
 	void release(ProgramId program) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarEffect.java
@@ -12,21 +12,23 @@
 import io.lentilslip.core.role.NodeEffect;
 
 /**
- * What a sidecar does. Implementations are immutable and safe for use by several threads.
+ * Immutable effects requested by the decisions of a sidecar. Safe for use by several
+ * threads.
  */
 public sealed interface SidecarEffect {
 
 	/**
-	 * Something that a process of any role does.
+	 * An effect common to processes of all roles.
 	 *
-	 * @param effect what to do
+	 * @param effect the effect
 	 */
 	record ForNode(NodeEffect effect) implements SidecarEffect {
 
 	}
 
 	/**
-	 * Send a message to one life of an entry; dropped if no link to it is open.
+	 * Send a message to one incarnation of an entry; dropped if no connection to it is
+	 * open.
 	 *
 	 * @param entry the receiver
 	 * @param message the message
@@ -36,24 +38,25 @@
 	}
 
 	/**
-	 * Ask the engine for an answer. Reported by {@link SidecarEvent.RunStarted},
-	 * {@link SidecarEvent.RunProgressed} and exactly one {@link SidecarEvent.RunEnded}.
+	 * Send a generation request to the engine. Reported by
+	 * {@link SidecarEvent.RunStarted}, {@link SidecarEvent.RunProgressed} and exactly one
+	 * {@link SidecarEvent.RunEnded}.
 	 *
-	 * @param run the request
-	 * @param order what to generate
+	 * @param run the identifier of the request
+	 * @param request the request to the engine
 	 */
 	record Generate(RunId run, GenerationRequest request) implements SidecarEffect {
 
 	}
 
 	/**
-	 * Pass a request to the plain service. Reported by exactly one
+	 * Forward a request to the service. Reported by exactly one
 	 * {@link SidecarEvent.RunEnded}.
 	 *
-	 * @param run the request
+	 * @param run the identifier of the request
 	 * @param service the service
 	 * @param message the HTTP request
-	 * @param timeout how long to wait for the whole answer
+	 * @param timeout the maximum time until the response is complete
 	 */
 	record CallService(RunId run, ServiceName service, ServiceMessage message,
 			Duration timeout) implements SidecarEffect {
@@ -61,29 +64,29 @@
 	}
 
 	/**
-	 * Break a request to the upstream off. It still ends by
+	 * Cancel a request to the upstream. The request still ends with
 	 * {@link SidecarEvent.RunEnded}.
 	 *
-	 * @param run the request
+	 * @param run the identifier of the request
 	 */
 	record CancelRun(RunId run) implements SidecarEffect {
 
 	}
 
 	/**
-	 * Read the turns of a program from the log, backwards from the last. Reported by
+	 * Read the turns of a program from the log, starting with the last. Reported by
 	 * {@link SidecarEvent.HistoryRead} or {@link SidecarEvent.HistoryReadFailed}.
 	 *
 	 * @param program the program
-	 * @param epoch the epoch for which they are read
-	 * @param last where the last turn stands
+	 * @param epoch the epoch that the read belongs to
+	 * @param lastTurnPosition the position of the last turn in the log
 	 */
 	record ReadHistory(ProgramId program, Epoch epoch, Position lastTurnPosition) implements SidecarEffect {
 
 	}
 
 	/**
-	 * Tell the engine to release the cache held for a program. Reported by
+	 * Request the engine to release the cache of a program. Reported by
 	 * {@link SidecarEvent.SessionReleased} or {@link SidecarEvent.SessionReleaseFailed}.
 	 *
 	 * @param program the program
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarEvent.java
@@ -12,8 +12,7 @@
 import io.lentilslip.core.role.NodeEvent;
 
 /**
- * An event in the life of a sidecar. Implementations are immutable and safe for use by
- * several threads.
+ * Immutable input event of a sidecar. Safe for use by several threads.
  */
 public sealed interface SidecarEvent {
 
@@ -24,9 +23,9 @@
 	Instant now();
 
 	/**
-	 * Something was learned of the log service.
+	 * An event of the log client.
 	 *
-	 * @param event what was learned
+	 * @param event the event
 	 */
 	record LogEventReceived(LogEvent event) implements SidecarEvent {
 
@@ -38,9 +37,9 @@
 	}
 
 	/**
-	 * Something happened that happens to a process of any role.
+	 * An event common to processes of all roles.
 	 *
-	 * @param event what happened
+	 * @param event the event
 	 */
 	record NodeEventReceived(NodeEvent event) implements SidecarEvent {
 
@@ -52,52 +51,52 @@
 	}
 
 	/**
-	 * A link from an entry opened.
+	 * An entry connected.
 	 *
 	 * @param entry the entry
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record EntryConnected(ProcessId entry, Instant now) implements SidecarEvent {
 
 	}
 
 	/**
-	 * A link from an entry ended.
+	 * The connection of an entry was closed.
 	 *
 	 * @param entry the entry
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record EntryDisconnected(ProcessId entry, Instant now) implements SidecarEvent {
 
 	}
 
 	/**
-	 * An entry sent a message.
+	 * A message of an entry was received.
 	 *
 	 * @param entry the entry
 	 * @param message the message
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record EntryMessageReceived(ProcessId entry, LinkMessage.ToSidecar message, Instant now) implements SidecarEvent {
 
 	}
 
 	/**
-	 * The upstream began to answer.
+	 * The upstream started to respond.
 	 *
-	 * @param run the request to the upstream
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param run the identifier of the request
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record RunStarted(RunId run, Instant now) implements SidecarEvent {
 
 	}
 
 	/**
-	 * The upstream sent a part of an answer.
+	 * The upstream sent a part of the answer.
 	 *
-	 * @param run the request to the upstream
-	 * @param text the text that follows
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param run the identifier of the request
+	 * @param text the next part of the text
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record RunProgressed(RunId run, String text, Instant now) implements SidecarEvent {
 
@@ -106,9 +105,9 @@
 	/**
 	 * A request to the upstream ended.
 	 *
-	 * @param run the request to the upstream
-	 * @param result how it ended
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param run the identifier of the request
+	 * @param result the result
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record RunEnded(RunId run, RunResult result, Instant now) implements SidecarEvent {
 
@@ -118,19 +117,18 @@
 	 * The turns of a program were read from the log.
 	 *
 	 * @param program the program
-	 * @param epoch the epoch for which they were read
-	 * @param turns the turns from the first on
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param epoch the epoch that the read belongs to
+	 * @param turns the turns in order, starting with the first
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record HistoryRead(ProgramId program, Epoch epoch, List<Turn> turns, Instant now) implements SidecarEvent {
 
 		/**
-		 * Creates a value.
+		 * Creates an event.
 		 * @param program the program
-		 * @param epoch the epoch for which they were read
-		 * @param turns the turns from the first on
-		 * @param now the time of the event, by a clock of this process that never goes
-		 * back
+		 * @param epoch the epoch that the read belongs to
+		 * @param turns the turns in order, starting with the first
+		 * @param now the time of the event by the monotonic clock of the process
 		 */
 		public HistoryRead {
 			turns = List.copyOf(turns);
@@ -142,22 +140,22 @@
 	 * The turns of a program could not be read.
 	 *
 	 * @param program the program
-	 * @param epoch the epoch for which they were to be read
-	 * @param lost whether the log no longer holds them
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param epoch the epoch that the read belongs to
+	 * @param lost whether the log has already deleted records of the history
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record HistoryReadFailed(ProgramId program, Epoch epoch, boolean lost, Instant now) implements SidecarEvent {
 
 	}
 
 	/**
-	 * The upstream told its load.
+	 * The upstream reported its load.
 	 *
-	 * @param instance the number of its life, or 0 if it has none
-	 * @param running the requests it runs, some time ago
-	 * @param waiting the requests that wait in it, some time ago
-	 * @param heldTokens the tokens of memory it holds for sessions
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param incarnation the incarnation of the upstream, or 0 if it reports none
+	 * @param running the number of running requests when the report was made
+	 * @param waiting the number of queued requests when the report was made
+	 * @param heldTokens the tokens of cache held for sessions
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record UpstreamLoadReceived(long incarnation, int running, int waiting, long heldTokens,
 			Instant now) implements SidecarEvent {
@@ -165,29 +163,29 @@
 	}
 
 	/**
-	 * The upstream did not answer.
+	 * The upstream did not respond.
 	 *
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record UpstreamUnreachable(Instant now) implements SidecarEvent {
 
 	}
 
 	/**
-	 * The upstream released the cache of a program, or did not know it.
+	 * The upstream released the cache of a program, or held none.
 	 *
 	 * @param program the program
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record SessionReleased(ProgramId program, Instant now) implements SidecarEvent {
 
 	}
 
 	/**
-	 * The upstream could not be told to release the cache of a program.
+	 * The release of the cache of a program failed.
 	 *
 	 * @param program the program
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event by the monotonic clock of the process
 	 */
 	record SessionReleaseFailed(ProgramId program, Instant now) implements SidecarEvent {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarReducer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarReducer.java
@@ -4,7 +4,8 @@
 import io.lentilslip.core.reducer.Step;
 
 /**
- * All decisions of a sidecar. Safe for use by several threads.
+ * Reducer that makes all decisions of a sidecar. Stateless and safe for use by several
+ * threads.
  */
 public final class SidecarReducer implements Reducer<SidecarState, SidecarEvent, SidecarEffect> {
 
@@ -16,37 +17,38 @@
 
 	@Override
 	public Step<SidecarState, SidecarEffect> apply(SidecarState state, SidecarEvent event) {
-		StateBuilder draft = new StateBuilder(state, event.now());
-		dispatch(draft, event);
-		new NodeRules(draft).stopIfDrained();
-		return draft.toStep();
+		StateBuilder builder = new StateBuilder(state, event.now());
+		dispatch(builder, event);
+		new NodeRules(builder).stopIfDrained();
+		return builder.toStep();
 	}
 
-	private static void dispatch(StateBuilder draft, SidecarEvent event) {
+	private static void dispatch(StateBuilder builder, SidecarEvent event) {
 		switch (event) {
-			case SidecarEvent.LogEventReceived spoke -> new LedgerRules(draft).handle(spoke.event());
-			case SidecarEvent.NodeEventReceived spoke -> new NodeRules(draft).handle(spoke.event());
-			case SidecarEvent.EntryConnected linked -> new EntryRules(draft).connected(linked.entry());
-			case SidecarEvent.EntryDisconnected unlinked -> new EntryRules(draft).disconnected(unlinked.entry());
-			case SidecarEvent.EntryMessageReceived spoke -> {
-				new EntryRules(draft).handle(spoke.entry(), spoke.message());
-				new QueueRules(draft).startJobs();
+			case SidecarEvent.LogEventReceived received -> new LedgerRules(builder).handle(received.event());
+			case SidecarEvent.NodeEventReceived received -> new NodeRules(builder).handle(received.event());
+			case SidecarEvent.EntryConnected connected -> new EntryRules(builder).connected(connected.entry());
+			case SidecarEvent.EntryDisconnected disconnected ->
+				new EntryRules(builder).disconnected(disconnected.entry());
+			case SidecarEvent.EntryMessageReceived received -> {
+				new EntryRules(builder).handle(received.entry(), received.message());
+				new QueueRules(builder).startJobs();
 			}
 			case SidecarEvent.RunStarted started -> {
 			}
 			case SidecarEvent.RunProgressed progressed ->
-				new RunRules(draft).progressed(progressed.run(), progressed.text());
-			case SidecarEvent.RunEnded ended -> new RunRules(draft).ended(ended.run(), ended.result());
+				new RunRules(builder).progressed(progressed.run(), progressed.text());
+			case SidecarEvent.RunEnded ended -> new RunRules(builder).ended(ended.run(), ended.result());
 			case SidecarEvent.HistoryRead read -> {
-				new HomeRules(draft).historyRead(read.program(), read.epoch(), read.turns());
-				new QueueRules(draft).startJobs();
+				new HomeRules(builder).historyRead(read.program(), read.epoch(), read.turns());
+				new QueueRules(builder).startJobs();
 			}
-			case SidecarEvent.HistoryReadFailed unreadable ->
-				new HomeRules(draft).historyReadFailed(unreadable.program(), unreadable.epoch(), unreadable.lost());
-			case SidecarEvent.UpstreamLoadReceived reported -> new RunRules(draft).loadReceived(reported);
-			case SidecarEvent.UpstreamUnreachable unreachable -> new RunRules(draft).unreachable();
-			case SidecarEvent.SessionReleased released -> new SessionRules(draft).released(released.program());
-			case SidecarEvent.SessionReleaseFailed kept -> new SessionRules(draft).releaseFailed(kept.program());
+			case SidecarEvent.HistoryReadFailed failed ->
+				new HomeRules(builder).historyReadFailed(failed.program(), failed.epoch(), failed.lost());
+			case SidecarEvent.UpstreamLoadReceived reported -> new RunRules(builder).loadReceived(reported);
+			case SidecarEvent.UpstreamUnreachable unreachable -> new RunRules(builder).unreachable();
+			case SidecarEvent.SessionReleased released -> new SessionRules(builder).released(released.program());
+			case SidecarEvent.SessionReleaseFailed failed -> new SessionRules(builder).releaseFailed(failed.program());
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarState.java
@@ -26,10 +26,10 @@
 import io.vavr.collection.Vector;
 
 /**
- * All that a sidecar knows. A job in the stage {@code Running} stands in the map of runs
- * and in no queue; a job that waits stands in the queue; each attempt that is not
- * answered stands in exactly one of: a job, a home's waiting list, the parked ones.
- * Immutable and safe for use by several threads.
+ * Immutable state of a sidecar. A job in the stage {@code Running} is in the map of runs
+ * and not in the queue; a queued job is in the queue; each attempt without an outcome
+ * belongs to exactly one of: a job, the waiting calls of a home, the attempts that wait
+ * for the log. Safe for use by several threads.
  */
 public final class SidecarState {
 
@@ -111,45 +111,45 @@
 		this.stopped = false;
 	}
 
-	SidecarState(StateBuilder draft) {
-		this.self = draft.self;
-		this.zone = draft.zone;
-		this.configuration = draft.configuration;
-		this.log = draft.log;
-		this.openAttempts = draft.openAttempts;
-		this.jobs = draft.jobs;
-		this.jobsByAttempt = draft.jobsByAttempt;
-		this.runs = draft.runs;
-		this.awaitingCrashRecord = draft.awaitingCrashRecord;
-		this.isolatedJob = draft.isolatedJob;
-		this.queue = draft.queue;
-		this.homes = draft.homes;
-		this.programsByWaitingAttempt = draft.programsByWaitingAttempt;
-		this.awaitingLog = draft.awaitingLog;
-		this.appends = draft.appends;
-		this.uncertainReleases = draft.uncertainReleases;
-		this.sessions = draft.sessions;
-		this.upstream = draft.upstream;
-		this.timers = draft.timers;
-		this.lastReport = draft.lastReport;
-		this.lastMeasured = draft.lastMeasured;
-		this.nextNumber = draft.nextNumber;
-		this.draining = draft.draining;
-		this.stopped = draft.stopped;
+	SidecarState(StateBuilder builder) {
+		this.self = builder.self;
+		this.zone = builder.zone;
+		this.configuration = builder.configuration;
+		this.log = builder.log;
+		this.openAttempts = builder.openAttempts;
+		this.jobs = builder.jobs;
+		this.jobsByAttempt = builder.jobsByAttempt;
+		this.runs = builder.runs;
+		this.awaitingCrashRecord = builder.awaitingCrashRecord;
+		this.isolatedJob = builder.isolatedJob;
+		this.queue = builder.queue;
+		this.homes = builder.homes;
+		this.programsByWaitingAttempt = builder.programsByWaitingAttempt;
+		this.awaitingLog = builder.awaitingLog;
+		this.appends = builder.appends;
+		this.uncertainReleases = builder.uncertainReleases;
+		this.sessions = builder.sessions;
+		this.upstream = builder.upstream;
+		this.timers = builder.timers;
+		this.lastReport = builder.lastReport;
+		this.lastMeasured = builder.lastMeasured;
+		this.nextNumber = builder.nextNumber;
+		this.draining = builder.draining;
+		this.stopped = builder.stopped;
 	}
 
 	/**
-	 * Returns the state of a sidecar that has just started and knows nothing.
+	 * Returns the initial state of a sidecar.
 	 * @param self the process
 	 * @param zone the availability zone it is in
-	 * @return the first state
+	 * @return the initial state
 	 */
 	public static SidecarState of(ProcessId self, ZoneName zone) {
 		return new SidecarState(self, zone);
 	}
 
 	/**
-	 * Returns what operators see of this sidecar. Walks over all homes.
+	 * Returns the status shown to operators. Iterates over all homes.
 	 * @return the status
 	 */
 	public SidecarStatus status() {
@@ -162,17 +162,17 @@
 	}
 
 	/**
-	 * How a session in the engine stands.
+	 * The phase of a session in the engine.
 	 */
 	enum SessionPhase {
 
 		/**
-		 * The engine may hold cache for the program.
+		 * The engine may hold cache of the program.
 		 */
 		HELD,
 
 		/**
-		 * The engine has been told to release it.
+		 * The release has been requested from the engine.
 		 */
 		RELEASING
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarTimer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarTimer.java
@@ -6,13 +6,13 @@
 import io.lentilslip.core.link.AttemptId;
 
 /**
- * Something to look at when its time comes. It may have become needless by then.
- * Implementations are immutable and safe for use by several threads.
+ * Immutable timers of a sidecar. The condition that a timer was set for may no longer
+ * hold when it fires, so the handler checks it again. Safe for use by several threads.
  */
 sealed interface SidecarTimer {
 
 	/**
-	 * The outcome of a job should be in the log.
+	 * The outcome of a job should have been committed.
 	 *
 	 * @param key the job
 	 */
@@ -21,7 +21,7 @@
 	}
 
 	/**
-	 * Someone should have asked again for the answer of a job that nobody waits for.
+	 * A job without listeners should have been requested again.
 	 *
 	 * @param key the job
 	 */
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * A record whose append failed may be appended again.
+	 * A record whose append failed is to be appended again.
 	 *
 	 * @param record the record
 	 */
@@ -39,7 +39,7 @@
 	}
 
 	/**
-	 * A release whose append had no answer can no longer take effect.
+	 * A release whose append result is unknown can no longer take effect.
 	 *
 	 * @param key the key that was released
 	 */
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * The engine may be told again to release the cache of a program.
+	 * The release of a cache is to be requested from the engine again.
 	 *
 	 * @param program the program
 	 */
@@ -57,7 +57,7 @@
 	}
 
 	/**
-	 * A program may have been silent, or have lived, for too long.
+	 * A program may have reached its idle time or its lifetime.
 	 *
 	 * @param program the program
 	 */
@@ -66,7 +66,7 @@
 	}
 
 	/**
-	 * The log should have been read up to what an attempt names.
+	 * The log should have been read up to the offset that an attempt requires.
 	 *
 	 * @param attempt the attempt
 	 */
@@ -75,7 +75,8 @@
 	}
 
 	/**
-	 * The calls before a waiting one should have arrived, or its deadline has come.
+	 * The preceding calls of a waiting one should have arrived, or its deadline has
+	 * passed.
 	 *
 	 * @param program the program
 	 * @param attempt the attempt
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/StateBuilder.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/StateBuilder.java
@@ -31,8 +31,8 @@
 import io.vavr.collection.Vector;
 
 /**
- * A state in the making: the working copy of one application of the reducer. Confined to
- * that application and the thread that runs it.
+ * Mutable copy of a {@link SidecarState} that collects the changes and effects of one
+ * event. Confined to one application of the reducer and its thread.
  */
 final class StateBuilder {
 
@@ -177,13 +177,13 @@
 	}
 
 	/**
-	 * Returns whether an attempt is known and not answered.
+	 * Returns whether an attempt is open: received, but without an outcome.
 	 * @param attempt the attempt
-	 * @return whether it is known
+	 * @return whether it is open
 	 */
 	boolean isOpen(AttemptId attempt) {
 		return this.jobsByAttempt.containsKey(attempt) || this.programsByWaitingAttempt.containsKey(attempt)
-				|| this.awaitingLog.exists((arrival) -> arrival.attempt().equals(attempt));
+				|| this.awaitingLog.exists((incoming) -> incoming.attempt().equals(attempt));
 	}
 
 	void addOpenAttempt(ProcessId entry, AttemptId attempt) {
@@ -205,8 +205,8 @@
 		}
 	}
 
-	void refuse(IncomingAttempt arrival, CallFailure failure) {
-		finish(arrival.entry(), arrival.attempt(), new CallOutcome.Failed(failure));
+	void refuse(IncomingAttempt incoming, CallFailure failure) {
+		finish(incoming.entry(), incoming.attempt(), new CallOutcome.Failed(failure));
 	}
 
 	void finishAll(Job job, CallOutcome outcome) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/UpstreamView.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/UpstreamView.java
@@ -1,11 +1,11 @@
 package io.lentilslip.core.sidecar;
 
 /**
- * What is known of the upstream. Immutable and safe for use by several threads.
+ * Immutable view of the upstream's last report. Safe for use by several threads.
  *
- * @param reachable whether it answers
- * @param incarnation the number of its life, or 0
- * @param heldTokens the tokens of memory it holds for sessions
+ * @param reachable whether the upstream responds
+ * @param incarnation the incarnation of the upstream, or 0 if unknown
+ * @param heldTokens the tokens of cache held for sessions
  */
 record UpstreamView(boolean reachable, long incarnation, long heldTokens) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions of the process beside an upstream: order, deduplication, queueing, history
- * and engine memory.
+ * Decisions of the process next to an upstream: call order, deduplication, queueing,
+ * history and engine cache.
  */
 package io.lentilslip.core.sidecar;
