--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/DuplicateEntryCounter.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/DuplicateEntryCounter.java
@@ -7,8 +7,8 @@
 import io.lentilslip.core.measurement.Measurement.LogCopies.Kind;
 
 /**
- * Adds up the entries that the log has shown before, until they are taken. Used by one
- * thread.
+ * Counts log entries that had been read before, by kind, until the counts are drained.
+ * Used by one thread.
  */
 final class DuplicateEntryCounter {
 
@@ -29,18 +29,18 @@
 	}
 
 	/**
-	 * Returns what was added since the last call.
-	 * @return a measurement of each kind of which there was any
+	 * Returns the counts since the last call and resets them.
+	 * @return one measurement for each kind with at least one duplicate
 	 */
 	List<Measurement> drain() {
-		List<Measurement> taken = new ArrayList<>();
+		List<Measurement> drained = new ArrayList<>();
 		for (Kind kind : KINDS) {
 			if (this.counts[kind.ordinal()] > 0) {
-				taken.add(new Measurement.LogCopies(kind, this.counts[kind.ordinal()]));
+				drained.add(new Measurement.LogCopies(kind, this.counts[kind.ordinal()]));
 				this.counts[kind.ordinal()] = 0;
 			}
 		}
-		return taken;
+		return drained;
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -13,97 +13,97 @@
 import io.lentilslip.core.relay.TurnCache.Chain;
 
 /**
- * How the texts of turns are kept and found. A text is written to the log once, by the
- * relay that ran the turn, and read by a relay that has to continue from it: from the
- * memory of the one that ran it, or else from the log. All relays know of all turns where
- * their texts are, which is some hundred bytes each. Used by one thread.
+ * Stores and retrieves the texts of turns. The relay that ran a turn appends its text to
+ * the log once. A relay that continues the turn fetches the text from the memory of that
+ * relay, or else from the log. All relays know the locations of all texts. Used by one
+ * thread.
  */
 final class TextRules {
 
 	/**
-	 * How many times the time alone passes before help is asked for again, of others.
+	 * The delay before other peers are asked to write a turn, as a multiple of the write
+	 * timeout.
 	 */
-	private static final int HELP_PAUSES = 4;
+	private static final int TURN_WRITE_RETRY_FACTOR = 4;
 
 	/**
-	 * How long a relay that ran a turn may take to send its texts before they are read
-	 * from the log: several times what a message there and back takes, less than a turn
-	 * can wait.
+	 * How long the relay that ran a turn may take to send texts before they are read from
+	 * the log: several round trips, but less than a turn can wait.
 	 */
-	private static final Duration HOLDER_WAIT = Duration.ofMillis(30);
+	private static final Duration ORIGIN_TIMEOUT = Duration.ofMillis(30);
 
 	/**
-	 * The bytes of texts that a link carries in a millisecond, of those that a site's
-	 * smallest machines have: what it takes beyond that is waited for as well.
+	 * The throughput of the slowest links in bytes per millisecond, by which the timeout
+	 * grows with the size of the texts.
 	 */
 	private static final int LINK_BYTES_PER_MS = 1024;
 
 	/**
-	 * For how long it counts that the log was slow here: some turns are kept in that time
-	 * wherever callers keep any.
+	 * How long after a slow append the log is considered slow.
 	 */
-	private static final long SLOW_MS = 2000;
+	private static final long SLOW_LOG_WINDOW_MS = 2000;
 
 	/**
-	 * About how many bytes of texts go out in one message, a small part of what may wait
-	 * on a link.
+	 * The bytes of texts after which a message is sent, a small part of what a link may
+	 * have queued.
 	 */
-	private static final int MESSAGE_BYTES = 1024 * 1024;
+	private static final int TARGET_MESSAGE_BYTES = 1024 * 1024;
 
 	/**
-	 * After what time texts that could not be read from the log are tried for again.
+	 * The delay before texts that were not found in the log are read again.
 	 */
-	private static final Duration READ_WAIT = Duration.ofMillis(250);
+	private static final Duration READ_RETRY_DELAY = Duration.ofMillis(250);
 
 	/**
-	 * The most turns of a chain that another relay is told of at once. Older ones were in
-	 * the log long before.
+	 * The maximum number of locations of a chain that are sent to another relay. It can
+	 * read the locations of older turns from the log.
 	 */
-	private static final int LONGEST_CHAIN = 64;
+	private static final int MAX_CHAIN_LOCATIONS = 64;
 
 	/**
-	 * The part of its time that a turn waits at most for texts that are known to exist.
+	 * The part of its remaining time that a turn waits for texts that are known to exist,
+	 * as a divisor.
 	 */
-	private static final int TEXTS_WAIT_PART = 3;
+	private static final int EXTENDED_WAIT_DIVISOR = 3;
 
 	private final RelayState state;
 
-	private final ExchangeCompletion ends;
+	private final ExchangeCompletion completion;
 
-	TextRules(RelayState state, ExchangeCompletion ends) {
+	TextRules(RelayState state, ExchangeCompletion completion) {
 		this.state = state;
-		this.ends = ends;
+		this.completion = completion;
 	}
 
 	/**
-	 * Takes that an upstream ended a kept turn. Its end is passed on when the log has its
-	 * text and where that is: a turn counts once its caller has seen the end, and must
-	 * then be found after the loss of all relays at once.
+	 * Stores a turn whose stream has ended. The end of the stream is forwarded only when
+	 * the log has the text and the entry with its location: a turn that its caller saw
+	 * complete must survive the loss of all relays.
 	 * @param exchange the exchange
 	 */
 	void streamEnded(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
 		StoredTurn text = new StoredTurn(turn.previous(), exchange.request().body(), exchange.output());
-		TextLocation place = place(text, this.state.name);
+		TextLocation location = newLocation(text, this.state.name);
 		exchange.transitionTo(Phase.STORING);
 		this.state.turnCache.add(exchange.id(), text);
-		this.state.turnCache.recordLocation(exchange.id(), place, Optional.empty());
+		this.state.turnCache.recordLocation(exchange.id(), location, Optional.empty());
 		this.state.pendingTurns.put(exchange.id(), new PendingTurn(exchange.number(), text));
 		this.state.emit(new RelayEffect.StoreText(exchange.id(), text));
-		this.ends.settle(exchange, Optional.of(place));
-		Duration pause = (this.state.connectivity == Connectivity.LOG) ? RelaySettings.TURN_WRITE_TIMEOUT
+		this.completion.settle(exchange, Optional.of(location));
+		Duration timeout = (this.state.connectivity == Connectivity.LOG) ? RelaySettings.TURN_WRITE_TIMEOUT
 				: RelaySettings.REPLICATION_DELAY;
-		this.state.startTimer(exchange, pause, TimerKind.LOG_WRITE);
+		this.state.startTimer(exchange, timeout, TimerKind.LOG_WRITE);
 	}
 
-	private TextLocation place(StoredTurn text, String holder) {
+	private TextLocation newLocation(StoredTurn text, String origin) {
 		return new TextLocation(text.previous(), text.size(), this.state.textPartition, this.state.textEndOffset,
-				Optional.of(holder).filter((name) -> !name.isEmpty()));
+				Optional.of(origin).filter((name) -> !name.isEmpty()));
 	}
 
 	/**
-	 * Takes that the log has texts that this relay wrote.
-	 * @param stored which
+	 * Records that the log has texts that this relay appended.
+	 * @param stored the stored texts
 	 */
 	void textsStored(RelayEvent.TextsStored stored) {
 		this.state.textEndOffset = Math.max(this.state.textEndOffset, stored.endOffset());
@@ -116,7 +116,7 @@
 	}
 
 	/**
-	 * Takes that the log has the end of a turn that this relay wrote.
+	 * Records that the log has the settlement of a turn that this relay appended.
 	 * @param request the turn
 	 */
 	void entryStored(String request) {
@@ -132,70 +132,68 @@
 	}
 
 	private void finishIfStored(String request) {
-		PeerTurn helping = this.state.peerTurns.get(request);
-		if (helping != null && helping.complete()) {
+		PeerTurn peerTurn = this.state.peerTurns.get(request);
+		if (peerTurn != null && peerTurn.complete()) {
 			this.state.peerTurns.remove(request);
-			this.state.emit(new RelayEffect.AcknowledgeTurnWrite(helping.peer, request));
+			this.state.emit(new RelayEffect.AcknowledgeTurnWrite(peerTurn.peer, request));
 		}
-		PendingTurn ending = this.state.pendingTurns.get(request);
-		if (ending != null && ending.complete()) {
+		PendingTurn pendingTurn = this.state.pendingTurns.get(request);
+		if (pendingTurn != null && pendingTurn.complete()) {
 			endStream(request);
 		}
 	}
 
 	/**
-	 * Passes on the end of a turn of this relay, which the log has now, whoever wrote it.
+	 * Forwards the end of a stream whose turn the log has, whichever relay wrote it.
 	 * @param request the turn
 	 */
 	void endStream(String request) {
-		PendingTurn ending = this.state.pendingTurns.get(request);
-		if (ending != null) {
-			this.ends.endStream(this.state.exchanges.get(ending.exchange));
+		PendingTurn pendingTurn = this.state.pendingTurns.get(request);
+		if (pendingTurn != null) {
+			this.completion.endStream(this.state.exchanges.get(pendingTurn.exchange));
 		}
 	}
 
 	/**
-	 * Asks others to write a turn that this relay can't write itself: the store may turn
-	 * away some relays and serve others. The end of the turn still waits for the log, for
-	 * the loss of all relays at once must not lose a turn that its caller saw whole.
+	 * Asks peers to write a turn that this relay could not write in time, since the store
+	 * may be reachable from other relays. The end of the stream still waits for the log.
 	 * @param exchange the exchange
 	 */
 	void storeTimedOut(Exchange exchange) {
-		PendingTurn ending = this.state.pendingTurns.get(exchange.id());
-		if (exchange.phase() != Phase.STORING || ending == null) {
+		PendingTurn pendingTurn = this.state.pendingTurns.get(exchange.id());
+		if (exchange.phase() != Phase.STORING || pendingTurn == null) {
 			return;
 		}
-		this.state
-			.emit(new RelayEffect.RequestTurnWrite(this.ends.settlement(exchange, Optional.empty()), ending.turn));
-		this.state.startTimer(exchange, RelaySettings.TURN_WRITE_TIMEOUT.multipliedBy(HELP_PAUSES),
+		this.state.emit(new RelayEffect.RequestTurnWrite(this.completion.settlement(exchange, Optional.empty()),
+				pendingTurn.turn));
+		this.state.startTimer(exchange, RelaySettings.TURN_WRITE_TIMEOUT.multipliedBy(TURN_WRITE_RETRY_FACTOR),
 				TimerKind.LOG_WRITE);
 	}
 
 	/**
-	 * Writes a turn for another relay, unless the log is as slow here as it may be there:
-	 * a second and third copy of each turn would make it slower for all.
-	 * @param textsRequested what is asked for
+	 * Writes a turn for another relay, unless the log is slow here as well: additional
+	 * copies of each turn would slow it down further.
+	 * @param request the request of the other relay
 	 */
-	void storeForPeer(RelayEvent.TurnWriteRequested asked) {
-		String request = asked.settlement().request();
-		boolean slow = this.state.now - this.state.logSlowAt < SLOW_MS;
+	void storeForPeer(RelayEvent.TurnWriteRequested received) {
+		String request = received.settlement().request();
+		boolean slow = this.state.now - this.state.logSlowAt < SLOW_LOG_WINDOW_MS;
 		boolean able = this.state.connectivity == Connectivity.LOG && this.state.textEndOffset >= 0 && !slow;
 		if (!able || this.state.peerTurns.containsKey(request)) {
 			return;
 		}
-		TextLocation place = place(asked.text(), asked.peer());
-		this.state.turnCache.recordLocation(request, place, Optional.of(asked.peer()));
-		this.state.peerTurns.put(request, new PeerTurn(asked.peer()));
-		this.state.emit(new RelayEffect.StoreText(request, asked.text()));
-		this.state.writeAndReplicate(new LedgerEntry.Settled(request, asked.settlement().program(),
-				asked.settlement().tokens(), Optional.of(place)), asked.settlement().program());
+		TextLocation location = newLocation(received.text(), received.peer());
+		this.state.turnCache.recordLocation(request, location, Optional.of(received.peer()));
+		this.state.peerTurns.put(request, new PeerTurn(received.peer()));
+		this.state.emit(new RelayEffect.StoreText(request, received.text()));
+		this.state.writeAndReplicate(new LedgerEntry.Settled(request, received.settlement().program(),
+				received.settlement().tokens(), Optional.of(location)), received.settlement().program());
 	}
 
 	/**
-	 * Looks for the texts of the turns before a turn, and has them brought if they are
-	 * elsewhere.
+	 * Looks up the texts of the previous turns, and fetches those that are not in memory.
 	 * @param exchange the exchange of the turn
-	 * @return whether they are at hand
+	 * @return whether all texts are in memory
 	 */
 	boolean resolveChain(Exchange exchange) {
 		Optional<String> previous = exchange.head().turn().flatMap(Turn::previous);
@@ -203,12 +201,12 @@
 			return true;
 		}
 		return switch (this.state.turnCache.chain(previous.get())) {
-			case Chain.Complete whole -> {
-				exchange.setPrefix(whole.text());
+			case Chain.Complete complete -> {
+				exchange.setPrefix(complete.text());
 				yield true;
 			}
-			case Chain.Incomplete elsewhere -> {
-				fetchTexts(exchange, elsewhere);
+			case Chain.Incomplete incomplete -> {
+				fetchTexts(exchange, incomplete);
 				yield false;
 			}
 			case Chain.Unknown ignored -> false;
@@ -216,100 +214,100 @@
 	}
 
 	/**
-	 * Has it looked where the texts of a chain are that is not known here: the log has
-	 * them, and the relays that keep the program have heard of them. The log alone may be
-	 * out of reach, or slower than a turn can wait.
+	 * Requests the locations of an unknown chain from the log and from the replicas of
+	 * the program. The log alone may be unreachable, or slower than a turn can wait.
 	 * @param exchange the exchange of the turn that continues the chain
 	 */
 	void requestLocations(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		List<String> keepers = this.state.otherReplicas(turn.program());
-		if (turn.previous().isPresent() && !keepers.isEmpty()) {
-			this.state.emit(new RelayEffect.RequestTextLocations(keepers, turn.previous().get()));
+		List<String> replicas = this.state.otherReplicas(turn.program());
+		if (turn.previous().isPresent() && !replicas.isEmpty()) {
+			this.state.emit(new RelayEffect.RequestTextLocations(replicas, turn.previous().get()));
 		}
-		if (this.state.connectivity == Connectivity.LOG || keepers.isEmpty()) {
+		if (this.state.connectivity == Connectivity.LOG || replicas.isEmpty()) {
 			this.state.emit(new RelayEffect.ReadLog());
 		}
 	}
 
-	void locationsRequested(RelayEvent.TextLocationsRequested asked) {
+	void locationsRequested(RelayEvent.TextLocationsRequested received) {
 		List<TurnLocation> known = new ArrayList<>();
-		Optional<String> next = Optional.of(asked.request());
-		while (next.isPresent() && known.size() < LONGEST_CHAIN) {
-			List<TextLocation> places = this.state.turnCache.locations(next.get());
-			if (places.isEmpty()) {
+		Optional<String> next = Optional.of(received.request());
+		while (next.isPresent() && known.size() < MAX_CHAIN_LOCATIONS) {
+			List<TextLocation> locations = this.state.turnCache.locations(next.get());
+			if (locations.isEmpty()) {
 				break;
 			}
-			known.add(new TurnLocation(next.get(), places.getFirst()));
-			next = places.getFirst().previous();
+			known.add(new TurnLocation(next.get(), locations.getFirst()));
+			next = locations.getFirst().previous();
 		}
 		if (!known.isEmpty()) {
-			this.state.emit(new RelayEffect.SendTextLocations(asked.peer(), known));
+			this.state.emit(new RelayEffect.SendTextLocations(received.peer(), known));
 		}
 	}
 
-	void locationsReceived(RelayEvent.TextLocationsReceived told) {
-		told.turns()
+	void locationsReceived(RelayEvent.TextLocationsReceived received) {
+		received.turns()
 			.forEach((turn) -> this.state.turnCache.recordLocation(turn.request(), turn.location(),
-					Optional.of(told.peer())));
+					Optional.of(received.peer())));
 	}
 
-	private void fetchTexts(Exchange exchange, Chain.Incomplete elsewhere) {
+	private void fetchTexts(Exchange exchange, Chain.Incomplete incomplete) {
 		if (exchange.fetchingTexts()) {
 			return;
 		}
 		exchange.markFetchingTexts();
-		Optional<String> holder = this.state.turnCache.origin(elsewhere.missing().getFirst())
+		Optional<String> origin = this.state.turnCache.origin(incomplete.missing().getFirst())
 			.filter((relay) -> this.state.linkedPeers.contains(relay) || this.state.replicas.contains(relay));
-		if (holder.isEmpty()) {
-			textRead(exchange, elsewhere);
+		if (origin.isEmpty()) {
+			readFromLog(exchange, incomplete);
 			return;
 		}
-		this.state.emit(new RelayEffect.RequestTexts(holder.get(), elsewhere.missing()));
-		this.state.startTimer(exchange, HOLDER_WAIT.plusMillis(bytes(elsewhere) / LINK_BYTES_PER_MS),
+		this.state.emit(new RelayEffect.RequestTexts(origin.get(), incomplete.missing()));
+		this.state.startTimer(exchange, ORIGIN_TIMEOUT.plusMillis(missingBytes(incomplete) / LINK_BYTES_PER_MS),
 				TimerKind.TEXT_FETCH);
 	}
 
-	private long bytes(Chain.Incomplete elsewhere) {
-		return elsewhere.missing()
+	private long missingBytes(Chain.Incomplete incomplete) {
+		return incomplete.missing()
 			.stream()
 			.mapToLong((turn) -> this.state.turnCache.locations(turn).getFirst().bytes())
 			.sum();
 	}
 
-	private void textRead(Exchange exchange, Chain.Incomplete elsewhere) {
-		for (String request : elsewhere.missing()) {
+	private void readFromLog(Exchange exchange, Chain.Incomplete incomplete) {
+		for (String request : incomplete.missing()) {
 			if (this.state.pendingReads.add(request)) {
 				this.state.emit(new RelayEffect.ReadText(request, this.state.turnCache.locations(request)));
 			}
 		}
-		this.state.startTimer(exchange, READ_WAIT, TimerKind.TEXT_FETCH);
+		this.state.startTimer(exchange, READ_RETRY_DELAY, TimerKind.TEXT_FETCH);
 	}
 
 	/**
-	 * Reads from the log what the relay that ran a turn has not sent.
-	 * @param exchange the exchange that waits
+	 * Reads from the log the texts that the relay that ran the turn has not sent.
+	 * @param exchange the waiting exchange
 	 */
 	void textsTimedOut(Exchange exchange) {
-		if (exchange.phase() == Phase.WAITING_FOR_CHAIN && chain(exchange) instanceof Chain.Incomplete elsewhere) {
-			textRead(exchange, elsewhere);
+		if (exchange.phase() == Phase.WAITING_FOR_CHAIN && chain(exchange) instanceof Chain.Incomplete incomplete) {
+			readFromLog(exchange, incomplete);
 		}
 	}
 
 	/**
-	 * Gives up a turn whose chain is not found. One whose texts are only elsewhere is
-	 * waited for a while longer: refused, its caller would come for the same texts again.
-	 * @param exchange the exchange that waits
+	 * Refuses a turn whose chain was not found. If all turns of the chain are known and
+	 * only texts are missing, the wait is extended once: a retry would need the same
+	 * texts.
+	 * @param exchange the waiting exchange
 	 */
 	void chainTimedOut(Exchange exchange) {
-		boolean exists = exchange.phase() == Phase.WAITING_FOR_CHAIN && !this.state.logStale
+		boolean chainKnown = exchange.phase() == Phase.WAITING_FOR_CHAIN && !this.state.logStale
 				&& chain(exchange) instanceof Chain.Incomplete;
-		if (exists && exchange.extendWait()) {
-			this.state.startTimer(exchange, exchange.remaining(this.state.now).dividedBy(TEXTS_WAIT_PART),
+		if (chainKnown && exchange.extendWait()) {
+			this.state.startTimer(exchange, exchange.remaining(this.state.now).dividedBy(EXTENDED_WAIT_DIVISOR),
 					TimerKind.CHAIN_LOOKUP);
 			return;
 		}
-		this.ends.chainTimedOut(exchange);
+		this.completion.chainTimedOut(exchange);
 	}
 
 	private Chain chain(Exchange exchange) {
@@ -320,26 +318,26 @@
 			.orElseGet(() -> new Chain.Complete(new byte[0]));
 	}
 
-	void textsRequested(RelayEvent.TextsRequested asked) {
+	void textsRequested(RelayEvent.TextsRequested received) {
 		List<TurnText> found = new ArrayList<>();
 		int bytes = 0;
-		for (String request : asked.requests()) {
+		for (String request : received.requests()) {
 			Optional<StoredTurn> text = this.state.turnCache.text(request);
-			text.ifPresent((known) -> found.add(new TurnText(request, known)));
+			text.ifPresent((turn) -> found.add(new TurnText(request, turn)));
 			bytes += text.map(StoredTurn::size).orElse(0);
-			if (bytes > MESSAGE_BYTES) {
-				this.state.emit(new RelayEffect.SendTexts(asked.peer(), found));
+			if (bytes > TARGET_MESSAGE_BYTES) {
+				this.state.emit(new RelayEffect.SendTexts(received.peer(), found));
 				found.clear();
 				bytes = 0;
 			}
 		}
 		if (!found.isEmpty()) {
-			this.state.emit(new RelayEffect.SendTexts(asked.peer(), found));
+			this.state.emit(new RelayEffect.SendTexts(received.peer(), found));
 		}
 	}
 
-	void textsReceived(RelayEvent.TextsReceived told) {
-		told.texts().forEach((found) -> this.state.turnCache.add(found.request(), found.text()));
+	void textsReceived(RelayEvent.TextsReceived received) {
+		received.texts().forEach((found) -> this.state.turnCache.add(found.request(), found.text()));
 	}
 
 	void textRead(RelayEvent.TextRead read) {
@@ -348,7 +346,7 @@
 	}
 
 	/**
-	 * What the log has of a turn. Used by one thread.
+	 * The parts of a turn that the log has confirmed. Used by one thread.
 	 */
 	private abstract static sealed class PendingStore {
 
@@ -371,9 +369,9 @@
 
 		private final StoredTurn turn;
 
-		PendingTurn(long exchange, StoredTurn kept) {
+		PendingTurn(long exchange, StoredTurn turn) {
 			this.exchange = exchange;
-			this.turn = kept;
+			this.turn = turn;
 		}
 
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnCache.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnCache.java
@@ -13,43 +13,40 @@
 import java.util.stream.Stream;
 
 /**
- * The turns that later turns may continue from: of all of them where their texts are, and
- * the texts that this relay ran or asked for last. Texts are bounded in bytes, places in
- * number, those untouched for longest go first; a text that is gone from memory is read
- * from the log again. A turn whose chain is not whole is never taken for a shorter one.
- * Used by one thread.
+ * LRU cache of the texts of turns, bounded in bytes, with an LRU index of the locations
+ * of all turns, bounded in number. Evicted texts can be read from the log again. A chain
+ * with an unknown turn is never treated as a shorter chain. Used by one thread.
  */
 final class TurnCache {
 
 	/**
-	 * How many places are remembered: a minute of what 380 relays would tell, at some 200
-	 * bytes each.
+	 * The maximum number of turns whose locations are indexed.
 	 */
-	private static final int PLACES = 50_000;
+	private static final int MAX_TURNS = 50_000;
 
 	/**
-	 * How many places of one text are remembered of those that the log shows, and of
-	 * those that were only told: its own relay's, and some of relays that helped. A place
-	 * that was only told may never be written to, so it never pushes out one that the log
-	 * shows.
+	 * The maximum number of committed locations of one turn, and of uncommitted ones,
+	 * since peers may have written its text as well. The limits are separate because
+	 * uncommitted writes may never reach the log, and so must not evict committed
+	 * locations.
 	 */
-	private static final int COPIES = 4;
+	private static final int MAX_LOCATIONS = 4;
 
-	private final long bound;
+	private final long maxBytes;
 
 	private final LinkedHashMap<String, StoredTurn> texts = new LinkedHashMap<>(64, 0.75f, true);
 
-	private final Map<String, Known> locations = new LinkedHashMap<>(64, 0.75f, true) {
+	private final Map<String, KnownLocations> locations = new LinkedHashMap<>(64, 0.75f, true) {
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<String, Known> eldest) {
-			return size() > PLACES;
+		protected boolean removeEldestEntry(Map.Entry<String, KnownLocations> eldest) {
+			return size() > MAX_TURNS;
 		}
 	};
 
 	private long bytes;
 
-	TurnCache(long bound) {
-		this.bound = bound;
+	TurnCache(long maxBytes) {
+		this.maxBytes = maxBytes;
 	}
 
 	void add(String request, StoredTurn text) {
@@ -57,31 +54,33 @@
 			return;
 		}
 		this.bytes += text.size();
-		while (this.bytes > this.bound && this.texts.size() > 1) {
+		while (this.bytes > this.maxBytes && this.texts.size() > 1) {
 			this.bytes -= this.texts.pollFirstEntry().getValue().size();
 		}
 	}
 
 	/**
-	 * Notes where the text of a turn is. The turn may have several places, since relays
-	 * that helped wrote it too. Where the place does not say who ran the turn, whoever
-	 * told of it first did: others tell only what they heard or adopted.
+	 * Records a location of the text of a turn. A turn has several locations if peers
+	 * wrote it as well. If the location has no origin, the first relay that sent one is
+	 * taken as the origin.
 	 * @param request the turn
-	 * @param place its place in the log
-	 * @param teller the relay that told the place; empty if the log shows it
+	 * @param location the location of its text
+	 * @param sender the relay that sent the location; empty if it was read from the log
 	 */
-	void recordLocation(String request, TextLocation place, Optional<String> teller) {
-		Known before = this.locations.getOrDefault(request, Known.NOTHING);
-		Optional<String> holder = before.holder().or(place::origin).or(() -> teller);
-		this.locations.put(request, teller.isPresent() ? new Known(before.logged(), with(before.told(), place), holder)
-				: new Known(with(before.logged(), place), before.told(), holder));
+	void recordLocation(String request, TextLocation location, Optional<String> sender) {
+		KnownLocations before = this.locations.getOrDefault(request, KnownLocations.NONE);
+		Optional<String> origin = before.origin().or(location::origin).or(() -> sender);
+		this.locations.put(request,
+				sender.isPresent()
+						? new KnownLocations(before.committed(), prepend(before.uncommitted(), location), origin)
+						: new KnownLocations(prepend(before.committed(), location), before.uncommitted(), origin));
 	}
 
-	private static List<TextLocation> with(List<TextLocation> places, TextLocation place) {
-		List<TextLocation> known = new ArrayList<>(places);
-		known.remove(place);
-		known.addFirst(place);
-		return known.subList(0, Math.min(known.size(), COPIES));
+	private static List<TextLocation> prepend(List<TextLocation> locations, TextLocation location) {
+		List<TextLocation> updated = new ArrayList<>(locations);
+		updated.remove(location);
+		updated.addFirst(location);
+		return updated.subList(0, Math.min(updated.size(), MAX_LOCATIONS));
 	}
 
 	Optional<StoredTurn> text(String request) {
@@ -89,54 +88,53 @@
 	}
 
 	/**
-	 * Returns where the log may have the text of a turn. A place that was told may not be
-	 * written to yet, so all that are known count.
+	 * Returns all locations at which the log may have the text of a turn, including
+	 * uncommitted ones.
 	 * @param request the turn
-	 * @return the places, those that were only told first, of each the newest first
+	 * @return the locations, uncommitted ones first, the newest first of each kind
 	 */
 	List<TextLocation> locations(String request) {
-		return Optional.ofNullable(this.locations.get(request)).map(Known::places).orElse(List.of());
+		return Optional.ofNullable(this.locations.get(request)).map(KnownLocations::all).orElse(List.of());
 	}
 
 	/**
-	 * Returns which relay ran a turn, and so had the texts of its whole chain.
+	 * Returns the relay that ran a turn, and so had the texts of its whole chain.
 	 * @param request the turn
-	 * @return the relay, or empty if it is not known
+	 * @return the relay, or empty if unknown
 	 */
 	Optional<String> origin(String request) {
-		return Optional.ofNullable(this.locations.get(request)).flatMap(Known::holder);
+		return Optional.ofNullable(this.locations.get(request)).flatMap(KnownLocations::origin);
 	}
 
 	/**
-	 * Returns what an upstream is to read before the new input of a turn.
-	 * @param previous the turn that is continued from
-	 * @return inputs and outputs of the whole chain, or what is missing
+	 * Returns the chain that ends with a turn.
+	 * @param previous the last turn of the chain
+	 * @return the inputs and outputs of the whole chain, or what is missing
 	 */
 	Chain chain(String previous) {
 		Deque<StoredTurn> found = new ArrayDeque<>();
-		List<String> elsewhere = new ArrayList<>();
+		List<String> missing = new ArrayList<>();
 		Set<String> seen = new HashSet<>();
 		Optional<String> next = Optional.of(previous);
 		while (next.isPresent()) {
-			// Callers name their turns. One that used a name twice may have made a
-			// turn lead back to itself, and a walk along it would never end.
+			// Callers choose the ids of turns. A reused id can form a cycle.
 			if (!seen.add(next.get())) {
 				return new Chain.Unknown();
 			}
 			StoredTurn text = this.texts.get(next.get());
-			Known known = this.locations.get(next.get());
+			KnownLocations known = this.locations.get(next.get());
 			if (text == null && known == null) {
 				return new Chain.Unknown();
 			}
 			if (text == null) {
-				elsewhere.add(next.get());
-				next = known.places().getFirst().previous();
+				missing.add(next.get());
+				next = known.all().getFirst().previous();
 				continue;
 			}
 			found.addFirst(text);
 			next = text.previous();
 		}
-		return elsewhere.isEmpty() ? new Chain.Complete(join(found)) : new Chain.Incomplete(elsewhere);
+		return missing.isEmpty() ? new Chain.Complete(join(found)) : new Chain.Incomplete(missing);
 	}
 
 	private static byte[] join(Deque<StoredTurn> chain) {
@@ -157,29 +155,30 @@
 	}
 
 	/**
-	 * What is known of a chain of turns. Immutable.
+	 * Immutable result of looking up a chain of turns.
 	 */
 	sealed interface Chain {
 
 		/**
-		 * All texts are at hand.
+		 * All texts are in memory.
 		 *
-		 * @param text the texts, in order; shared, never written to
+		 * @param text the concatenated texts, the oldest first; shared, must not be
+		 * modified
 		 */
 		record Complete(byte[] text) implements Chain {
 
 		}
 
 		/**
-		 * All turns are known, and some texts are not at hand.
+		 * All turns are known, but some texts are not in memory.
 		 *
-		 * @param turns the turns whose texts are missing, the newest first
+		 * @param missing the turns whose texts are missing, the newest first
 		 */
 		record Incomplete(List<String> missing) implements Chain {
 
 			/**
 			 * Creates a chain.
-			 * @param turns the turns whose texts are missing, the newest first
+			 * @param missing the turns whose texts are missing, the newest first
 			 */
 			public Incomplete {
 				missing = List.copyOf(missing);
@@ -188,7 +187,7 @@
 		}
 
 		/**
-		 * Some turn is not known.
+		 * Some turn is unknown.
 		 */
 		record Unknown() implements Chain {
 
@@ -197,23 +196,24 @@
 	}
 
 	/**
-	 * Where the text of a turn is. Immutable.
+	 * Immutable view of the known locations of a turn's text.
 	 *
-	 * @param logged its places that the log shows, the newest first
-	 * @param told its places that other relays told, the newest first
+	 * @param committed the locations read from the log, the newest first
+	 * @param uncommitted the locations received from other relays, the newest first
 	 * @param origin the relay that ran the turn
 	 */
-	private record Known(List<TextLocation> logged, List<TextLocation> told, Optional<String> holder) {
+	private record KnownLocations(List<TextLocation> committed, List<TextLocation> uncommitted,
+			Optional<String> origin) {
 
-		private static final Known NOTHING = new Known(List.of(), List.of(), Optional.empty());
+		private static final KnownLocations NONE = new KnownLocations(List.of(), List.of(), Optional.empty());
 
-		private Known {
-			logged = List.copyOf(logged);
-			told = List.copyOf(told);
+		private KnownLocations {
+			committed = List.copyOf(committed);
+			uncommitted = List.copyOf(uncommitted);
 		}
 
-		List<TextLocation> places() {
-			return Stream.concat(this.told.stream(), this.logged.stream()).distinct().toList();
+		List<TextLocation> all() {
+			return Stream.concat(this.uncommitted.stream(), this.committed.stream()).distinct().toList();
 		}
 
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnLocation.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnLocation.java
@@ -1,10 +1,11 @@
 package io.lentilslip.core.relay;
 
 /**
- * A turn with where its text is. Immutable and safe for use by several threads.
+ * Immutable pair of a turn and the location of its text in the log. Safe for use by
+ * several threads.
  *
- * @param request the turn
- * @param location where its text is
+ * @param request the request id of the turn
+ * @param location the location of its text
  */
 public record TurnLocation(String request, TextLocation location) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnText.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnText.java
@@ -1,10 +1,10 @@
 package io.lentilslip.core.relay;
 
 /**
- * The text of a turn with the turn's name. Immutable and safe for use by several threads.
+ * Immutable pair of a turn and its text. Safe for use by several threads.
  *
- * @param request the turn: the id of its caller's attempt
- * @param text its text
+ * @param request the request id of the turn
+ * @param text the text
  */
 public record TurnText(String request, StoredTurn text) {
 
