--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/CallerIdentity.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/CallerIdentity.java
@@ -1,28 +1,28 @@
 package io.lentilslip.core.relay;
 
 /**
- * Who a caller is, as far as the configuration asks for it. Immutable and safe for use by
- * several threads.
+ * Immutable view of a caller's identity, as far as the route table requires it. Safe for
+ * use by several threads.
  */
 public sealed interface CallerIdentity {
 
 	/**
-	 * The configuration has no teams: callers are not distinguished, and what they send
-	 * as their credentials goes on to upstreams.
+	 * The route table defines no teams: callers are not authenticated, and their
+	 * credentials are passed on to upstreams.
 	 */
 	record Unchecked() implements CallerIdentity {
 
 	}
 
 	/**
-	 * A caller without a key, on a route that needs none.
+	 * A caller without a valid API key, on a route that allows anonymous requests.
 	 */
 	record Anonymous() implements CallerIdentity {
 
 	}
 
 	/**
-	 * A caller with a key of a team.
+	 * A caller that has authenticated with the API key of a team.
 	 *
 	 * @param team the team
 	 */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Exchange.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * One request of a caller and its answer, from the reading of the request to the end of
- * the answer. Used by one thread.
+ * State of one caller's request and its response, from the receipt of the request to the
+ * end of the response. Used by one thread.
  */
 final class Exchange {
 
@@ -67,16 +67,16 @@
 
 	private boolean permitted;
 
-	Exchange(RelayEvent.RequestReceived asked, Route route, CallerIdentity caller) {
-		this.request = asked;
+	Exchange(RelayEvent.RequestReceived request, Route route, CallerIdentity caller) {
+		this.request = request;
 		this.route = route;
 		this.caller = caller;
-		this.head = team().map(asked.head()::scopedTo).orElse(asked.head());
-		this.id = team().map((team) -> team.scopedId(asked.head().id())).orElse(asked.head().id());
-		this.lastEvent = route.resumable() ? asked.head().lastEvent() : OptionalLong.empty();
-		Duration patience = asked.head().callerTimeout().orElse(route.timeout());
-		Duration longest = (patience.compareTo(route.timeout()) < 0) ? patience : route.timeout();
-		this.deadline = asked.now() + longest.toMillis();
+		this.head = team().map(request.head()::scopedTo).orElse(request.head());
+		this.id = team().map((team) -> team.scopedId(request.head().id())).orElse(request.head().id());
+		this.lastEvent = route.resumable() ? request.head().lastEvent() : OptionalLong.empty();
+		Duration callerTimeout = request.head().callerTimeout().orElse(route.timeout());
+		Duration timeout = (callerTimeout.compareTo(route.timeout()) < 0) ? callerTimeout : route.timeout();
+		this.deadline = request.now() + timeout.toMillis();
 	}
 
 	long number() {
@@ -92,16 +92,15 @@
 	}
 
 	/**
-	 * Returns the name of this attempt among those of all teams.
-	 * @return the name
+	 * Returns the request id, scoped to the team of the caller.
+	 * @return the id, unique across teams
 	 */
 	String id() {
 		return this.id;
 	}
 
 	/**
-	 * Returns the digest of path, caller and body, which differs from that of another
-	 * team's request.
+	 * Returns the digest of path, caller and body, which differs between teams.
 	 * @return the digest
 	 */
 	long digest() {
@@ -113,15 +112,16 @@
 	}
 
 	/**
-	 * Returns the team whose quota and names the request counts among.
-	 * @return the team, or empty if it is no team's
+	 * Returns the team that the request belongs to.
+	 * @return the team, or empty if the caller has none
 	 */
 	Optional<Team> team() {
-		return (this.caller instanceof CallerIdentity.OfTeam of) ? Optional.of(of.team()) : Optional.empty();
+		return (this.caller instanceof CallerIdentity.OfTeam identity) ? Optional.of(identity.team())
+				: Optional.empty();
 	}
 
 	/**
-	 * Notes that the quota of the team holds the request.
+	 * Records that the quota of the team admits the request.
 	 */
 	void markPermitted() {
 		this.permitted = true;
@@ -159,8 +159,8 @@
 		return this.prefix;
 	}
 
-	void setPrefix(byte[] found) {
-		this.prefix = found;
+	void setPrefix(byte[] prefix) {
+		this.prefix = prefix;
 	}
 
 	int attempt() {
@@ -172,8 +172,8 @@
 	}
 
 	/**
-	 * Returns to how many upstreams the request went out.
-	 * @return the number
+	 * Returns the number of sends that count against the maximum attempts of the route.
+	 * @return the number of sends
 	 */
 	int sendCount() {
 		return this.sendCount;
@@ -194,8 +194,8 @@
 	}
 
 	/**
-	 * Returns whether the texts of the turns before are being brought.
-	 * @return whether they are
+	 * Returns whether the missing texts of the chain are being fetched.
+	 * @return {@code true} if a fetch has started
 	 */
 	boolean fetchingTexts() {
 		return this.fetchingTexts;
@@ -206,8 +206,8 @@
 	}
 
 	/**
-	 * Notes that the request is waited for longer than usual.
-	 * @return whether it was not before
+	 * Records that the wait for the chain is extended.
+	 * @return {@code true} on the first call
 	 */
 	boolean extendWait() {
 		boolean first = !this.waitExtended;
@@ -216,8 +216,9 @@
 	}
 
 	/**
-	 * Returns whether all relays hold the turn back, and not its keepers alone.
-	 * @return whether they do
+	 * Returns whether all relays hold a reservation for the turn, not only the replicas
+	 * of its program.
+	 * @return {@code true} if all relays hold one
 	 */
 	boolean reservedOnAll() {
 		return this.reservedOnAll;
@@ -249,16 +250,16 @@
 	}
 
 	/**
-	 * Returns when the upstream was last heard of, or the request sent to it.
-	 * @return milliseconds of a steady clock
+	 * Returns when the upstream last sent an event, or when the request was sent to it.
+	 * @return milliseconds of a monotonic clock
 	 */
 	long lastActivityAt() {
 		return this.lastActivityAt;
 	}
 
 	/**
-	 * Notes that the silence of the upstream is watched from now on.
-	 * @return whether it was not before
+	 * Records that the idle timer of the exchange is running.
+	 * @return {@code true} on the first call
 	 */
 	boolean markIdleTimerStarted() {
 		boolean first = !this.idleTimerStarted;
@@ -267,8 +268,8 @@
 	}
 
 	/**
-	 * Returns when the silence of the upstream is to be looked at next.
-	 * @return milliseconds of a steady clock
+	 * Returns when the upstream is next checked for being idle.
+	 * @return milliseconds of a monotonic clock
 	 */
 	long nextIdleCheck() {
 		return this.nextIdleCheck;
@@ -279,9 +280,9 @@
 	}
 
 	/**
-	 * Notes that the upstream of this attempt is looked at once more, since this relay
-	 * was late itself.
-	 * @return whether it was not before
+	 * Records that the idle timeout of the current attempt is extended once, because the
+	 * timer of this relay fired late.
+	 * @return {@code true} on the first call for the attempt
 	 */
 	boolean grantGrace() {
 		boolean first = !this.graceGranted;
@@ -331,32 +332,32 @@
 	}
 
 	/**
-	 * What an exchange waits for. Safe for use by several threads.
+	 * What an exchange is waiting for. Safe for use by several threads.
 	 */
 	enum Phase {
 
 		/**
-		 * For a permit of its team.
+		 * A permit from the quota of its team.
 		 */
 		WAITING_FOR_PERMIT,
 
 		/**
-		 * For the text of the turns before.
+		 * The texts of the previous turns.
 		 */
 		WAITING_FOR_CHAIN,
 
 		/**
-		 * For the log to tell whether the program's budget holds the turn.
+		 * The decision whether the budget of the program admits the turn.
 		 */
 		WAITING_FOR_BUDGET,
 
 		/**
-		 * For an upstream's answer.
+		 * The response of an upstream.
 		 */
 		RUNNING,
 
 		/**
-		 * For the log to hold the turn, before its end is passed on.
+		 * The log's confirmation of the turn, before the end of the stream is forwarded.
 		 */
 		STORING
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeCompletion.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ExchangeCompletion.java
@@ -11,8 +11,8 @@
 import io.lentilslip.core.verdict.Verdict;
 
 /**
- * How exchanges end: each is told, counted, settled and forgotten in one place. Used by
- * one thread.
+ * Completes exchanges: sends the last effect, records the outcome, settles the budget and
+ * removes the exchange. Used by one thread.
  */
 final class ExchangeCompletion {
 
@@ -25,15 +25,15 @@
 		this.state = state;
 	}
 
-	void refuseWithoutExchange(RelayEvent.RequestReceived asked, Refusal refusal, Optional<Duration> comeBack) {
-		this.state.report(RelayNotices.requestRefused(asked.head(), refusal));
-		this.state.emit(new RelayEffect.Refuse(asked.exchange(), refusal, comeBack));
+	void refuseWithoutExchange(RelayEvent.RequestReceived request, Refusal refusal, Optional<Duration> retryAfter) {
+		this.state.report(RelayNotices.requestRefused(request.head(), refusal));
+		this.state.emit(new RelayEffect.Refuse(request.exchange(), refusal, retryAfter));
 	}
 
-	void refuse(Exchange exchange, Refusal refusal, Optional<Duration> comeBack) {
+	void refuse(Exchange exchange, Refusal refusal, Optional<Duration> retryAfter) {
 		this.state.report(RelayNotices.requestRefused(exchange, refusal, this.state));
 		recordOutcome(exchange, Outcome.REFUSED);
-		close(exchange, new RelayEffect.Refuse(exchange.number(), refusal, comeBack));
+		close(exchange, new RelayEffect.Refuse(exchange.number(), refusal, retryAfter));
 	}
 
 	void abort(Exchange exchange, Refusal reason) {
@@ -54,17 +54,17 @@
 				outcome, latency, exchange.timeToFirstEvent())));
 	}
 
-	void close(Exchange exchange, RelayEffect last) {
-		this.state.emit(last);
+	void close(Exchange exchange, RelayEffect lastEffect) {
+		this.state.emit(lastEffect);
 		remove(exchange);
 	}
 
 	/**
-	 * Sets what takes each exchange that has ended.
-	 * @param taker takes it
+	 * Sets the listener for exchanges that are removed.
+	 * @param listener receives each exchange before its removal
 	 */
-	void onRemoved(Consumer<Exchange> taker) {
-		this.onRemoved = taker;
+	void onRemoved(Consumer<Exchange> listener) {
+		this.onRemoved = listener;
 	}
 
 	private void remove(Exchange exchange) {
@@ -82,8 +82,8 @@
 			abort(exchange, refusal);
 			return;
 		}
-		boolean worthAnother = refusal.verdict() == Verdict.NOT_RUN;
-		refuse(exchange, refusal, worthAnother ? Optional.of(RelaySettings.RETRY_AFTER) : Optional.empty());
+		boolean retryable = refusal.verdict() == Verdict.NOT_RUN;
+		refuse(exchange, refusal, retryable ? Optional.of(RelaySettings.RETRY_AFTER) : Optional.empty());
 	}
 
 	void settle(Exchange exchange, Optional<TextLocation> text) {
@@ -97,17 +97,18 @@
 	}
 
 	/**
-	 * Returns what a turn has taken of its program's budget.
+	 * Returns the entry that settles the tokens of a turn against the budget of its
+	 * program.
 	 * @param exchange the exchange of the turn
-	 * @param text where its text is, if it is kept
+	 * @param text the location of its text, if it is stored
 	 * @return the entry
 	 */
 	LedgerEntry.Settled settlement(Exchange exchange, Optional<TextLocation> text) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		int perEvent = this.state.engine(exchange.upstream().map(Upstream::service).orElse(""))
+		int tokensPerEvent = this.state.engine(exchange.upstream().map(Upstream::service).orElse(""))
 			.map(RouteTable.Engine::tokensPerEvent)
 			.orElse(1);
-		return new LedgerEntry.Settled(exchange.id(), turn.program(), exchange.eventCount() * perEvent, text);
+		return new LedgerEntry.Settled(exchange.id(), turn.program(), exchange.eventCount() * tokensPerEvent, text);
 	}
 
 	void callerDisconnected(Exchange exchange) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/PromptPart.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/PromptPart.java
@@ -1,10 +1,10 @@
 package io.lentilslip.core.relay;
 
 /**
- * A part of a prompt that an engine may hold in its cache. Immutable.
+ * Immutable part of a prompt that an engine may have in its prefix cache.
  *
- * @param id what names the part
- * @param tokens how many tokens it has
+ * @param id the identity of the part
+ * @param tokens the number of its tokens
  */
 public record PromptPart(long id, int tokens) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Refusal.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Refusal.java
@@ -3,82 +3,84 @@
 import io.lentilslip.core.verdict.Verdict;
 
 /**
- * Why a relay answers a request itself. Safe for use by several threads.
+ * The reasons for which a relay responds to a request itself, or aborts its response.
+ * Safe for use by several threads.
  */
 public enum Refusal {
 
 	/**
-	 * No route fits.
+	 * No route matches the host and path.
 	 */
 	NO_ROUTE(Verdict.NOT_RUN),
 
 	/**
-	 * The request has no API key, or one that no team holds.
+	 * The request has no API key, or its key belongs to no team.
 	 */
 	KEY_UNKNOWN(Verdict.NOT_RUN),
 
 	/**
-	 * The quota of the team is spent.
+	 * The quota of the team is exhausted.
 	 */
 	QUOTA_SPENT(Verdict.NOT_RUN),
 
 	/**
-	 * None of the relays that count for the team answers.
+	 * No relay that accounts for the quota of the team has responded.
 	 */
 	QUOTA_UNKNOWN(Verdict.NOT_RUN),
 
 	/**
-	 * The turn is too long for a record of the log.
+	 * The input of the turn exceeds the size that fits into a log record.
 	 */
 	TOO_LONG(Verdict.NOT_RUN),
 
 	/**
-	 * The program's budget does not hold this turn.
+	 * The turn would exceed the budget of its program.
 	 */
 	BUDGET_SPENT(Verdict.NOT_RUN),
 
 	/**
-	 * The relay has not read yet what it needs to decide.
+	 * The relay has not yet loaded the state that it needs to decide.
 	 */
 	NOT_READY(Verdict.NOT_RUN),
 
 	/**
-	 * The relay reaches neither the log nor another relay.
+	 * The relay reaches neither the log nor enough other relays.
 	 */
 	ISOLATED(Verdict.NOT_RUN),
 
 	/**
-	 * The relay does not reach the log, whose order would have to decide on the turn.
+	 * The log is needed to decide whether the budget admits the turn, and no decision was
+	 * reached in time.
 	 */
 	LOG_LOST(Verdict.NOT_RUN),
 
 	/**
-	 * The turn that is continued from is not found, and may exist.
+	 * The turn to continue was not found, but may exist.
 	 */
 	TURN_UNCERTAIN(Verdict.NOT_RUN),
 
 	/**
-	 * No upstream takes the request.
+	 * No upstream is available, or none accepted the request.
 	 */
 	NO_UPSTREAM(Verdict.NOT_RUN),
 
 	/**
-	 * The request broke off several upstreams and is not run again.
+	 * The request made several upstreams fail and is not run again.
 	 */
 	BLAMED(Verdict.NOT_RUN),
 
 	/**
-	 * The time ran out, and the request may have run.
+	 * The deadline has passed, and the request may have run.
 	 */
 	NO_ANSWER_IN_TIME(Verdict.MAY_HAVE_RUN),
 
 	/**
-	 * The upstream's answer was lost, and the request may have run.
+	 * The response of the upstream was lost, and the request may have run.
 	 */
 	ANSWER_LOST(Verdict.MAY_HAVE_RUN),
 
 	/**
-	 * The turn ran, and neither the log nor enough other relays took it in time.
+	 * The turn has run, but the log did not confirm it before the deadline.
 	 */
 	NOT_STORED_IN_TIME(Verdict.RAN);
 
@@ -89,7 +91,7 @@
 	}
 
 	/**
-	 * Returns what is known of the request's execution.
+	 * Returns what is known about the execution of the request.
 	 * @return the verdict
 	 */
 	public Verdict verdict() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Relay.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * The reducer of a relay: takes every event, and returns what is to be done about it. All
- * that a relay decides is decided here; it reads no clock and does no I/O. An exchange is
- * known from {@link RelayEvent.RequestReceived} until one of
+ * State machine of a relay: consumes events and returns effects. All decisions of a relay
+ * are made here, without reading a clock or doing I/O. An exchange exists from
+ * {@link RelayEvent.RequestReceived} until its caller disconnects or exactly one of
  * {@link RelayEffect.SendResponse}, {@link RelayEffect.EndStream},
- * {@link RelayEffect.AbortConnection} or {@link RelayEffect.Refuse} was returned for it,
- * exactly one of which ever is, or until its caller has left. Used by one thread.
+ * {@link RelayEffect.AbortConnection} and {@link RelayEffect.Refuse} has been returned
+ * for it. Used by one thread.
  */
 public final class Relay {
 
@@ -20,7 +20,7 @@
 
 	private final BudgetRules budgets;
 
-	private final ResponseRules answers;
+	private final ResponseRules responses;
 
 	private final LedgerRules ledger;
 
@@ -28,105 +28,108 @@
 
 	private final QuotaRules quotas;
 
-	private final ExchangeCompletion ends;
+	private final ExchangeCompletion completion;
 
 	/**
-	 * Creates a relay that knows nothing yet.
-	 * @param settings what it is set to
+	 * Creates a relay without any state loaded.
+	 * @param settings the settings
 	 */
 	public Relay(RelaySettings settings) {
 		this.state = new RelayState(settings);
-		this.ends = new ExchangeCompletion(this.state);
-		this.budgets = new BudgetRules(this.state, this.ends);
+		this.completion = new ExchangeCompletion(this.state);
+		this.budgets = new BudgetRules(this.state, this.completion);
 		this.site = new SiteRules(this.state, this.budgets);
-		this.texts = new TextRules(this.state, this.ends);
-		this.requests = new RequestRules(this.state, this.budgets, this.texts, this.ends);
+		this.texts = new TextRules(this.state, this.completion);
+		this.requests = new RequestRules(this.state, this.budgets, this.texts, this.completion);
 		this.quotas = this.requests.quotas();
-		this.answers = new ResponseRules(this.state, this.requests, this.texts, this.ends);
-		this.ledger = new LedgerRules(this.state, this.requests, this.budgets, this.ends);
+		this.responses = new ResponseRules(this.state, this.requests, this.texts, this.completion);
+		this.ledger = new LedgerRules(this.state, this.requests, this.budgets, this.completion);
 	}
 
 	/**
-	 * Takes an event.
-	 * @param event what happened
-	 * @return what is to be done, in order
+	 * Handles an event.
+	 * @param event the event
+	 * @return the effects to execute, in order
 	 */
 	public List<RelayEffect> handle(RelayEvent event) {
 		this.state.now = event.now();
 		switch (event) {
-			case RelayEvent.RequestReceived asked -> this.requests.requestReceived(asked);
-			case RelayEvent.AttemptEvent attempt -> this.answers.attemptEvent(attempt);
-			case RelayEvent.CallerDisconnected left -> this.state.find(left).ifPresent(this.ends::callerDisconnected);
-			case RelayEvent.TimerFired reminded ->
-				this.state.find(reminded).ifPresent((exchange) -> reminded(exchange, reminded.timer()));
-			case RelayEvent.EntriesReceived read -> this.ledger.entriesReceived(read);
-			case RelayEvent.ProcessResumed woken -> {
+			case RelayEvent.RequestReceived request -> this.requests.requestReceived(request);
+			case RelayEvent.AttemptEvent attemptEvent -> this.responses.attemptEvent(attemptEvent);
+			case RelayEvent.CallerDisconnected disconnected ->
+				this.state.find(disconnected).ifPresent(this.completion::callerDisconnected);
+			case RelayEvent.TimerFired fired ->
+				this.state.find(fired).ifPresent((exchange) -> timerFired(exchange, fired.timer()));
+			case RelayEvent.EntriesReceived received -> this.ledger.entriesReceived(received);
+			case RelayEvent.ProcessResumed resumed -> {
 				this.quotas.processResumed();
-				this.site.processResumed(woken.pause());
+				this.site.processResumed(resumed.pause());
 			}
 			case RelayEvent.CaughtUp caughtUp -> this.ledger.caughtUp(caughtUp);
 			case RelayEvent.SettlementsStored stored -> stored.requests().forEach(this.texts::entryStored);
 			case RelayEvent.TextsStored stored -> this.texts.textsStored(stored);
-			case RelayEvent.TurnWritesAcknowledged helped -> helped.requests().forEach(this.texts::endStream);
-			case RelayEvent.TextLocationsRequested asked -> this.texts.locationsRequested(asked);
-			case RelayEvent.TextLocationsReceived told -> {
-				this.texts.locationsReceived(told);
+			case RelayEvent.TurnWritesAcknowledged acknowledged ->
+				acknowledged.requests().forEach(this.texts::endStream);
+			case RelayEvent.TextLocationsRequested request -> this.texts.locationsRequested(request);
+			case RelayEvent.TextLocationsReceived received -> {
+				this.texts.locationsReceived(received);
 				this.requests.dispatchWaiting();
 			}
-			case RelayEvent.TextsRequested asked -> this.texts.textsRequested(asked);
-			case RelayEvent.TextsReceived told -> {
-				this.texts.textsReceived(told);
+			case RelayEvent.TextsRequested request -> this.texts.textsRequested(request);
+			case RelayEvent.TextsReceived received -> {
+				this.texts.textsReceived(received);
 				this.requests.dispatchWaiting();
 			}
 			case RelayEvent.TextRead read -> {
 				this.texts.textRead(read);
 				this.requests.dispatchWaiting();
 			}
-			case RelayEvent.ReservationRequested asked -> this.budgets.reservationRequested(asked);
-			case RelayEvent.UsageReceived told -> this.ledger.usageReceived(told);
-			case RelayEvent.UsageUnavailable unsure -> this.ledger.usageUnavailable(unsure);
-			case RelayEvent.LoadsReceived told -> this.state.upstreams.mergeLoads(told.loads(), event.now());
-			case RelayEvent.MembershipUpdated read -> {
-				if (this.state.replicas.update(read.members())) {
+			case RelayEvent.ReservationRequested request -> this.budgets.reservationRequested(request);
+			case RelayEvent.UsageReceived usage -> this.ledger.usageReceived(usage);
+			case RelayEvent.UsageUnavailable unavailable -> this.ledger.usageUnavailable(unavailable);
+			case RelayEvent.LoadsReceived received -> this.state.upstreams.mergeLoads(received.loads(), event.now());
+			case RelayEvent.MembershipUpdated updated -> {
+				if (this.state.replicas.update(updated.members())) {
 					this.quotas.membershipUpdated();
 				}
 			}
-			case RelayEvent.PermitsRequested asked -> this.quotas.permitsRequested(asked);
+			case RelayEvent.PermitsRequested request -> this.quotas.permitsRequested(request);
 			case RelayEvent.PermitsGranted granted -> this.quotas.permitsGranted(granted);
-			case RelayEvent.SyncRequested asked -> this.site.sendSync(asked.peer());
-			case RelayEvent.LogDecisionReceived told -> this.ledger.logDecisionReceived(told);
-			case RelayEvent.PeerConnected linked -> this.site.peerConnected(linked.peer());
-			case RelayEvent.SyncCompleted told -> this.site.syncReceived(told.peer(), told.otherRelays());
-			case RelayEvent.ListenerStarted opened -> this.state.name = opened.name();
-			case RelayEvent.PeerDisconnected lost -> this.site.peerDisconnected(lost.peer());
-			case RelayEvent.TurnWriteRequested asked -> this.texts.storeForPeer(asked);
+			case RelayEvent.SyncRequested request -> this.site.sendSync(request.peer());
+			case RelayEvent.LogDecisionReceived decision -> this.ledger.logDecisionReceived(decision);
+			case RelayEvent.PeerConnected connected -> this.site.peerConnected(connected.peer());
+			case RelayEvent.SyncCompleted completed ->
+				this.site.syncReceived(completed.peer(), completed.otherRelays());
+			case RelayEvent.ListenerStarted started -> this.state.name = started.name();
+			case RelayEvent.PeerDisconnected disconnected -> this.site.peerDisconnected(disconnected.peer());
+			case RelayEvent.TurnWriteRequested request -> this.texts.storeForPeer(request);
 			case RelayEvent.ConnectivityChanged changed -> this.site.connectivityChanged(changed.connectivity());
-			case RelayEvent.RouteTableUpdated read -> this.site.routeTableUpdated(read.table());
-			case RelayEvent.UpstreamsReplaced read -> this.state.upstreams.replace(read.upstreams());
-			case RelayEvent.UpstreamUpdated read -> this.site.upstreamUpdated(read.upstream());
-			case RelayEvent.UpstreamInvalid unusable -> this.site.upstreamInvalid(unusable.id(), unusable.problem());
-			case RelayEvent.UpstreamRemoved gone -> this.site.upstreamRemoved(gone.id());
+			case RelayEvent.RouteTableUpdated updated -> this.site.routeTableUpdated(updated.table());
+			case RelayEvent.UpstreamsReplaced replaced -> this.state.upstreams.replace(replaced.upstreams());
+			case RelayEvent.UpstreamUpdated updated -> this.site.upstreamUpdated(updated.upstream());
+			case RelayEvent.UpstreamInvalid invalid -> this.site.upstreamInvalid(invalid.id(), invalid.problem());
+			case RelayEvent.UpstreamRemoved removed -> this.site.upstreamRemoved(removed.id());
 		}
 		this.site.updateReadiness();
 		return this.state.drainEffects();
 	}
 
 	/**
-	 * Returns how many exchanges are under way.
+	 * Returns the number of exchanges in flight.
 	 * @return the number
 	 */
 	public int inFlight() {
 		return this.state.exchanges.size();
 	}
 
-	private void reminded(Exchange exchange, RelayEvent.TimerKind reminder) {
-		switch (reminder) {
-			case DEADLINE -> this.ends.deadlineExceeded(exchange);
+	private void timerFired(Exchange exchange, RelayEvent.TimerKind timer) {
+		switch (timer) {
+			case DEADLINE -> this.completion.deadlineExceeded(exchange);
 			case CHAIN_LOOKUP -> this.texts.chainTimedOut(exchange);
 			case TEXT_FETCH -> this.texts.textsTimedOut(exchange);
 			case BUDGET_DECISION -> this.budgets.decisionTimedOut(exchange);
 			case LOG_WRITE -> this.texts.storeTimedOut(exchange);
-			case UPSTREAM_IDLE -> this.answers.checkIdle(exchange);
+			case UPSTREAM_IDLE -> this.responses.checkIdle(exchange);
 			case PERMIT -> this.quotas.timerFired(exchange);
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayState.java
@@ -19,13 +19,13 @@
 import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
- * What a relay knows, and what is to be done about the event at hand. The rules read and
- * change it; a method here decides nothing. Used by one thread.
+ * Mutable state of a relay, with the effects of the current event. The rules read and
+ * change it; it makes no decisions itself. Used by one thread.
  */
 final class RelayState {
 
 	/**
-	 * A time before all others of a steady clock.
+	 * A time before all others of the monotonic clock.
 	 */
 	static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -42,7 +42,7 @@
 	final UncommittedEntries uncommitted;
 
 	/**
-	 * Which relays keep which program.
+	 * The relays of the site and the programs that each replicates.
 	 */
 	final ProgramReplicas replicas = new ProgramReplicas();
 
@@ -53,28 +53,29 @@
 	final UpstreamSelector upstreamSelector;
 
 	/**
-	 * The exchanges under way, by number.
+	 * The exchanges in flight, by number.
 	 */
 	final Map<Long, Exchange> exchanges = new HashMap<>();
 
 	/**
-	 * The turns of this relay whose end waits for the log, by request.
+	 * The turns of this relay that wait for the log before their streams end, by request.
 	 */
 	final Map<String, TextRules.PendingTurn> pendingTurns = new LinkedHashMap<>();
 
 	/**
-	 * The exchanges that wait for their place in the log, by request.
+	 * The exchanges whose conditional reservations wait for their order in the log, by
+	 * request.
 	 */
 	final Map<String, Long> conditionalReservations = new LinkedHashMap<>();
 
 	/**
-	 * The questions of this relay that are not decided yet, by request.
+	 * The undecided usage polls of this relay, by request.
 	 */
 	final Map<String, UsagePoll> polls = new LinkedHashMap<>();
 
 	/**
-	 * The questions of other relays whose turns get a place in the log here, by request.
-	 * Bounded: the oldest are given up, and their relays ask elsewhere.
+	 * The reservations that this relay appends to the log for other relays, by request.
+	 * Bounded: the oldest are dropped, and their relays retry elsewhere.
 	 */
 	final Map<String, RelayEvent.ReservationRequested> proxiedReservations = new LinkedHashMap<>() {
 		@Override
@@ -84,14 +85,14 @@
 	};
 
 	/**
-	 * The exchanges that wait for the text of the turns before, or for the log to be read
-	 * after a sleep, by number.
+	 * The exchanges that wait for the texts of their chains, or for the log to be read
+	 * after a pause of the process, by number.
 	 */
 	final Map<Long, Exchange> awaitingChain = new LinkedHashMap<>();
 
 	/**
-	 * The turns that are written for other relays, by request. Bounded: the oldest are
-	 * given up, and their relays ask again.
+	 * The turns that this relay writes for other relays, by request. Bounded: the oldest
+	 * are dropped, and their relays retry.
 	 */
 	final Map<String, TextRules.PeerTurn> peerTurns = new LinkedHashMap<>() {
 		@Override
@@ -101,37 +102,38 @@
 	};
 
 	/**
-	 * The turns whose texts are being read from the log. Each reading ends, found or not.
+	 * The turns whose texts are being read from the log. Each read ends with an event,
+	 * whether or not the text was found.
 	 */
 	final Set<String> pendingReads = new HashSet<>();
 
 	/**
-	 * The relays that this one is linked to.
+	 * The relays that this one is connected to.
 	 */
 	final Set<String> linkedPeers = new HashSet<>();
 
 	/**
-	 * The partition to which this relay writes texts.
+	 * The partition to which this relay appends texts.
 	 */
 	final int textPartition;
 
 	/**
-	 * How far quotas may be passed.
+	 * The amount by which the quotas of teams may be exceeded.
 	 */
 	final QuotaTolerance quotaTolerance;
 
 	/**
-	 * Where that partition ended when it was last heard of; negative before that.
+	 * The last known end offset of the text partition; negative if unknown.
 	 */
 	long textEndOffset = -1;
 
 	/**
-	 * When the log was last slow to store texts of this relay.
+	 * When an append of texts was last slow, by the monotonic clock.
 	 */
 	long logSlowAt = NEVER;
 
 	/**
-	 * The name by which other relays know this one; empty until it has a port for them.
+	 * The address by which other relays know this one; empty until it listens for them.
 	 */
 	String name = "";
 
@@ -149,7 +151,8 @@
 	boolean logWasRecent;
 
 	/**
-	 * Whether all is known here that programs were given, also without the log.
+	 * Whether this relay knows all reservations and settlements, including those that the
+	 * log does not have.
 	 */
 	boolean ledgerComplete;
 
@@ -180,7 +183,7 @@
 	}
 
 	/**
-	 * Writes an entry that nobody has to know before the log shows it.
+	 * Appends an entry that is not replicated.
 	 * @param entry the entry
 	 */
 	void write(LedgerEntry entry) {
@@ -188,8 +191,7 @@
 	}
 
 	/**
-	 * Writes an entry of a program, and tells it to the other relays that keep the
-	 * program.
+	 * Appends an entry and sends it to the other replicas of its program.
 	 * @param entry the entry
 	 * @param program the program
 	 */
@@ -198,9 +200,9 @@
 	}
 
 	/**
-	 * Writes an entry, and tells it to some relays.
+	 * Appends an entry and sends it to other relays.
 	 * @param entry the entry
-	 * @param report the relays
+	 * @param replicas the relays that it is sent to
 	 */
 	void write(LedgerEntry entry, List<String> replicas) {
 		recordUncommitted(entry);
@@ -208,8 +210,8 @@
 	}
 
 	/**
-	 * Notes what the log does not show yet. A turn that contends counts from its place
-	 * there on.
+	 * Records an entry as uncommitted. A conditional reservation is not counted until it
+	 * is read from the log, whose order decides on it.
 	 * @param entry the entry
 	 */
 	void recordUncommitted(LedgerEntry entry) {
@@ -219,31 +221,30 @@
 	}
 
 	List<String> otherReplicas(String program) {
-		return withoutOwn(this.replicas.replicasOf(program));
+		return excludingSelf(this.replicas.replicasOf(program));
 	}
 
 	List<String> otherRelays() {
-		return withoutOwn(this.replicas.addresses());
+		return excludingSelf(this.replicas.addresses());
 	}
 
-	private List<String> withoutOwn(Collection<String> relays) {
+	private List<String> excludingSelf(Collection<String> relays) {
 		return relays.stream().filter((relay) -> !relay.equals(this.name)).toList();
 	}
 
 	/**
-	 * Returns whether it is known which relays keep programs. One that has a port for
-	 * others and has not read yet who they are would decide alone on what they decide
-	 * together.
-	 * @return whether it is
+	 * Returns whether the relays of the site are known. Before that, a relay that listens
+	 * for others would decide without the other replicas.
+	 * @return {@code true} if they are known, or if this relay does not listen for others
 	 */
 	boolean membershipKnown() {
 		return this.replicas.hasMembers() || this.name.isEmpty();
 	}
 
 	/**
-	 * Returns whether this relay knows all that other relays gave to programs, as far as
-	 * it was told.
-	 * @return whether it does
+	 * Returns whether this relay knows all reservations and settlements, as far as it has
+	 * received them.
+	 * @return {@code true} if it has read the log since the last pause and misses none
 	 */
 	boolean upToDate() {
 		return this.caughtUp && !this.logStale && this.ledgerComplete;
@@ -254,9 +255,9 @@
 	}
 
 	List<RelayEffect> drainEffects() {
-		List<RelayEffect> taken = this.effects;
+		List<RelayEffect> drained = this.effects;
 		this.effects = new ArrayList<>();
-		return taken;
+		return drained;
 	}
 
 	Optional<Exchange> find(RelayEvent.ExchangeEvent event) {
@@ -268,7 +269,7 @@
 	}
 
 	Optional<RouteTable.Engine> engine(String service) {
-		return this.routeTable.flatMap((known) -> Optional.ofNullable(known.services().get(service)))
+		return this.routeTable.flatMap((table) -> Optional.ofNullable(table.services().get(service)))
 			.flatMap(RouteTable.Service::engine);
 	}
 
@@ -276,8 +277,8 @@
 		return engine(upstream.service()).map(RouteTable.Engine::cacheTokens).orElse(0L);
 	}
 
-	void startTimer(Exchange exchange, Duration delay, TimerKind reminder) {
-		emit(new RelayEffect.StartTimer(exchange.number(), delay, reminder));
+	void startTimer(Exchange exchange, Duration delay, TimerKind timer) {
+		emit(new RelayEffect.StartTimer(exchange.number(), delay, timer));
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Repeatability.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Repeatability.java
@@ -1,12 +1,13 @@
 package io.lentilslip.core.relay;
 
 /**
- * What a route allows to be repeated. Safe for use by several threads.
+ * The execution guarantee of a route's requests, which decides on retries. Safe for use
+ * by several threads.
  */
 public enum Repeatability {
 
 	/**
-	 * Requests may run more than once.
+	 * A request may run several times.
 	 */
 	IDEMPOTENT,
 
@@ -16,8 +17,8 @@
 	AT_MOST_ONCE,
 
 	/**
-	 * The answer is a stream of numbered events; a request runs at most once, unless its
-	 * route may be resumed.
+	 * The response is a stream of numbered events. A request runs at most once, unless
+	 * the route is resumable.
 	 */
 	STREAM
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestHead.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestHead.java
@@ -6,20 +6,21 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller's request says of itself, decoded. Immutable and safe for use by several
+ * Immutable view of the decoded head of a caller's request. Safe for use by several
  * threads.
  *
- * @param id the id of this attempt of the caller
+ * @param id the request id, unique for each attempt of the caller
  * @param host the host, without a port
  * @param path the path, without a query
- * @param callerTimeout how long the caller waits; empty if it doesn't say
- * @param turn what it says as a turn of a program
+ * @param callerTimeout how long the caller waits for the response; empty if unspecified
+ * @param turn the turn, if the request is one of a program
  * @param prompt the parts of its prompt, in order
- * @param promptTokens the tokens of its prompt
- * @param lastEvent the last event that the caller has of an earlier attempt
- * @param affinityKey names the object that the request is about; requests about one
- * object share it
- * @param origin where it comes from
+ * @param promptTokens the number of tokens of its prompt
+ * @param lastEvent the number of the last event that the caller received in an earlier
+ * attempt
+ * @param affinityKey the object that the request concerns, the same for all requests
+ * about it
+ * @param origin the program and API key that the request comes from
  */
 public record RequestHead(String id, String host, String path, Optional<Duration> callerTimeout, Optional<Turn> turn,
 		List<PromptPart> prompt, int promptTokens, OptionalLong lastEvent, Optional<String> affinityKey,
@@ -27,68 +28,71 @@
 
 	/**
 	 * Creates a head.
-	 * @param id the id of this attempt of the caller
+	 * @param id the request id, unique for each attempt of the caller
 	 * @param host the host, without a port
 	 * @param path the path, without a query
-	 * @param callerTimeout how long the caller waits; empty if it doesn't say
-	 * @param turn what it says as a turn of a program
+	 * @param callerTimeout how long the caller waits for the response; empty if
+	 * unspecified
+	 * @param turn the turn, if the request is one of a program
 	 * @param prompt the parts of its prompt, in order
-	 * @param promptTokens the tokens of its prompt
-	 * @param lastEvent the last event that the caller has of an earlier attempt
-	 * @param affinityKey names the object that the request is about; requests about one
-	 * object share it
-	 * @param origin where it comes from
+	 * @param promptTokens the number of tokens of its prompt
+	 * @param lastEvent the number of the last event that the caller received in an
+	 * earlier attempt
+	 * @param affinityKey the object that the request concerns, the same for all requests
+	 * about it
+	 * @param origin the program and API key that the request comes from
 	 */
 	public RequestHead {
 		prompt = List.copyOf(prompt);
 	}
 
 	/**
-	 * Returns the program that the request is part of.
-	 * @return the program, or empty if it is part of none
+	 * Returns the program that the request belongs to.
+	 * @return the program, or empty if there is none
 	 */
 	public Optional<String> program() {
 		return this.origin.program();
 	}
 
 	/**
-	 * Returns the head as that of a team's request: its program, the turn that it
-	 * continues from and its object are those of the team, and of no other team that
-	 * gives them the same names. The id stays, since upstreams and operators know it.
+	 * Returns a copy whose program, previous turn and affinity key are scoped to a team,
+	 * so that equal names of other teams refer to other objects. The request id is
+	 * unchanged, since upstreams and operators use it.
 	 * @param team the team
-	 * @return the head
+	 * @return the scoped head
 	 */
 	RequestHead scopedTo(Team team) {
 		return new RequestHead(this.id, this.host, this.path, this.callerTimeout,
-				this.turn.map((known) -> new Turn(team.scopedId(known.program()), known.budget(), known.maxTokens(),
-						known.previous().map(team::scopedId))),
+				this.turn.map((turn) -> new Turn(team.scopedId(turn.program()), turn.budget(), turn.maxTokens(),
+						turn.previous().map(team::scopedId))),
 				this.prompt, this.promptTokens, this.lastEvent, this.affinityKey.map(team::scopedId),
 				new Origin(this.origin.program().map(team::scopedId), this.origin.key()));
 	}
 
 	/**
-	 * Immutable view of where a request comes from.
+	 * Immutable view of the origin of a request.
 	 *
-	 * @param program the program that it is part of
-	 * @param key the digest of its API key; empty if it has none or none that can be read
+	 * @param program the program that the request belongs to
+	 * @param key the digest of its API key; empty if there is none or it is unreadable
 	 */
 	public record Origin(Optional<String> program, Optional<KeyDigest> key) {
 
 		/**
-		 * A request that says nothing of its origin.
+		 * The origin of a request without a program or an API key.
 		 */
 		public static final Origin UNKNOWN = new Origin(Optional.empty(), Optional.empty());
 
 	}
 
 	/**
-	 * What a request says as a turn of a program. Immutable.
+	 * Immutable view of a request as the turn of a program.
 	 *
 	 * @param program the program
-	 * @param budget the tokens that all turns of the program may generate; empty if there
-	 * is no bound
-	 * @param most the most tokens that this turn generates
-	 * @param previous the turn that it continues from; empty at the start of a chain
+	 * @param budget the tokens that all turns of the program may generate together; empty
+	 * if unlimited
+	 * @param maxTokens the maximum number of tokens that this turn may generate
+	 * @param previous the turn that this one continues; empty for the first turn of a
+	 * chain
 	 */
 	public record Turn(String program, OptionalLong budget, int maxTokens, Optional<String> previous) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RequestRules.java
@@ -10,8 +10,8 @@
 import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
- * What becomes of a caller's request up to its sending: route, chain, budget and
- * upstream. Used by one thread.
+ * Handles a caller's request until it is sent to an upstream: route, quota, chain, budget
+ * and upstream selection. Used by one thread.
  */
 final class RequestRules {
 
@@ -21,45 +21,45 @@
 
 	private final TextRules texts;
 
-	private final ExchangeCompletion ends;
+	private final ExchangeCompletion completion;
 
 	private final QuotaRules quotas;
 
-	RequestRules(RelayState state, BudgetRules budgets, TextRules texts, ExchangeCompletion ends) {
+	RequestRules(RelayState state, BudgetRules budgets, TextRules texts, ExchangeCompletion completion) {
 		this.state = state;
 		this.budgets = budgets;
 		this.texts = texts;
-		this.ends = ends;
-		this.quotas = new QuotaRules(state, ends, this::admitted);
-		ends.onRemoved(this.quotas::exchangeEnded);
+		this.completion = completion;
+		this.quotas = new QuotaRules(state, completion, this::admitted);
+		completion.onRemoved(this.quotas::exchangeEnded);
 	}
 
 	QuotaRules quotas() {
 		return this.quotas;
 	}
 
-	void requestReceived(RelayEvent.RequestReceived asked) {
+	void requestReceived(RelayEvent.RequestReceived request) {
 		if (this.state.routeTable.isEmpty() || !this.state.upstreams.initialized()) {
-			boolean turn = asked.head().turn().isPresent();
-			this.ends.refuseWithoutExchange(asked, Refusal.NOT_READY,
+			boolean turn = request.head().turn().isPresent();
+			this.completion.refuseWithoutExchange(request, Refusal.NOT_READY,
 					Optional.of(turn ? RelaySettings.RETRY_AFTER_LOG_READ : RelaySettings.RETRY_AFTER_RECOVERY));
 			return;
 		}
 		RouteTable table = this.state.routeTable.get();
-		Optional<Route> route = table.find(asked.head().host(), asked.head().path());
-		Optional<CallerIdentity> caller = table.identify(route, asked.head().origin().key());
+		Optional<Route> route = table.find(request.head().host(), request.head().path());
+		Optional<CallerIdentity> caller = table.identify(route, request.head().origin().key());
 		if (caller.isEmpty()) {
-			this.ends.refuseWithoutExchange(asked, Refusal.KEY_UNKNOWN, Optional.empty());
+			this.completion.refuseWithoutExchange(request, Refusal.KEY_UNKNOWN, Optional.empty());
 			return;
 		}
 		if (route.isEmpty()) {
-			this.ends.refuseWithoutExchange(asked, Refusal.NO_ROUTE, Optional.empty());
+			this.completion.refuseWithoutExchange(request, Refusal.NO_ROUTE, Optional.empty());
 			return;
 		}
-		Exchange exchange = new Exchange(asked, route.get(), caller.get());
-		this.state.exchanges.put(asked.exchange(), exchange);
+		Exchange exchange = new Exchange(request, route.get(), caller.get());
+		this.state.exchanges.put(request.exchange(), exchange);
 		if (this.state.poisonRequests.isPoison(exchange.digest())) {
-			this.ends.refuse(exchange, Refusal.BLAMED, Optional.empty());
+			this.completion.refuse(exchange, Refusal.BLAMED, Optional.empty());
 			return;
 		}
 		this.state.startTimer(exchange, exchange.remaining(this.state.now), TimerKind.DEADLINE);
@@ -70,8 +70,8 @@
 	}
 
 	private void admitted(Exchange exchange) {
-		boolean waits = this.state.logStale || !this.texts.resolveChain(exchange);
-		if (exchange.head().turn().isEmpty() || !waits) {
+		boolean mustWait = this.state.logStale || !this.texts.resolveChain(exchange);
+		if (exchange.head().turn().isEmpty() || !mustWait) {
 			dispatch(exchange);
 			return;
 		}
@@ -84,32 +84,31 @@
 	}
 
 	private boolean refuseTurn(Exchange exchange) {
-		// A turn that no record can hold would run and never end: its end waits for the
-		// log, and the entries behind it would wait with it.
+		// The end of a turn waits until the log has its text. A text that exceeds a log
+		// record would block this turn and the entries queued behind it.
 		if (exchange.route().storesTurns() && exchange.request().body().length > this.state.maxInputBytes) {
-			this.ends.refuse(exchange, Refusal.TOO_LONG, Optional.empty());
+			this.completion.refuse(exchange, Refusal.TOO_LONG, Optional.empty());
 			return true;
 		}
-		// Where a text stands is told before it is written. Told by a relay that does
-		// not know the end of its partition, others would look for it from the first
-		// record on, and give up before they find it.
-		boolean placeUnknown = exchange.route().storesTurns() && this.state.textEndOffset < 0;
-		if (!this.state.caughtUp || !this.state.membershipKnown() || placeUnknown) {
-			this.ends.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.RETRY_AFTER_LOG_READ));
+		// A location is sent to other relays before the text is appended. Without the
+		// end offset of the partition, they would search it from its start and time
+		// out.
+		boolean locationUnknown = exchange.route().storesTurns() && this.state.textEndOffset < 0;
+		if (!this.state.caughtUp || !this.state.membershipKnown() || locationUnknown) {
+			this.completion.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.RETRY_AFTER_LOG_READ));
 			return true;
 		}
-		// A relay that reaches nobody can't see what a program spends elsewhere, and
-		// would give it more than its budget. Refused here, the caller goes to a relay
-		// that can see.
+		// An isolated relay can't see what a program uses elsewhere and could exceed
+		// its budget. The caller can retry at another relay.
 		if (this.state.connectivity == Connectivity.NOTHING) {
-			this.ends.refuse(exchange, Refusal.ISOLATED, Optional.of(RelaySettings.RETRY_AFTER));
+			this.completion.refuse(exchange, Refusal.ISOLATED, Optional.of(RelaySettings.RETRY_AFTER));
 			return true;
 		}
 		return false;
 	}
 
 	/**
-	 * Goes on with the turns whose texts before are at hand by now.
+	 * Dispatches the waiting turns whose chains are now complete.
 	 */
 	void dispatchWaiting() {
 		if (this.state.logStale) {
@@ -127,16 +126,16 @@
 		if (!exchange.reserved()) {
 			switch (this.budgets.admit(exchange)) {
 				case REFUSED -> {
-					this.ends.refuse(exchange, Refusal.BUDGET_SPENT, Optional.empty());
+					this.completion.refuse(exchange, Refusal.BUDGET_SPENT, Optional.empty());
 					return;
 				}
 				case UNDECIDED -> {
-					Optional<Boolean> held = this.budgets.requestDecision(exchange);
-					if (held.isEmpty()) {
+					Optional<Boolean> decision = this.budgets.requestDecision(exchange);
+					if (decision.isEmpty()) {
 						return;
 					}
-					if (!held.get()) {
-						this.ends.giveUp(exchange, Refusal.BUDGET_SPENT);
+					if (!decision.get()) {
+						this.completion.giveUp(exchange, Refusal.BUDGET_SPENT);
 						return;
 					}
 				}
@@ -144,54 +143,54 @@
 				}
 			}
 		}
-		List<RankedUpstream> weighed = weigh(exchange);
-		if (weighed.isEmpty()) {
-			this.ends.giveUp(exchange, exchange.mayHaveRun() ? Refusal.ANSWER_LOST : Refusal.NO_UPSTREAM);
+		List<RankedUpstream> ranked = rank(exchange);
+		if (ranked.isEmpty()) {
+			this.completion.giveUp(exchange, exchange.mayHaveRun() ? Refusal.ANSWER_LOST : Refusal.NO_UPSTREAM);
 			return;
 		}
-		send(exchange, weighed);
+		send(exchange, ranked);
 	}
 
 	/**
-	 * Sends a request whose upstream is silent to another one, if one has a free place: a
-	 * connection may be gone without a word, and only time tells. Where all are busy the
-	 * silence is a queue, and going to the end of another one helps nobody. Only for
-	 * requests that may run twice.
+	 * Sends a request whose upstream is idle to another upstream, if one has a free slot.
+	 * This detects connections that were lost without a reset. If all upstreams are busy,
+	 * the request is probably queued and would only lose its position. Only for
+	 * repeatable requests.
 	 * @param exchange the exchange
 	 */
 	void replaceIdleUpstream(Exchange exchange) {
-		List<RankedUpstream> next = weigh(exchange).stream().filter(this::free).toList();
-		boolean blamed = this.state.poisonRequests.isPoison(exchange.digest());
-		if (next.isEmpty() || blamed || exchange.sendCount() >= exchange.route().maxAttempts()) {
+		List<RankedUpstream> next = rank(exchange).stream().filter(this::hasFreeSlot).toList();
+		boolean poison = this.state.poisonRequests.isPoison(exchange.digest());
+		if (next.isEmpty() || poison || exchange.sendCount() >= exchange.route().maxAttempts()) {
 			return;
 		}
 		exchange.markMayHaveRun();
-		this.ends.cancelAttempt(exchange);
-		this.state.upstreamOf(exchange).ifPresent((known) -> known.recordFailure(this.state.now));
+		this.completion.cancelAttempt(exchange);
+		this.state.upstreamOf(exchange).ifPresent((upstream) -> upstream.recordFailure(this.state.now));
 		this.state.report(RelayNotices.upstreamIdle(exchange, this.state.now));
 		send(exchange, next);
 	}
 
-	private boolean free(RankedUpstream weighed) {
-		UpstreamState known = weighed.state();
-		return !known.isEjected(this.state.now) && weighed.load() < known.slots();
+	private boolean hasFreeSlot(RankedUpstream ranked) {
+		UpstreamState candidate = ranked.state();
+		return !candidate.isEjected(this.state.now) && ranked.load() < candidate.slots();
 	}
 
-	private List<RankedUpstream> weigh(Exchange exchange) {
-		String service = service(exchange.route());
+	private List<RankedUpstream> rank(Exchange exchange) {
+		String service = selectService(exchange.route());
 		boolean engine = this.state.engine(service).isPresent();
-		boolean warm = exchange.route().affinity() && !engine;
-		Optional<String> object = exchange.head().affinityKey().filter((name) -> warm);
+		boolean useAffinity = exchange.route().affinity() && !engine;
+		Optional<String> affinityKey = exchange.head().affinityKey().filter((key) -> useAffinity);
 		return this.state.upstreamSelector.rank(this.state.upstreams.available(service), exchange.triedUpstreams(),
-				exchange.head().prompt(), engine, object, this.state.now);
+				exchange.head().prompt(), engine, affinityKey, this.state.now);
 	}
 
-	private String service(Route route) {
-		double total = 0;
+	private String selectService(Route route) {
+		double totalWeight = 0;
 		for (Route.WeightedService target : route.services()) {
-			total += target.weight();
+			totalWeight += target.weight();
 		}
-		double point = this.state.random.nextDouble() * total;
+		double point = this.state.random.nextDouble() * totalWeight;
 		for (Route.WeightedService target : route.services()) {
 			point -= target.weight();
 			if (point < 0) {
@@ -201,14 +200,14 @@
 		return route.services().getLast().service();
 	}
 
-	private void send(Exchange exchange, List<RankedUpstream> weighed) {
-		UpstreamState known = weighed.getFirst().state();
-		Upstream upstream = known.upstream();
+	private void send(Exchange exchange, List<RankedUpstream> ranked) {
+		UpstreamState candidate = ranked.getFirst().state();
+		Upstream upstream = candidate.upstream();
 		exchange.recordSend(upstream, this.state.now);
-		this.state.report(RelayNotices.requestPlaced(exchange, weighed, this.state));
-		this.state.upstreams.requestSent(exchange.id(), known, this.state.now);
+		this.state.report(RelayNotices.requestPlaced(exchange, ranked, this.state));
+		this.state.upstreams.requestSent(exchange.id(), candidate, this.state.now);
 		List<PromptPart> prompt = exchange.head().prompt();
-		known.addToCache(prompt, this.state.cacheTokens(upstream));
+		candidate.addToCache(prompt, this.state.cacheTokens(upstream));
 		exchange.head().turn().ifPresent((turn) -> reserve(exchange, turn, upstream, prompt));
 		if (exchange.route().repeatable() && exchange.markIdleTimerStarted()) {
 			this.state.idleTimeout.start(exchange);
@@ -226,22 +225,22 @@
 	}
 
 	/**
-	 * Sends a request once more if its route, its time and what it has done allow it, and
-	 * ends it otherwise.
+	 * Retries a request, if its route, its deadline and its execution so far allow it,
+	 * and fails the exchange otherwise.
 	 * @param exchange the exchange
 	 */
 	void retry(Exchange exchange) {
 		boolean allowed = !exchange.mayHaveRun() || exchange.route().repeatable();
-		boolean blamed = this.state.poisonRequests.isPoison(exchange.digest());
-		if (allowed && !blamed && exchange.sendCount() < exchange.route().maxAttempts()
+		boolean poison = this.state.poisonRequests.isPoison(exchange.digest());
+		if (allowed && !poison && exchange.sendCount() < exchange.route().maxAttempts()
 				&& this.state.now < exchange.deadline()) {
-			List<RankedUpstream> next = weigh(exchange);
+			List<RankedUpstream> next = rank(exchange);
 			if (!next.isEmpty()) {
 				send(exchange, next);
 				return;
 			}
 		}
-		this.ends.giveUp(exchange, exchange.mayHaveRun() ? Refusal.ANSWER_LOST : Refusal.NO_UPSTREAM);
+		this.completion.giveUp(exchange, exchange.mayHaveRun() ? Refusal.ANSWER_LOST : Refusal.NO_UPSTREAM);
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseHead.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseHead.java
@@ -6,14 +6,14 @@
 import io.lentilslip.core.call.Header;
 
 /**
- * The head of an upstream's answer, decoded. Immutable and safe for use by several
+ * Immutable view of the decoded head of an upstream's response. Safe for use by several
  * threads.
  *
- * @param status the status
- * @param headers the headers that the caller is given
- * @param notRun whether the upstream says that it did not and will not run the request
- * @param signed whether the upstream signed the answer
- * @param load the upstream's own count of its requests, if it tells it
+ * @param status the HTTP status
+ * @param headers the headers to pass on to the caller
+ * @param notRun whether the upstream states that it has not run the request and will not
+ * @param signed whether the upstream signed the response
+ * @param load the upstream's own request counts, if it reports them
  */
 public record ResponseHead(int status, List<Header> headers, boolean notRun, boolean signed, Optional<Load> load) {
 
@@ -25,44 +25,44 @@
 
 	/**
 	 * Creates a head.
-	 * @param status the status
-	 * @param headers the headers that the caller is given
-	 * @param notRun whether the upstream says that it did not and will not run the
-	 * request
-	 * @param signed whether the upstream signed the answer
-	 * @param load the upstream's own count of its requests, if it tells it
+	 * @param status the HTTP status
+	 * @param headers the headers to pass on to the caller
+	 * @param notRun whether the upstream states that it has not run the request and will
+	 * not
+	 * @param signed whether the upstream signed the response
+	 * @param load the upstream's own request counts, if it reports them
 	 */
 	public ResponseHead {
 		headers = List.copyOf(headers);
 	}
 
 	/**
-	 * Returns whether the status is that of a success.
-	 * @return whether it is
+	 * Returns whether the status is 2xx.
+	 * @return {@code true} if the status is 2xx
 	 */
 	public boolean successful() {
 		return this.status >= SUCCESS && this.status < REDIRECTION;
 	}
 
 	/**
-	 * Returns whether the request named another upstream than the one that answered.
-	 * @return whether it did
+	 * Returns whether the request named another upstream than the one that responded.
+	 * @return {@code true} if the status is 421
 	 */
 	boolean misdirected() {
 		return this.status == MISDIRECTED;
 	}
 
 	/**
-	 * An upstream's own count of its requests. Immutable.
+	 * Immutable view of an upstream's own request counts.
 	 *
-	 * @param running the requests that run
-	 * @param waiting the requests that wait
+	 * @param running the requests in execution
+	 * @param waiting the requests in its queue
 	 */
 	public record Load(int running, int waiting) {
 
 		/**
-		 * Returns how many requests the upstream has.
-		 * @return those that run and those that wait
+		 * Returns the total number of requests.
+		 * @return the running and the queued requests
 		 */
 		int requests() {
 			return this.running + this.waiting;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseRules.java
@@ -9,8 +9,8 @@
 import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
- * What becomes of an attempt at an upstream: passed on, sent again, or given up. Used by
- * one thread.
+ * Handles the events of an attempt at an upstream: forwards responses, retries, or fails
+ * the exchange. Used by one thread.
  */
 final class ResponseRules {
 
@@ -20,13 +20,13 @@
 
 	private final TextRules texts;
 
-	private final ExchangeCompletion ends;
+	private final ExchangeCompletion completion;
 
-	ResponseRules(RelayState state, RequestRules requests, TextRules texts, ExchangeCompletion ends) {
+	ResponseRules(RelayState state, RequestRules requests, TextRules texts, ExchangeCompletion completion) {
 		this.state = state;
 		this.requests = requests;
 		this.texts = texts;
-		this.ends = ends;
+		this.completion = completion;
 	}
 
 	void attemptEvent(RelayEvent.AttemptEvent event) {
@@ -36,17 +36,17 @@
 		}
 		Exchange exchange = found.get();
 		switch (event) {
-			case RelayEvent.ResponseReceived answered -> responseReceived(exchange, answered);
+			case RelayEvent.ResponseReceived response -> responseReceived(exchange, response);
 			case RelayEvent.StreamOpened opened -> streamOpened(exchange, opened);
-			case RelayEvent.StreamEventReceived arrived -> eventArrived(exchange, arrived);
+			case RelayEvent.StreamEventReceived received -> eventReceived(exchange, received);
 			case RelayEvent.StreamEnded ended -> streamEnded(exchange);
-			case RelayEvent.AttemptFailed failed -> failed(exchange, failed.cause());
+			case RelayEvent.AttemptFailed failed -> attemptFailed(exchange, failed.cause());
 		}
 	}
 
-	private void responseReceived(Exchange exchange, RelayEvent.ResponseReceived answered) {
-		ResponseHead head = answered.head();
-		Optional<UpstreamState> known = this.state.upstreamOf(exchange);
+	private void responseReceived(Exchange exchange, RelayEvent.ResponseReceived response) {
+		ResponseHead head = response.head();
+		Optional<UpstreamState> upstream = this.state.upstreamOf(exchange);
 		this.state.upstreams.requestEnded(exchange.id());
 		recordLoad(exchange, head);
 		if (head.notRun()) {
@@ -58,45 +58,45 @@
 		}
 		exchange.markMayHaveRun();
 		if (head.successful() && !head.signed()) {
-			failed(exchange, FailureCause.UNREADABLE);
+			attemptFailed(exchange, FailureCause.UNREADABLE);
 			return;
 		}
-		known.ifPresent(UpstreamState::recordSuccess);
+		upstream.ifPresent(UpstreamState::recordSuccess);
 		this.state.idleTimeout.recordFirstResponse(exchange);
-		this.ends.settle(exchange, Optional.empty());
+		this.completion.settle(exchange, Optional.empty());
 		if (exchange.streamOpened()) {
-			this.ends.abort(exchange, Refusal.ANSWER_LOST);
+			this.completion.abort(exchange, Refusal.ANSWER_LOST);
 			return;
 		}
 		this.state.report(RelayNotices.requestAnswered(exchange, head.status(), this.state.now));
-		this.ends.recordOutcome(exchange, Outcome.ANSWERED);
-		this.ends.close(exchange, new RelayEffect.SendResponse(exchange.number(), head, answered.body()));
+		this.completion.recordOutcome(exchange, Outcome.ANSWERED);
+		this.completion.close(exchange, new RelayEffect.SendResponse(exchange.number(), head, response.body()));
 	}
 
 	/**
-	 * Takes that another upstream answers at the address: the life that was named is
-	 * over, though the list still has it. It answers faster than any other does, so that
-	 * it would be chosen again and again; and nobody runs the request there, so that
-	 * another may.
+	 * Ejects an upstream whose address now belongs to another one, although the list of
+	 * upstreams still names it. Its immediate rejections look like fast responses, so it
+	 * would otherwise be selected again. The attempt doesn't count, since the request was
+	 * not run.
 	 * @param exchange the exchange
 	 */
 	private void misdirected(Exchange exchange) {
-		this.state.upstreamOf(exchange).ifPresent((known) -> known.recordFailure(this.state.now));
+		this.state.upstreamOf(exchange).ifPresent((upstream) -> upstream.recordFailure(this.state.now));
 		this.state.report(RelayNotices.misdirected(exchange, this.state.now));
 		exchange.markNotSent();
 	}
 
 	private void recordLoad(Exchange exchange, ResponseHead head) {
 		this.state.upstreamOf(exchange)
-			.ifPresent((known) -> head.load()
-				.ifPresent((load) -> this.state.upstreams.loadReported(known, load.requests(), this.state.now)));
+			.ifPresent((upstream) -> head.load()
+				.ifPresent((load) -> this.state.upstreams.loadReported(upstream, load.requests(), this.state.now)));
 	}
 
 	private void streamOpened(Exchange exchange, RelayEvent.StreamOpened opened) {
 		exchange.markMayHaveRun();
 		recordLoad(exchange, opened.head());
 		if (!opened.head().signed()) {
-			failed(exchange, FailureCause.UNREADABLE);
+			attemptFailed(exchange, FailureCause.UNREADABLE);
 			return;
 		}
 		if (!exchange.streamOpened()) {
@@ -105,12 +105,12 @@
 		}
 	}
 
-	private void eventArrived(Exchange exchange, RelayEvent.StreamEventReceived event) {
+	private void eventReceived(Exchange exchange, RelayEvent.StreamEventReceived event) {
 		if (exchange.hasEvent(event.number())) {
 			return;
 		}
 		if (!exchange.expectsEvent(event.number())) {
-			failed(exchange, FailureCause.UNREADABLE);
+			attemptFailed(exchange, FailureCause.UNREADABLE);
 			return;
 		}
 		if (exchange.eventCount() == 0) {
@@ -124,15 +124,15 @@
 		this.state.upstreams.requestEnded(exchange.id());
 		this.state.upstreamOf(exchange).ifPresent(UpstreamState::recordSuccess);
 		if (!exchange.route().storesTurns() || exchange.head().turn().isEmpty()) {
-			this.ends.settle(exchange, Optional.empty());
-			this.ends.endStream(exchange);
+			this.completion.settle(exchange, Optional.empty());
+			this.completion.endStream(exchange);
 			return;
 		}
 		this.texts.streamEnded(exchange);
 	}
 
 	/**
-	 * Looks whether an upstream has been silent for too long.
+	 * Retries a request at another upstream if its upstream has been idle for too long.
 	 * @param exchange the exchange
 	 */
 	void checkIdle(Exchange exchange) {
@@ -145,7 +145,7 @@
 		}
 	}
 
-	private void failed(Exchange exchange, FailureCause cause) {
+	private void attemptFailed(Exchange exchange, FailureCause cause) {
 		this.state.upstreams.requestEnded(exchange.id());
 		this.state.upstreamOf(exchange).ifPresent((upstream) -> upstream.recordFailure(this.state.now));
 		this.state.report(RelayNotices.attemptFailed(exchange, cause, this.state.now));
@@ -164,11 +164,11 @@
 		if (cause != FailureCause.BROKEN || exchange.upstream().isEmpty()) {
 			return;
 		}
-		String upstream = exchange.upstream().get().incarnationId();
-		this.state.poisonRequests.recordFailure(exchange.digest(), upstream);
-		this.state.emit(
-				new RelayEffect.AppendEntry(new LedgerEntry.UpstreamFailed(exchange.id(), exchange.digest(), upstream),
-						List.copyOf(this.state.linkedPeers)));
+		String incarnation = exchange.upstream().get().incarnationId();
+		this.state.poisonRequests.recordFailure(exchange.digest(), incarnation);
+		this.state.emit(new RelayEffect.AppendEntry(
+				new LedgerEntry.UpstreamFailed(exchange.id(), exchange.digest(), incarnation),
+				List.copyOf(this.state.linkedPeers)));
 	}
 
 }
