--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/DuplicateEntryCounterTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/DuplicateEntryCounterTests.java
@@ -10,19 +10,19 @@
 
 class DuplicateEntryCounterTests {
 
-	private final DuplicateEntryCounter copies = new DuplicateEntryCounter();
+	private final DuplicateEntryCounter counter = new DuplicateEntryCounter();
 
 	@Test
-	void copiesAreTakenOnceByTheirKind() {
+	void duplicatesAreCountedByKindAndDrained() {
 		LedgerEntry settled = RelayFixture.settledTurn("t", null);
-		this.copies.add(settled);
-		this.copies.add(settled);
-		this.copies.add(new LedgerEntry.Reserved("t", "p", 7, "", List.of(), false));
-		assertThat(this.copies.drain()).containsExactly(new Measurement.LogCopies(Kind.RESERVED, 1),
+		this.counter.add(settled);
+		this.counter.add(settled);
+		this.counter.add(new LedgerEntry.Reserved("t", "p", 7, "", List.of(), false));
+		assertThat(this.counter.drain()).containsExactly(new Measurement.LogCopies(Kind.RESERVED, 1),
 				new Measurement.LogCopies(Kind.SETTLED, 2));
-		assertThat(this.copies.drain()).isEmpty();
-		this.copies.add(new LedgerEntry.UpstreamFailed("t", 1, "u"));
-		assertThat(this.copies.drain()).containsExactly(new Measurement.LogCopies(Kind.BLAMED, 1));
+		assertThat(this.counter.drain()).isEmpty();
+		this.counter.add(new LedgerEntry.UpstreamFailed("t", 1, "u"));
+		assertThat(this.counter.drain()).containsExactly(new Measurement.LogCopies(Kind.BLAMED, 1));
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
@@ -12,7 +12,7 @@
 import io.lentilslip.core.quota.QuotaTolerance;
 
 /**
- * One relay with a small site, driven event by event.
+ * A relay at a small site, driven event by event.
  */
 final class RelayFixture {
 
@@ -45,13 +45,13 @@
 
 	private boolean caughtUp;
 
-	private RelayFixture(boolean first, long seed) {
-		this.relay = new Relay(new RelaySettings("zone-a", 100, seed, 1_000_000, 1000, 1000, TEXT_PARTITION, first,
+	private RelayFixture(boolean bootstrap, long seed) {
+		this.relay = new Relay(new RelaySettings("zone-a", 100, seed, 1_000_000, 1000, 1000, TEXT_PARTITION, bootstrap,
 				QuotaTolerance.standard()));
 	}
 
 	/**
-	 * Returns a relay that is ready, at a site that starts for the first time.
+	 * Returns a ready relay at a site that starts for the first time.
 	 * @return the relay
 	 */
 	static RelayFixture ready() {
@@ -59,7 +59,7 @@
 	}
 
 	/**
-	 * Returns a relay that is ready, at a site that starts for the first time.
+	 * Returns a ready relay at a site that starts for the first time.
 	 * @param seed the seed of its random choices
 	 * @return the relay
 	 */
@@ -72,7 +72,7 @@
 	}
 
 	/**
-	 * Returns a relay that is ready but for the end of its partition of the texts.
+	 * Returns a relay that is ready except for the end offset of its text partition.
 	 * @return the relay
 	 */
 	static RelayFixture beforeTextOffset() {
@@ -82,7 +82,7 @@
 	}
 
 	/**
-	 * Returns a relay that is ready, after the loss of all relays.
+	 * Returns a ready relay after the loss of all relays.
 	 * @return the relay
 	 */
 	static RelayFixture readyAfterRestart() {
@@ -94,15 +94,15 @@
 	}
 
 	/**
-	 * Returns a relay that has started again and not read the log yet.
+	 * Returns a restarted relay that has not read the log yet.
 	 * @return the relay
 	 */
 	static RelayFixture afterRestart() {
 		return configured(false, SEED);
 	}
 
-	private static RelayFixture configured(boolean first, long seed) {
-		RelayFixture fixture = new RelayFixture(first, seed);
+	private static RelayFixture configured(boolean bootstrap, long seed) {
+		RelayFixture fixture = new RelayFixture(bootstrap, seed);
 		fixture.handle(new RelayEvent.RouteTableUpdated(fixture.now, table()));
 		fixture.handle(new RelayEvent.UpstreamsReplaced(fixture.now, List.of(upstream("e1", ENGINE),
 				upstream("e2", ENGINE), upstream("s1", SHOP), upstream("s2", SHOP), upstream("s3", SHOP))));
@@ -133,9 +133,10 @@
 				services, RouteTable.Limits.defaults(), Optional.empty());
 	}
 
-	static Route route(String name, Repeatability repeatability, boolean resumable, boolean keeps, String service) {
+	static Route route(String name, Repeatability repeatability, boolean resumable, boolean storesTurns,
+			String service) {
 		return new Route(name, "host", "/" + name + "/", repeatability, Duration.ofSeconds(4), Duration.ofMillis(200),
-				2, 0, resumable, keeps, Duration.ofSeconds(60), false, false,
+				2, 0, resumable, storesTurns, Duration.ofSeconds(60), false, false,
 				List.of(new Route.WeightedService(service, 1)));
 	}
 
@@ -147,8 +148,8 @@
 		return new Upstream(id, service, "10.0.0.1", 80, "zone-a", 6, false, OptionalLong.of(born));
 	}
 
-	static RequestHead.Turn turn(String program, long budget, int most, String previous) {
-		return new RequestHead.Turn(program, OptionalLong.of(budget), most, Optional.ofNullable(previous));
+	static RequestHead.Turn turn(String program, long budget, int maxTokens, String previous) {
+		return new RequestHead.Turn(program, OptionalLong.of(budget), maxTokens, Optional.ofNullable(previous));
 	}
 
 	static RequestHead head(String id, String route, Optional<RequestHead.Turn> turn) {
@@ -214,8 +215,8 @@
 		return handle(new RelayEvent.AttemptFailed(this.now, this.exchange, attempt, cause));
 	}
 
-	List<RelayEffect> fireTimer(RelayEvent.TimerKind reminder) {
-		return handle(new RelayEvent.TimerFired(this.now, this.exchange, reminder));
+	List<RelayEffect> fireTimer(RelayEvent.TimerKind timer) {
+		return handle(new RelayEvent.TimerFired(this.now, this.exchange, timer));
 	}
 
 	List<RelayEffect> readFromLog(LedgerEntry... entries) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
@@ -21,7 +21,7 @@
 class RelayTests {
 
 	@Test
-	void requestBeforeAnythingIsKnownIsRefusedAsNotRun() {
+	void requestBeforeStateIsLoadedIsRefusedAsNotRun() {
 		RelayFixture relay = RelayFixture.unconfigured();
 		List<RelayEffect> effects = relay.sendRequest("r1", "look");
 		assertThat(refusal(effects)).contains(Refusal.NOT_READY);
@@ -29,7 +29,7 @@
 	}
 
 	@Test
-	void readinessFollowsTableUpstreamsLogAndTexts() {
+	void readinessFollowsRouteTableUpstreamsLogAndTextOffset() {
 		RelayFixture relay = RelayFixture.unconfigured();
 		relay.handle(new RelayEvent.RouteTableUpdated(1, RelayFixture.table()));
 		relay.handle(new RelayEvent.UpstreamsReplaced(1, List.of()));
@@ -41,11 +41,9 @@
 			.containsExactly(new RelayEffect.ReportReadiness(true));
 	}
 
-	// A relay has started and has not read yet who the others are, of whom three keep
-	// each
-	// program. Deciding alone, it would give what they give as well.
+	// Guards against a relay that decides alone before it knows the other replicas.
 	@Test
-	void relayThatDoesNotKnowTheOthersYetTakesNoTurns() {
+	void turnIsRefusedUntilMembershipIsKnown() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
 		RelayEffect.Refuse refused = refuse(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)));
@@ -56,11 +54,9 @@
 			.containsExactly(new RelayEffect.ReportReadiness(false), new RelayEffect.ReportReadiness(true));
 	}
 
-	// All relays were lost and read the log from its first record. The caller of a turn
-	// has
-	// a few tries: told to come back when the log may be read, it does not waste them.
+	// Guards against callers using up their retries while the log is being read.
 	@Test
-	void callerOfATurnIsToldToComeBackWhenTheLogMayBeRead() {
+	void retryAfterOfATurnCoversTheReadOfTheLog() {
 		RelayFixture relay = RelayFixture.unconfigured();
 		RelayEffect.Refuse turn = refuse(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)));
 		RelayEffect.Refuse call = refuse(relay.sendRequest("r1", "look"));
@@ -75,17 +71,16 @@
 	}
 
 	@Test
-	void olderTableChangesNothing() {
+	void olderRouteTableIsIgnored() {
 		RelayFixture relay = RelayFixture.ready();
 		RouteTable older = new RouteTable(0, List.of(), Map.of(), RouteTable.Limits.defaults(), Optional.empty());
 		assertThat(relay.handle(new RelayEvent.RouteTableUpdated(1, older))).isEmpty();
 		assertThat(sends(relay.sendRequest("r1", "look"))).hasSize(1);
 	}
 
-	// The caller's order ran, and its answer was lost on the way. Sent again, the order
-	// would be made twice; called "not run", the caller would send it again itself.
+	// Guards against running a request twice, by a retry of the relay or of its caller.
 	@Test
-	void lostAnswerOfARequestThatRunsOnceIsNeitherRepeatedNorCalledNotRun() {
+	void lostResponseOfAnAtMostOnceRequestIsNeitherRetriedNorReportedAsNotRun() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "order");
 		List<RelayEffect> effects = relay.fail(1, FailureCause.BROKEN);
@@ -95,22 +90,21 @@
 	}
 
 	@Test
-	void requestThatWasNotSentGoesToAnotherUpstream() {
+	void unsentRequestIsRetriedAtAnotherUpstream() {
 		RelayFixture relay = RelayFixture.ready();
 		String first = sends(relay.sendRequest("r1", "order")).getFirst().upstream().id();
-		List<RelayEffect.SendRequest> again = sends(relay.fail(1, FailureCause.NOT_CONNECTED));
-		assertThat(again).hasSize(1);
-		assertThat(again.getFirst().upstream().id()).isNotEqualTo(first);
+		List<RelayEffect.SendRequest> retried = sends(relay.fail(1, FailureCause.NOT_CONNECTED));
+		assertThat(retried).hasSize(1);
+		assertThat(retried.getFirst().upstream().id()).isNotEqualTo(first);
 	}
 
-	// On call has only logs: each sending tells what it was chosen from, and on what
-	// knowledge.
+	// Operators see the candidates of each selection in the log.
 	@Test
-	void sendingTellsItsCandidates() {
+	void sendIsLoggedWithItsCandidates() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect.WriteNotice> told = RelayFixture.ofType(relay.sendRequest("r1", "look"),
+		List<RelayEffect.WriteNotice> notices = RelayFixture.ofType(relay.sendRequest("r1", "look"),
 				RelayEffect.WriteNotice.class);
-		assertThat(told).singleElement().extracting(RelayEffect.WriteNotice::notice).satisfies((notice) -> {
+		assertThat(notices).singleElement().extracting(RelayEffect.WriteNotice::notice).satisfies((notice) -> {
 			assertThat(notice.code()).isEqualTo(NoticeCode.REQUEST_PLACED);
 			assertThat(notice.fields()).filteredOn((field) -> field.name() == FieldName.CANDIDATES)
 				.singleElement()
@@ -120,7 +114,7 @@
 	}
 
 	@Test
-	void requestThatAnUpstreamDidNotRunGoesToAnotherWithinTheRoutesAttempts() {
+	void rejectedRequestIsRetriedUpToTheMaximumAttempts() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "order");
 		assertThat(sends(relay.respond(1, RelayFixture.FULL))).hasSize(1);
@@ -130,7 +124,7 @@
 	}
 
 	@Test
-	void idempotentRequestIsRepeatedAfterALostAnswer() {
+	void idempotentRequestIsRetriedAfterALostResponse() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "look");
 		assertThat(sends(relay.fail(1, FailureCause.BROKEN))).hasSize(1);
@@ -139,7 +133,7 @@
 	}
 
 	@Test
-	void unsignedSuccessIsNotPassedOn() {
+	void unsignedSuccessIsNotForwarded() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "order");
 		List<RelayEffect> effects = relay.respond(1, RelayFixture.UNSIGNED);
@@ -147,36 +141,32 @@
 		assertThat(refusal(effects)).contains(Refusal.ANSWER_LOST);
 	}
 
-	// A caller gave up, its request went out again with another number, and the first
-	// attempt's answer arrives late. It meets nothing.
+	// Guards against a late response of an attempt that was superseded.
 	@Test
-	void answerOfAnEarlierAttemptMeetsNothing() {
+	void responseOfASupersededAttemptIsIgnored() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "look");
 		relay.fail(1, FailureCause.BROKEN);
 		assertThat(relay.respond(1, RelayFixture.SIGNED)).isEmpty();
 	}
 
-	// An upstream crashed, and another one starts at its address while the list still has
-	// the one before. Callers' requests that name that one are turned away at once, each
-	// faster than any other answer. They go to other upstreams, although their route
-	// allows
-	// one only, and none follows them there.
+	// Guards against selecting an upstream that no longer exists: its address rejects
+	// requests faster than others respond.
 	@Test
-	void upstreamThatIsNoLongerAtItsAddressIsLeftAtOnce() {
+	void upstreamWhoseAddressWasReusedIsEjected() {
 		RelayFixture relay = RelayFixture.ready();
-		String gone = sends(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null))).getFirst()
+		String ejected = sends(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null))).getFirst()
 			.upstream()
 			.id();
-		List<RelayEffect> again = relay.respond(1, RelayFixture.MISDIRECTED);
-		assertThat(sends(again).getFirst().upstream().id()).isNotEqualTo(gone);
+		List<RelayEffect> retried = relay.respond(1, RelayFixture.MISDIRECTED);
+		assertThat(sends(retried).getFirst().upstream().id()).isNotEqualTo(ejected);
 		for (int i = 0; i < 5; i++) {
-			assertThat(sends(relay.sendRequest("r" + i, "draft")).getFirst().upstream().id()).isNotEqualTo(gone);
+			assertThat(sends(relay.sendRequest("r" + i, "draft")).getFirst().upstream().id()).isNotEqualTo(ejected);
 		}
 	}
 
 	@Test
-	void requestThatNobodyIsThereForDoesNotCountAsSent() {
+	void misdirectedRequestDoesNotCountAsAttempt() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "order");
 		assertThat(sends(relay.respond(1, RelayFixture.MISDIRECTED))).hasSize(1);
@@ -185,23 +175,22 @@
 	}
 
 	@Test
-	void leavingUpstreamGetsNoNewWork() {
+	void drainingUpstreamReceivesNoNewRequests() {
 		RelayFixture relay = RelayFixture.ready();
 		for (String id : List.of("s1", "s2")) {
-			Upstream gone = RelayFixture.upstream(id, RelayFixture.SHOP);
-			relay.handle(new RelayEvent.UpstreamUpdated(2, new Upstream(id, gone.service(), gone.host(), gone.port(),
-					gone.zone(), gone.slots(), true, gone.startedAt())));
+			Upstream listed = RelayFixture.upstream(id, RelayFixture.SHOP);
+			relay.handle(new RelayEvent.UpstreamUpdated(2, new Upstream(id, listed.service(), listed.host(),
+					listed.port(), listed.zone(), listed.slots(), true, listed.startedAt())));
 		}
 		for (int i = 0; i < 10; i++) {
 			assertThat(sends(relay.sendRequest("r" + i, "look")).getFirst().upstream().id()).isEqualTo("s3");
 		}
 	}
 
-	// Another writer spoils the record of one upstream, over and over. It is told once,
-	// the
-	// upstream is given nothing more, and the others go on.
+	// Guards against flooding the log, or dropping other upstreams, for one invalid
+	// record.
 	@Test
-	void unusableRecordIsToldOnceAndTheOthersHold() {
+	void invalidRecordIsReportedOnceAndOtherUpstreamsStayInUse() {
 		RelayFixture relay = RelayFixture.ready();
 		List<RelayEffect> effects = new ArrayList<>();
 		for (int i = 0; i < 1000; i++) {
@@ -216,18 +205,18 @@
 		}
 	}
 
-	// One upstream starts again under its id after each crash. Counted by id, a request
-	// that crashes it would be sent to it for ever.
+	// Guards against counting failures by upstream id: a poison request would be sent
+	// to each new incarnation.
 	@Test
-	void requestThatCrashedThreeLivesOfOneIdIsStopped() {
+	void requestThatFailedThreeIncarnationsOfOneIdIsRefused() {
 		RelayFixture relay = RelayFixture.ready();
 		for (String other : List.of("s2", "s3")) {
 			relay.handle(new RelayEvent.UpstreamRemoved(relay.now(), other));
 		}
-		for (int life = 1; life <= 3; life++) {
+		for (int incarnation = 1; incarnation <= 3; incarnation++) {
 			relay.handle(new RelayEvent.UpstreamUpdated(relay.now(),
-					RelayFixture.withStartTime("s1", RelayFixture.SHOP, life)));
-			assertThat(sends(relay.sendRequest("r" + life, "look"))).hasSize(1);
+					RelayFixture.withStartTime("s1", RelayFixture.SHOP, incarnation)));
+			assertThat(sends(relay.sendRequest("r" + incarnation, "look"))).hasSize(1);
 			relay.fail(1, FailureCause.BROKEN);
 		}
 		relay.handle(
@@ -236,7 +225,7 @@
 	}
 
 	@Test
-	void callerThatLeavesCancelsItsRequest() {
+	void disconnectOfTheCallerCancelsItsRequest() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "order");
 		List<RelayEffect> effects = relay.handle(new RelayEvent.CallerDisconnected(relay.now(), relay.exchange()));
@@ -245,7 +234,7 @@
 	}
 
 	@Test
-	void requestWithoutAnswerIsEndedWhenItIsDue() {
+	void requestWithoutResponseEndsAtItsDeadline() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "order");
 		List<RelayEffect> effects = relay.fireTimer(TimerKind.DEADLINE);
@@ -253,11 +242,9 @@
 		assertThat(refusal(effects)).contains(Refusal.NO_ANSWER_IN_TIME);
 	}
 
-	// One request makes each upstream break off that runs it, and its caller sends it
-	// again and again. After the third life of an upstream it is not sent any more, and
-	// other requests go on.
+	// Guards against running a request that makes every upstream fail.
 	@Test
-	void requestThatBreaksUpstreamsIsStoppedAndOthersAreNot() {
+	void poisonRequestIsRefusedAndOthersAreNot() {
 		RelayFixture relay = RelayFixture.ready();
 		for (String upstream : List.of("e7", "e8", "e9")) {
 			relay.readFromPeer(new LedgerEntry.UpstreamFailed("r0", "/draft/x".hashCode(), upstream));
@@ -266,11 +253,10 @@
 		assertThat(sends(relay.sendRequest("r2", "look"))).hasSize(1);
 	}
 
-	// While the log was down a relay told the others what it had given a program, and
-	// died. Whoever holds a copy writes it once the log is back; without that the loss of
-	// all relays afterwards would let a looping program spend it again.
+	// Guards against losing an uncommitted entry with its relay: the budget could be
+	// used a second time.
 	@Test
-	void entryOfARelayThatDiedIsWrittenByTheOthers() {
+	void uncommittedEntryOfALostRelayIsAppendedByOthers() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.readFromLog();
 		LedgerEntry turn = RelayFixture.settledTurn("t1", null);
@@ -287,7 +273,7 @@
 	}
 
 	@Test
-	void entryThatTheLogShowsIsNotWrittenAgain() {
+	void committedEntryIsNotAppendedAgain() {
 		RelayFixture relay = RelayFixture.ready();
 		LedgerEntry turn = RelayFixture.settledTurn("t1", null);
 		relay.readFromPeer(turn);
@@ -308,27 +294,26 @@
 	}
 
 	@Test
-	void turnFarFromTheEndOfTheBudgetIsSentAtOnce() {
+	void turnFarBelowTheBudgetIsSentImmediately() {
 		RelayFixture relay = RelayFixture.ready();
 		assertThat(sends(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)))).hasSize(1);
 	}
 
-	// Two sub-agents begin at two relays in the same millisecond, and the budget holds
-	// one
-	// of them. The log's order decides which; what is told over the links does not.
+	// Guards against two relays using the rest of a budget at once: the order of the
+	// log decides.
 	@Test
-	void turnNearTheEndOfTheBudgetWaitsForItsPlaceInTheLog() {
+	void turnNearTheBudgetWaitsForTheOrderOfTheLog() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect> asked = relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		assertThat(sends(asked)).isEmpty();
-		LedgerEntry own = RelayFixture.written(asked).getFirst();
+		List<RelayEffect> requested = relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
+		assertThat(sends(requested)).isEmpty();
+		LedgerEntry own = RelayFixture.written(requested).getFirst();
 		LedgerEntry other = new LedgerEntry.Reserved("t2", "p", 100, "", List.of(), true);
 		assertThat(relay.readFromPeer(other)).isEmpty();
 		assertThat(sends(relay.readFromLog(own, other))).hasSize(1);
 	}
 
 	@Test
-	void laterOfTwoContendingTurnsIsRefusedAndCounted() {
+	void laterOfTwoConcurrentTurnsIsRefusedAndSettled() {
 		RelayFixture relay = RelayFixture.ready();
 		LedgerEntry own = RelayFixture.written(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null)))
 			.getFirst();
@@ -338,12 +323,10 @@
 		assertThat(RelayFixture.settled(effects).tokens()).isZero();
 	}
 
-	// All relays are lost, and the log was written to until then: no outage came before,
-	// so
-	// nothing was given that it does not have. Kept back all the same, half of the budget
-	// would be missing to programs that need it.
+	// Guards against withholding half of a budget when no outage of the log came before
+	// the restart.
 	@Test
-	void relayThatStartsBehindARecentLogSoonMissesNothing() {
+	void relayThatRestartsWithARecentLogSoonAdmitsTheWholeBudget() {
 		RelayFixture relay = RelayFixture.afterRestart();
 		relay.handle(
 				new RelayEvent.CaughtUp(relay.now(), 7, Duration.ofMillis(30), Optional.of(Duration.ofMillis(2900))));
@@ -355,10 +338,10 @@
 		assertThat(refusal(relay.sendTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
 	}
 
-	// All relays are lost in an outage. The log is read when it is back, and its newest
-	// entry is older than a loss alone can make it.
+	// Guards against using a budget twice after an outage of the log: its newest entry
+	// is too old.
 	@Test
-	void relayThatStartsBehindAnOldLogKeepsHalfOfABudgetBack() {
+	void relayThatRestartsWithAnOldLogWithholdsHalfOfABudget() {
 		RelayFixture relay = RelayFixture.afterRestart();
 		relay
 			.handle(new RelayEvent.CaughtUp(relay.now(), 7, Duration.ofMillis(30), Optional.of(Duration.ofSeconds(3))));
@@ -372,34 +355,31 @@
 		assertThat(refusal(relay.sendTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
 	}
 
-	// The log falls silent, and the other relays too. Whoever waits for either is refused
-	// as not run, and what was held back for the turn is given back.
+	// Guards against a turn that waits for ever, or keeps its reservation, when neither
+	// the log nor a relay responds.
 	@Test
-	void contendingTurnIsRefusedAsNotRunIfLogAndRelaysAreSilent() {
+	void undecidedTurnIsRefusedAsNotRunIfLogAndRelaysDoNotRespond() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		List<RelayEffect> asked = relay.fireTimer(TimerKind.BUDGET_DECISION);
-		assertThat(refusal(asked)).isEmpty();
-		assertThat(RelayFixture.ofType(asked, RelayEffect.RequestReservation.class)).hasSize(1);
+		List<RelayEffect> requested = relay.fireTimer(TimerKind.BUDGET_DECISION);
+		assertThat(refusal(requested)).isEmpty();
+		assertThat(RelayFixture.ofType(requested, RelayEffect.RequestReservation.class)).hasSize(1);
 		assertThat(refusal(relay.fireTimer(TimerKind.BUDGET_DECISION))).isEmpty();
 		List<RelayEffect> effects = relay.fireTimer(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(effects)).contains(Refusal.LOG_LOST);
 		assertThat(RelayFixture.settled(effects).tokens()).isZero();
 	}
 
-	// Two of the three relays that keep a program have just started, and say at once that
-	// they may miss turns. The log decides, and has its whole time for it: the reminder
-	// that
-	// was meant for the keepers comes first.
+	// Guards against the replica timer cutting short the wait for the log.
 	@Test
-	void logHasItsTimeThoughKeepersWereUnsureBefore() {
+	void logTimeoutIsNotShortenedByUnavailableReplicas() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
 		relay.handle(
 				new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
-		List<RelayEffect> asked = relay.sendTurn("t1", "draft", RelayFixture.turn("p", 300, 100, null));
-		assertThat(RelayFixture.ofType(asked, RelayEffect.RequestReservation.class)).singleElement()
-			.satisfies((ask) -> assertThat(ask.peers()).containsExactlyInAnyOrder("a", "b", "c"));
+		List<RelayEffect> requested = relay.sendTurn("t1", "draft", RelayFixture.turn("p", 300, 100, null));
+		assertThat(RelayFixture.ofType(requested, RelayEffect.RequestReservation.class)).singleElement()
+			.satisfies((request) -> assertThat(request.peers()).containsExactlyInAnyOrder("a", "b", "c"));
 		relay.handle(new RelayEvent.UsageUnavailable(relay.now(), "a", "t1"));
 		List<RelayEffect> contends = relay.handle(new RelayEvent.UsageUnavailable(relay.now(), "b", "t1"));
 		assertThat(relay.fireTimer(TimerKind.BUDGET_DECISION)).isEmpty();
@@ -407,7 +387,7 @@
 	}
 
 	@Test
-	void twoKeepersOfThreeDecide() {
+	void majorityOfReplicasDecides() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
 		relay.handle(
@@ -425,36 +405,34 @@
 			.contains(Refusal.BUDGET_SPENT);
 	}
 
-	// The store has fallen silent, which nobody knows yet. Keepers say that the log has
-	// not
-	// shown half of the budget, so the log is asked first: given on their word alone, it
-	// would be given once more after the loss of all relays.
+	// Guards against using a budget twice after the loss of all relays: half of it is
+	// uncommitted, so the log decides.
 	@Test
-	void logIsAskedOnceItHasNotShownHalfOfTheBudget() {
+	void logDecidesWhenHalfOfTheBudgetIsUncommitted() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
 		relay.handle(
 				new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 600, 100, null));
 		relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 400, 301, true, 3));
-		List<RelayEffect> told = relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 400, 250, true, 3));
-		assertThat(sends(told)).isEmpty();
-		assertThat(sends(relay.readFromLog(RelayFixture.written(told).getFirst()))).hasSize(1);
+		List<RelayEffect> received = relay
+			.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 400, 250, true, 3));
+		assertThat(sends(received)).isEmpty();
+		assertThat(sends(relay.readFromLog(RelayFixture.written(received).getFirst()))).hasSize(1);
 	}
 
-	// The store turns this relay away. Of a turn near the end of its budget the other
-	// relays are asked at once, also of the one that waits already. Without a majority of
-	// them it is refused soon, so that its caller has time for another relay. Turns far
-	// from the end go on.
+	// Guards against waiting for an unreachable log: a quorum of relays decides, and
+	// the caller has time to retry.
 	@Test
-	void relayWithoutTheLogAsksTheOthersAtOnce() {
+	void relayWithoutTheLogRequestsReservationsImmediately() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		List<RelayEffect> lost = relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
-		assertThat(RelayFixture.ofType(lost, RelayEffect.RequestReservation.class)).hasSize(1);
-		List<RelayEffect> asked = relay.sendTurn("t2", "draft", RelayFixture.turn("q", 100, 100, null));
-		assertThat(RelayFixture.ofType(asked, RelayEffect.RequestReservation.class)).hasSize(1);
-		assertThat(sends(asked)).isEmpty();
+		List<RelayEffect> unreachable = relay
+			.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
+		assertThat(RelayFixture.ofType(unreachable, RelayEffect.RequestReservation.class)).hasSize(1);
+		List<RelayEffect> requested = relay.sendTurn("t2", "draft", RelayFixture.turn("q", 100, 100, null));
+		assertThat(RelayFixture.ofType(requested, RelayEffect.RequestReservation.class)).hasSize(1);
+		assertThat(sends(requested)).isEmpty();
 		List<RelayEffect> due = relay.fireTimer(TimerKind.BUDGET_DECISION);
 		assertThat(refusal(due)).contains(Refusal.LOG_LOST);
 		assertThat(RelayFixture.settled(due).tokens()).isZero();
@@ -462,7 +440,7 @@
 	}
 
 	@Test
-	void turnRunsWithoutTheLogIfAMajorityKnowsOfLessThanHalfOfTheBudget() {
+	void turnRunsWithoutTheLogIfAMajorityReportsLessThanHalfOfTheBudget() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 400, 100, null));
@@ -475,28 +453,29 @@
 		assertThat(relay.handle(new RelayEvent.UsageReceived(relay.now(), "c", "t1", 100, 0, false, 4))).isEmpty();
 	}
 
-	// What is given without the log is in no log if all relays are lost. The second half
-	// of the budget is left for that case.
+	// Guards against using a budget twice after the loss of all relays: uncommitted use
+	// is limited to half.
 	@Test
-	void turnInTheSecondHalfOfTheBudgetWaitsForTheLog() {
+	void turnInTheSecondHalfOfTheBudgetNeedsTheLog() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 400, 100, null));
 		relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, false, 4));
-		List<RelayEffect> told = relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 300, 0, false, 4));
-		assertThat(refusal(told)).contains(Refusal.LOG_LOST);
-		assertThat(RelayFixture.settled(told).tokens()).isZero();
+		List<RelayEffect> received = relay
+			.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 300, 0, false, 4));
+		assertThat(refusal(received)).contains(Refusal.LOG_LOST);
+		assertThat(RelayFixture.settled(received).tokens()).isZero();
 	}
 
-	// The store turns this relay away and serves another, which asks the log in its
-	// place.
+	// A relay that reaches the log obtains the decision for one that does not.
 	@Test
 	void relayThatReachesTheLogDecidesForOneThatDoesNot() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
-		List<RelayEffect> told = relay.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, true, 2));
-		assertThat(told).containsExactly(new RelayEffect.RequestLogReservation("a", "t1", "p", 100, 100));
+		List<RelayEffect> received = relay
+			.handle(new RelayEvent.UsageReceived(relay.now(), "a", "t1", 100, 0, true, 2));
+		assertThat(received).containsExactly(new RelayEffect.RequestLogReservation("a", "t1", "p", 100, 100));
 		assertThat(sends(relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, false, 2))))
 			.isEmpty();
 		List<RelayEffect> placed = relay.handle(new RelayEvent.LogDecisionReceived(relay.now(), "t1", true));
@@ -505,40 +484,37 @@
 			.contains(new NoticeField(FieldName.REASON, "PLACE"), new NoticeField(FieldName.VERDICT, "HELD"));
 	}
 
-	// Another relay told two turns and has not brought them to the log in time. On call
-	// sees
-	// how many this relay writes for it, and nothing while the log shows all.
+	// Operators see how many entries this relay appends for others.
 	@Test
-	void entriesThatAreWrittenForAnotherRelayAreTold() {
+	void entriesAppendedForAnotherRelayAreReported() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.readFromLog();
 		LedgerEntry first = new LedgerEntry.Reserved("t1", "p", 100, "", List.of(), false);
 		LedgerEntry second = RelayFixture.settledTurn("t1", null);
 		relay.readFromPeer(first, second);
 		assertThat(notices(relay.readFromLog(), NoticeCode.ENTRIES_ADOPTED)).isEmpty();
-		List<RelayEffect> adopted = readForFourSeconds(relay);
+		List<RelayEffect> adopted = readLogForFourSeconds(relay);
 		assertThat(RelayFixture.written(adopted)).containsExactly(first, second);
 		assertThat(notices(adopted, NoticeCode.ENTRIES_ADOPTED))
 			.containsExactly(NoticeCode.ENTRIES_ADOPTED.with(FieldName.COUNT, 2));
 		assertThat(notices(relay.readFromLog(), NoticeCode.ENTRIES_ADOPTED)).isEmpty();
 	}
 
-	// The log is late, and three relays have written the end of one turn. Each relay that
-	// reads it counts two copies; what only links told and the log shows once is none.
+	// Counts entries that the log has several times, not those received from peers.
 	@Test
-	void copiesInTheLogAreMeasured() {
+	void duplicateEntriesInTheLogAreCounted() {
 		RelayFixture relay = RelayFixture.ready();
 		LedgerEntry turn = RelayFixture.settledTurn("t1", null);
 		relay.readFromPeer(turn);
-		assertThat(copies(relay.readFromPeer(turn))).isEmpty();
-		assertThat(copies(relay.readFromLog(turn))).isEmpty();
-		assertThat(copies(relay.readFromPeer(turn))).isEmpty();
-		assertThat(copies(relay.readFromLog(turn, turn)))
+		assertThat(duplicates(relay.readFromPeer(turn))).isEmpty();
+		assertThat(duplicates(relay.readFromLog(turn))).isEmpty();
+		assertThat(duplicates(relay.readFromPeer(turn))).isEmpty();
+		assertThat(duplicates(relay.readFromLog(turn, turn)))
 			.containsExactly(new Measurement.LogCopies(Measurement.LogCopies.Kind.SETTLED, 2));
-		assertThat(copies(relay.readFromLog())).isEmpty();
+		assertThat(duplicates(relay.readFromLog())).isEmpty();
 	}
 
-	private static List<Measurement> copies(List<RelayEffect> effects) {
+	private static List<Measurement> duplicates(List<RelayEffect> effects) {
 		return RelayFixture.ofType(effects, RelayEffect.RecordMeasurement.class)
 			.stream()
 			.map(RelayEffect.RecordMeasurement::measurement)
@@ -546,7 +522,7 @@
 			.toList();
 	}
 
-	private static List<RelayEffect> readForFourSeconds(RelayFixture relay) {
+	private static List<RelayEffect> readLogForFourSeconds(RelayFixture relay) {
 		List<RelayEffect> effects = new ArrayList<>();
 		for (int second = 0; second < 4; second++) {
 			relay.advance(1000);
@@ -563,11 +539,9 @@
 			.toList();
 	}
 
-	// Each call of the log is priced, so one relay is asked for a place; the next one
-	// only
-	// if it does not answer in time.
+	// Guards against redundant log calls: relays are asked one after the other.
 	@Test
-	void oneRelayAfterTheOtherIsAskedForAPlace() {
+	void relaysAreAskedForALogReservationOneByOne() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 100, 100, null));
@@ -579,18 +553,18 @@
 	}
 
 	@Test
-	void placeInTheLogIsGotForAnotherRelay() {
+	void reservationIsAppendedForAnotherRelay() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.readFromPeer(new LedgerEntry.Reserved("t1", "p", 100, "", List.of(), false));
-		List<RelayEffect> asked = relay
+		List<RelayEffect> requested = relay
 			.handle(new RelayEvent.ReservationRequested(relay.now(), "peer", "t1", "p", 100, 100, true));
-		List<RelayEffect> read = relay.readFromLog(RelayFixture.written(asked).toArray(new LedgerEntry[0]));
+		List<RelayEffect> read = relay.readFromLog(RelayFixture.written(requested).toArray(new LedgerEntry[0]));
 		assertThat(RelayFixture.ofType(read, RelayEffect.SendLogDecision.class))
 			.containsExactly(new RelayEffect.SendLogDecision("peer", "t1", true));
 	}
 
 	@Test
-	void questionIsAnsweredWithAllThatIsTakenAndWhatTheLogHasNotShown() {
+	void reservationRequestIsAnsweredWithUsedAndUncommittedTokens() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		LedgerEntry settled = new LedgerEntry.Settled("t0", "p", 30, Optional.empty());
@@ -603,22 +577,22 @@
 	}
 
 	@Test
-	void relayThatMayMissTurnsAnswersNoQuestion() {
-		RelayFixture woken = RelayFixture.ready();
-		woken.handle(new RelayEvent.ProcessResumed(woken.now(), Duration.ofSeconds(4)));
-		assertThat(woken.handle(new RelayEvent.ReservationRequested(woken.now(), "peer", "t1", "p", 100, 400, false)))
+	void unsynchronizedRelayReportsUsageAsUnavailable() {
+		RelayFixture resumed = RelayFixture.ready();
+		resumed.handle(new RelayEvent.ProcessResumed(resumed.now(), Duration.ofSeconds(4)));
+		assertThat(
+				resumed.handle(new RelayEvent.ReservationRequested(resumed.now(), "peer", "t1", "p", 100, 400, false)))
 			.containsExactly(new RelayEffect.SendUsageUnavailable("peer", "t1"));
-		RelayFixture lost = RelayFixture.readyAfterRestart();
-		assertThat(lost.handle(new RelayEvent.ReservationRequested(lost.now(), "peer", "t1", "p", 100, 400, false)))
+		RelayFixture restarted = RelayFixture.readyAfterRestart();
+		assertThat(restarted
+			.handle(new RelayEvent.ReservationRequested(restarted.now(), "peer", "t1", "p", 100, 400, false)))
 			.containsExactly(new RelayEffect.SendUsageUnavailable("peer", "t1"));
 	}
 
-	// All relays were lost, perhaps in an outage in which a program was given half of its
-	// budget. It is given the other half and the one turn by which a budget may be
-	// passed,
-	// until a majority has told this relay what it knows.
+	// Guards against using a budget twice after the loss of all relays, until a
+	// majority has synchronized.
 	@Test
-	void relayThatMayMissTurnsKeepsBackHalfOfABudget() {
+	void unsynchronizedRelayWithholdsHalfOfABudget() {
 		RelayFixture relay = RelayFixture.readyAfterRestart();
 		relay.readFromLog(new LedgerEntry.Settled("t0", "p", 310, Optional.empty()));
 		assertThat(refusal(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 600, 150, null))))
@@ -628,14 +602,12 @@
 		assertThat(refusal(relay.sendTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
 	}
 
-	// A relay is frozen for seconds, and a looping program spends its budget elsewhere. A
-	// turn that came during the freeze is read first when the relay wakes: decided on
-	// what it believed before, it would pass the budget. It waits for the log instead.
+	// Guards against admitting a turn on state from before a pause of the process.
 	@Test
-	void wokenRelayDecidesOnTurnsWhenItHasReadTheLog() {
+	void resumedRelayAdmitsTurnsAfterItHasReadTheLog() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect> woken = relay.handle(new RelayEvent.ProcessResumed(relay.now(), Duration.ofSeconds(4)));
-		assertThat(RelayFixture.ofType(woken, RelayEffect.CatchUp.class)).hasSize(1);
+		List<RelayEffect> resumed = relay.handle(new RelayEvent.ProcessResumed(relay.now(), Duration.ofSeconds(4)));
+		assertThat(RelayFixture.ofType(resumed, RelayEffect.CatchUp.class)).hasSize(1);
 		assertThat(sends(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)))).isEmpty();
 		relay.readFromLog(new LedgerEntry.Settled("t0", "p", 1000, Optional.empty()));
 		List<RelayEffect> caughtUp = relay.handle(RelayFixture.caughtUp(relay.now()));
@@ -644,7 +616,7 @@
 	}
 
 	@Test
-	void wokenRelayThatCannotReadTheLogRefusesTurnsAsNotRun() {
+	void resumedRelayThatCannotReadTheLogRefusesTurnsAsNotRun() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.handle(new RelayEvent.ProcessResumed(relay.now(), Duration.ofSeconds(4)));
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null));
@@ -652,8 +624,8 @@
 		assertThat(sends(relay.sendRequest("r1", "look"))).hasSize(1);
 	}
 
-	// A relay that is cut off from the log and from all relays can't see what a program
-	// spends elsewhere, so it runs no turns; requests without a budget go on.
+	// Guards against exceeding a budget while isolated; requests without a budget still
+	// run.
 	@Test
 	void isolatedRelayRunsNoTurns() {
 		RelayFixture relay = RelayFixture.ready();
@@ -664,7 +636,7 @@
 	}
 
 	@Test
-	void tokensThatACallerWasGivenCountWhenItsStreamBreaks() {
+	void forwardedTokensCountWhenTheStreamFails() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
@@ -676,27 +648,26 @@
 		assertThat(RelayFixture.ofType(effects, RelayEffect.AbortConnection.class)).hasSize(1);
 	}
 
-	// An upstream dies in the middle of a stream that may be resumed. The caller sees one
-	// stream: the next upstream goes on after the last whole event.
+	// Guards against repeated or missing events when a stream resumes at another
+	// upstream.
 	@Test
-	void resumableStreamGoesOnElsewhereAfterItsLastEvent() {
+	void resumableStreamResumesAtAnotherUpstreamAfterItsLastEvent() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "draft");
 		relay.open(1);
 		relay.event(1, 1);
 		relay.event(1, 2);
-		RelayEffect.SendRequest again = sends(relay.fail(1, FailureCause.BROKEN)).getFirst();
-		assertThat(again.lastEvent()).hasValue(2);
+		RelayEffect.SendRequest retried = sends(relay.fail(1, FailureCause.BROKEN)).getFirst();
+		assertThat(retried.lastEvent()).hasValue(2);
 		assertThat(RelayFixture.ofType(relay.open(2), RelayEffect.OpenStream.class)).isEmpty();
 		assertThat(RelayFixture.ofType(relay.event(2, 2), RelayEffect.ForwardStreamEvent.class)).isEmpty();
 		assertThat(RelayFixture.ofType(relay.event(2, 3), RelayEffect.ForwardStreamEvent.class)).hasSize(1);
-		assertThat(ends(relay.end(2))).hasSize(1);
+		assertThat(streamEnds(relay.end(2))).hasSize(1);
 	}
 
-	// A connection has gone dead without a word. A lookup goes to another upstream when
-	// its target is over; the first attempt is given up, and its answer meets nothing.
+	// Guards against waiting for a connection that was lost without a reset.
 	@Test
-	void idempotentRequestLeavesASilentUpstream() {
+	void idempotentRequestIsRetriedWhenItsUpstreamIsIdle() {
 		RelayFixture relay = RelayFixture.ready();
 		String first = sends(relay.sendRequest("r1", "look")).getFirst().upstream().id();
 		relay.advance(200);
@@ -710,17 +681,18 @@
 	}
 
 	@Test
-	void requestThatRunsOnceStaysWithASilentUpstream() {
+	void atMostOnceRequestHasNoIdleTimeout() {
 		RelayFixture relay = RelayFixture.ready();
-		List<RelayEffect> asked = relay.sendRequest("r1", "order");
-		assertThat(RelayFixture.ofType(asked, RelayEffect.StartTimer.class)).extracting(RelayEffect.StartTimer::timer)
+		List<RelayEffect> requested = relay.sendRequest("r1", "order");
+		assertThat(RelayFixture.ofType(requested, RelayEffect.StartTimer.class))
+			.extracting(RelayEffect.StartTimer::timer)
 			.containsExactly(TimerKind.DEADLINE);
 	}
 
-	// All upstreams are full, so the silence is a queue. At the end of another queue the
-	// request would wait longer, and the others behind it too.
+	// Guards against retries that lose their position in a queue when all upstreams are
+	// busy.
 	@Test
-	void requestStaysWhereItWaitsIfAllUpstreamsAreFull() {
+	void requestStaysAtItsUpstreamIfAllUpstreamsAreFull() {
 		RelayFixture relay = RelayFixture.ready();
 		for (int i = 0; i < 3 * 6; i++) {
 			relay.sendRequest("r" + i, "look");
@@ -731,10 +703,9 @@
 		assertThat(RelayFixture.ofType(effects, RelayEffect.StartTimer.class)).hasSize(1);
 	}
 
-	// A stream that may be resumed falls silent after its second event: it goes on at
-	// another upstream from there, and its caller sees a pause of a second.
+	// Guards against waiting for a stream that stops between events.
 	@Test
-	void resumableStreamLeavesASilentUpstreamAfterItsLastEvent() {
+	void resumableStreamIsResumedWhenItsUpstreamIsIdle() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendRequest("r1", "draft");
 		relay.open(1);
@@ -744,12 +715,12 @@
 		relay.advance(300);
 		assertThat(sends(relay.fireTimer(TimerKind.UPSTREAM_IDLE))).isEmpty();
 		relay.advance(700);
-		RelayEffect.SendRequest again = sends(relay.fireTimer(TimerKind.UPSTREAM_IDLE)).getFirst();
-		assertThat(again.lastEvent()).hasValue(2);
+		RelayEffect.SendRequest retried = sends(relay.fireTimer(TimerKind.UPSTREAM_IDLE)).getFirst();
+		assertThat(retried.lastEvent()).hasValue(2);
 	}
 
 	@Test
-	void streamWithAMissingEventIsNotPassedOnAsIfWhole() {
+	void streamWithAMissingEventIsAborted() {
 		RelayFixture relay = RelayFixture.ready();
 		relay.sendTurn("t1", "chat", RelayFixture.turn("p", 10_000, 100, null));
 		relay.open(1);
@@ -763,7 +734,7 @@
 		return RelayFixture.ofType(effects, RelayEffect.SendRequest.class);
 	}
 
-	private static List<RelayEffect.EndStream> ends(List<RelayEffect> effects) {
+	private static List<RelayEffect.EndStream> streamEnds(List<RelayEffect> effects) {
 		return RelayFixture.ofType(effects, RelayEffect.EndStream.class);
 	}
 
