--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -173,7 +173,7 @@
 	/**
 	 * Writes a turn for another relay, unless the log is slow here as well: additional
 	 * copies of each turn would slow it down further.
-	 * @param request the request of the other relay
+	 * @param received the request of the other relay
 	 */
 	void storeForPeer(RelayEvent.TurnWriteRequested received) {
 		String request = received.settlement().request();
