--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
@@ -12,37 +12,37 @@
 import io.lentilslip.core.relay.RequestHead.Turn;
 
 /**
- * Whether a program's budget holds a turn. A majority of the relays that keep the program
- * decides: each of them holds the turn back before it answers, so of two turns that are
- * asked for at once at least one is seen by the other. Without that majority the log's
- * order decides, and without the log a majority of all relays, within half of the budget.
- * A relay that knows of no others decides alone far from the end of the budget. That half
- * is what a program may have been given without a trace if all relays are lost before the
- * log is back, so a relay that may have missed such turns counts it as spent, but for the
- * one turn by which a budget may be passed. Used by one thread.
+ * Rules that decide whether a program's budget admits a turn. A turn is decided by a
+ * quorum read of the program's replicas: each replica reserves the turn's tokens before
+ * it replies, so of two concurrent turns at least one is counted for the other. Without a
+ * quorum of replicas the order of the log decides, and without the log a majority of all
+ * relays, up to half of the budget. A relay without a member list admits turns alone as
+ * long as the budget covers concurrent turns on other relays.
+ * <p>
+ * The half that is granted without the log is forgotten if all relays are lost before the
+ * log is available. A relay whose ledger may be incomplete therefore counts that half as
+ * used, less one turn, because a budget may be exceeded by one turn. Used by one thread.
  */
 final class BudgetRules {
 
 	/**
-	 * The part of a budget that may be given without the log: both sides of an outage
-	 * have room for programs that end by themselves.
+	 * Without the log a program gets at most its budget divided by this.
 	 */
-	private static final int PART_WITHOUT_LOG = 2;
+	private static final int LOGLESS_BUDGET_DIVISOR = 2;
 
 	private final RelayState state;
 
-	private final ExchangeCompletion ends;
+	private final ExchangeCompletion completion;
 
-	BudgetRules(RelayState state, ExchangeCompletion ends) {
+	BudgetRules(RelayState state, ExchangeCompletion completion) {
 		this.state = state;
-		this.ends = ends;
+		this.completion = completion;
 	}
 
 	/**
-	 * Decides by what is known here whether a program's budget holds a turn. What other
-	 * relays began in the last moments is not known here yet. Far from the end of the
-	 * budget this does no harm; near it, turns that begin at once would together take
-	 * more than there is.
+	 * Decides from local state whether a program's budget admits a turn. Turns that other
+	 * relays started in the last few milliseconds are not known here, so a turn close to
+	 * the limit stays undecided.
 	 * @param exchange the exchange
 	 * @return the decision
 	 */
@@ -56,61 +56,62 @@
 			boolean spent = this.state.tokens.spent(turn.program()) + turn.maxTokens() > budget.getAsLong();
 			return spent ? Admission.REFUSED : Admission.UNDECIDED;
 		}
-		long taken = this.state.tokens.used(turn.program()) + missed(turn.maxTokens(), budget.getAsLong());
-		if (taken + turn.maxTokens() > budget.getAsLong()) {
+		long used = this.state.tokens.used(turn.program()) + maxUnknown(turn.maxTokens(), budget.getAsLong());
+		if (used + turn.maxTokens() > budget.getAsLong()) {
 			return Admission.REFUSED;
 		}
-		long atOnce = (long) RelaySettings.ASSUMED_CONCURRENT_TURNS * turn.maxTokens();
-		return (taken + atOnce <= boundAlone(turn, budget.getAsLong())) ? Admission.ADMITTED : Admission.UNDECIDED;
+		long concurrent = (long) RelaySettings.ASSUMED_CONCURRENT_TURNS * turn.maxTokens();
+		return (used + concurrent <= standaloneLimit(turn, budget.getAsLong())) ? Admission.ADMITTED
+				: Admission.UNDECIDED;
 	}
 
-	private long boundAlone(Turn turn, long budget) {
+	private long standaloneLimit(Turn turn, long budget) {
 		if (this.state.connectivity != Connectivity.LOG) {
-			return withoutLog(turn.maxTokens(), budget);
+			return loglessLimit(turn.maxTokens(), budget);
 		}
 		return this.state.ledgerComplete ? budget + turn.maxTokens() : budget;
 	}
 
-	private static long withoutLog(int most, long budget) {
-		return Math.max(most, budget / PART_WITHOUT_LOG);
+	private static long loglessLimit(int maxTokens, long budget) {
+		return Math.max(maxTokens, budget / LOGLESS_BUDGET_DIVISOR);
 	}
 
-	// What programs may have been given that neither the log nor this relay knows of.
-	private long missed(int most, long budget) {
-		return this.state.ledgerComplete ? 0 : withoutLog(most, budget) - most;
+	// Upper bound of the usage that neither the log nor this relay has recorded.
+	private long maxUnknown(int maxTokens, long budget) {
+		return this.state.ledgerComplete ? 0 : loglessLimit(maxTokens, budget) - maxTokens;
 	}
 
 	/**
-	 * Has the keepers of its program decide on a turn, or the log's order, or the other
-	 * relays.
+	 * Requests a decision on a turn from the program's replicas, from the order of the
+	 * log or from all other relays.
 	 * @param exchange the exchange
-	 * @return whether the budget holds the turn, or empty if that is not decided yet
+	 * @return whether the budget admits the turn, or empty if that is not decided yet
 	 */
 	Optional<Boolean> requestDecision(Exchange exchange) {
 		exchange.transitionTo(Phase.WAITING_FOR_BUDGET);
 		if (this.state.connectivity == Connectivity.NOTHING) {
-			// Refused at once, the caller has time for a relay that can know.
-			this.ends.giveUp(exchange, Refusal.LOG_LOST);
+			// An immediate refusal leaves the caller time to retry on another relay.
+			this.completion.giveUp(exchange, Refusal.LOG_LOST);
 			return Optional.empty();
 		}
 		if (this.state.replicas.hasMembers()) {
-			return askKeepers(exchange);
+			return reserveOnReplicas(exchange);
 		}
 		if (this.state.connectivity == Connectivity.LOG) {
-			contendInLog(exchange);
+			reserveInLog(exchange);
 		}
 		else {
-			askRelays(exchange);
+			reserveOnAllRelays(exchange);
 		}
 		return Optional.empty();
 	}
 
-	private Optional<Boolean> askKeepers(Exchange exchange) {
+	private Optional<Boolean> reserveOnReplicas(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
-		List<String> keepers = this.state.replicas.replicasOf(turn.program());
-		UsagePoll poll = new UsagePoll(exchange.number(), exchange.id(), keepers);
-		hold(exchange, turn, poll);
-		if (keepers.contains(this.state.name)) {
+		List<String> replicas = this.state.replicas.replicasOf(turn.program());
+		UsagePoll poll = new UsagePoll(exchange.number(), exchange.id(), replicas);
+		reserve(exchange, turn, poll);
+		if (replicas.contains(this.state.name)) {
 			if (this.state.upToDate()) {
 				poll.addUsage(this.state.name, this.state.tokens.used(turn.program()),
 						this.state.uncommitted.tokensOf(turn.program()));
@@ -119,16 +120,16 @@
 				poll.unavailable();
 			}
 		}
-		List<String> others = this.state.otherReplicas(turn.program());
-		if (!others.isEmpty()) {
-			this.state.emit(new RelayEffect.RequestReservation(others, exchange.id(), turn.program(), turn.maxTokens(),
-					turn.budget().orElseThrow()));
-			remind(exchange, poll, RelaySettings.REPLICA_TIMEOUT);
+		List<String> otherReplicas = this.state.otherReplicas(turn.program());
+		if (!otherReplicas.isEmpty()) {
+			this.state.emit(new RelayEffect.RequestReservation(otherReplicas, exchange.id(), turn.program(),
+					turn.maxTokens(), turn.budget().orElseThrow()));
+			startTimer(exchange, poll, RelaySettings.REPLICA_TIMEOUT);
 		}
-		return byKeepers(exchange, poll);
+		return decideByReplicas(exchange, poll);
 	}
 
-	private void hold(Exchange exchange, Turn turn, UsagePoll poll) {
+	private void reserve(Exchange exchange, Turn turn, UsagePoll poll) {
 		exchange.markReserved();
 		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
 		this.state
@@ -136,52 +137,51 @@
 		this.state.polls.put(exchange.id(), poll);
 	}
 
-	private Optional<Boolean> byKeepers(Exchange exchange, UsagePoll poll) {
+	private Optional<Boolean> decideByReplicas(Exchange exchange, UsagePoll poll) {
 		if (!poll.hasReplicaQuorum()) {
 			if (poll.replicaQuorumLost()) {
-				widen(exchange, poll);
+				escalate(exchange, poll);
 			}
 			return Optional.empty();
 		}
 		Turn turn = exchange.head().turn().orElseThrow();
 		long budget = turn.budget().orElseThrow();
-		boolean log = this.state.connectivity == Connectivity.LOG;
-		if (log && poll.used() > budget) {
-			decided(exchange, Decider.KEEPERS, false);
+		boolean logReachable = this.state.connectivity == Connectivity.LOG;
+		if (logReachable && poll.used() > budget) {
+			finishDecision(exchange, Decider.KEEPERS, false);
 			return Optional.of(false);
 		}
-		long part = withoutLog(turn.maxTokens(), budget);
-		// What the log has not shown is lost with all relays. The log may have been out
-		// of reach for a while before that is found out, so the part that is granted
-		// without it is counted here, wherever it seems to be in reach.
-		long counted = log ? poll.uncommitted() : poll.used();
+		long limit = loglessLimit(turn.maxTokens(), budget);
+		// Uncommitted usage is lost if all relays are lost. It is limited even if the log
+		// seems reachable, because an outage of the log is detected with a delay.
+		long limited = logReachable ? poll.uncommitted() : poll.used();
 		long unseen = poll.maxUnseen(turn.maxTokens());
-		boolean whole = !log || unseen == 0 || poll.used() + unseen <= budget + turn.maxTokens();
-		if (whole && counted + unseen <= part) {
-			decided(exchange, Decider.KEEPERS, true);
+		boolean withinBudget = !logReachable || unseen == 0 || poll.used() + unseen <= budget + turn.maxTokens();
+		if (withinBudget && limited + unseen <= limit) {
+			finishDecision(exchange, Decider.KEEPERS, true);
 			return Optional.of(true);
 		}
-		if (counted > part || !poll.awaitsReplicas()) {
-			widen(exchange, poll);
+		if (limited > limit || !poll.awaitsReplicas()) {
+			escalate(exchange, poll);
 		}
 		return Optional.empty();
 	}
 
-	// What the keepers can't decide, the log does, and without it the other relays: one
-	// of them may reach it.
-	private void widen(Exchange exchange, UsagePoll poll) {
+	// Without a decision of the replicas the log decides. Without the log all relays are
+	// polled, because one of them may reach the log.
+	private void escalate(Exchange exchange, UsagePoll poll) {
 		switch (this.state.connectivity) {
 			case LOG -> {
 				poll.waitForLog();
 				poll.timerStarted();
-				contendInLog(exchange);
+				reserveInLog(exchange);
 			}
-			case RELAYS -> askRelays(exchange);
-			case NOTHING -> this.ends.budgetUndecided(exchange);
+			case RELAYS -> reserveOnAllRelays(exchange);
+			case NOTHING -> this.completion.budgetUndecided(exchange);
 		}
 	}
 
-	private void contendInLog(Exchange exchange) {
+	private void reserveInLog(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
 		this.state.conditionalReservations.put(exchange.id(), exchange.number());
 		this.state.write(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), true));
@@ -189,36 +189,35 @@
 	}
 
 	/**
-	 * Asks all other relays what is taken of a program's budget, after the turn is held
-	 * back here. Of two relays that do this at once, at least one hears of the other's
-	 * turn: each is answered by a majority, a relay that is in both counts what it is
-	 * told before it answers, and both hold their turns back before they ask. One of
-	 * those that answer keeps the program, so that what its keepers decided before is
-	 * seen too.
+	 * Reserves a turn here and on all other relays and requests their usage. Of two
+	 * relays that do this concurrently at least one counts the other's turn: both reserve
+	 * before they send requests, their majorities share a relay, and that relay adds each
+	 * reservation before it replies. A majority counts only with a replica of the program
+	 * in it, so earlier decisions of the replicas are counted too.
 	 * @param exchange the exchange
 	 */
-	private void askRelays(Exchange exchange) {
+	private void reserveOnAllRelays(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
 		UsagePoll poll = Optional.ofNullable(this.state.polls.get(exchange.id()))
 			.orElseGet(() -> new UsagePoll(exchange.number(), exchange.id(), List.of()));
 		poll.waitForAllRelays(this.state.name);
 		exchange.markReservedOnAll();
-		hold(exchange, turn, poll);
+		reserve(exchange, turn, poll);
 		this.state.write(new Reserved(exchange.id(), turn.program(), turn.maxTokens(), "", List.of(), false));
 		this.state.emit(new RelayEffect.RequestReservation(List.of(), exchange.id(), turn.program(), turn.maxTokens(),
 				turn.budget().orElseThrow()));
-		remind(exchange, poll, RelaySettings.QUORUM_TIMEOUT);
+		startTimer(exchange, poll, RelaySettings.QUORUM_TIMEOUT);
 	}
 
-	private void remind(Exchange exchange, UsagePoll poll, Duration delay) {
+	private void startTimer(Exchange exchange, UsagePoll poll, Duration delay) {
 		poll.timerStarted();
 		this.state.startTimer(exchange, delay, TimerKind.BUDGET_DECISION);
 	}
 
 	/**
-	 * Looks at a turn that has waited for its keepers, its place in the log, or other
-	 * relays. A log that is slow or just gone is found out here first, so the others are
-	 * asked before the turn is given up.
+	 * Escalates a decision that has timed out: from the replicas to the log, from the log
+	 * to all relays, and from these to the log through another relay before the turn is
+	 * refused. An outage of the log is often detected by this timeout first.
 	 * @param exchange the exchange
 	 */
 	void decisionTimedOut(Exchange exchange) {
@@ -226,138 +225,142 @@
 			return;
 		}
 		UsagePoll poll = this.state.polls.get(exchange.id());
-		// An answer may have ended the waiting that a reminder is of: taken for the next
-		// one's, the log would hardly have its time, and all relays would be asked.
+		// A timer of an earlier stage must not cut the timeout of the current stage
+		// short.
 		if (poll != null && !poll.timerFired()) {
 			return;
 		}
 		if (poll != null && poll.stage() == UsagePoll.Stage.REPLICAS) {
-			widen(exchange, poll);
+			escalate(exchange, poll);
 			return;
 		}
 		if ((poll == null || poll.stage() == UsagePoll.Stage.LOG) && this.state.connectivity != Connectivity.NOTHING) {
-			askRelays(exchange);
+			reserveOnAllRelays(exchange);
 			return;
 		}
 		if (poll != null && (poll.logReachable() || this.state.connectivity == Connectivity.LOG)
 				&& poll.extendTimeout()) {
-			askPlace(exchange, poll);
-			remind(exchange, poll, RelaySettings.FINAL_LOG_DECISION_TIMEOUT);
+			requestLogReservation(exchange, poll);
+			startTimer(exchange, poll, RelaySettings.FINAL_LOG_DECISION_TIMEOUT);
 			return;
 		}
-		this.ends.budgetUndecided(exchange);
+		this.completion.budgetUndecided(exchange);
 	}
 
 	/**
-	 * Takes the place in the log of a turn of this relay: everything before it there is
-	 * known now, and no relay takes anything after it into account first.
+	 * Decides a turn of this relay at the position of its reservation in the log. All
+	 * entries before that position have been applied, and no relay counts later ones
+	 * first.
 	 * @param exchange the exchange
-	 * @return why the turn is refused, or empty if its budget holds it
+	 * @return the refusal, or empty if the budget admits the turn
 	 */
 	Optional<Refusal> decideInLogOrder(Exchange exchange) {
 		Turn turn = exchange.head().turn().orElseThrow();
 		Optional<UsagePoll> poll = Optional.ofNullable(this.state.polls.get(exchange.id()));
-		boolean held = holds(exchange.id(), turn.program(), turn.maxTokens(), turn.budget().orElseThrow());
-		boolean sure = poll.isEmpty() || sure(poll.get(), turn);
+		boolean admitted = admits(exchange.id(), turn.program(), turn.maxTokens(), turn.budget().orElseThrow());
+		boolean covered = poll.isEmpty() || coversConcurrentTurns(poll.get(), turn);
 		exchange.markReserved();
 		this.state.tokens.reserve(turn.program(), exchange.id(), turn.maxTokens());
-		decided(exchange, Decider.LOG, held && sure);
-		if (held && sure) {
+		finishDecision(exchange, Decider.LOG, admitted && covered);
+		if (admitted && covered) {
 			return Optional.empty();
 		}
-		return Optional.of(held ? Refusal.LOG_LOST : Refusal.BUDGET_SPENT);
+		return Optional.of(admitted ? Refusal.LOG_LOST : Refusal.BUDGET_SPENT);
 	}
 
-	// Keepers of the program decide on other turns meanwhile, which come into the log a
-	// moment later. One keeper that answered knows of them; where none has, as many may
-	// be missing as begin at once. The caller is told to come back then, not that the
-	// budget is spent.
-	private boolean sure(UsagePoll poll, Turn turn) {
+	// Replicas may admit other turns whose entries follow in the log. A replica that has
+	// replied counts them; without a reply as many turns are assumed as usually start
+	// together. Such a refusal asks the caller to retry, as the budget may not be spent.
+	private boolean coversConcurrentTurns(UsagePoll poll, Turn turn) {
 		long budget = turn.budget().orElseThrow();
 		if (poll.coversReplicaDecisions()) {
 			return poll.used() <= budget;
 		}
-		long atOnce = (long) RelaySettings.ASSUMED_CONCURRENT_TURNS * turn.maxTokens();
-		return this.state.tokens.usedExcluding(turn.program(), poll.request()) + atOnce <= budget + turn.maxTokens();
+		long concurrent = (long) RelaySettings.ASSUMED_CONCURRENT_TURNS * turn.maxTokens();
+		return this.state.tokens.usedExcluding(turn.program(), poll.request()) + concurrent <= budget
+				+ turn.maxTokens();
 	}
 
-	private boolean holds(String request, String program, int most, long budget) {
-		return this.state.tokens.usedExcluding(program, request) + missed(most, budget) + most <= budget;
+	private boolean admits(String request, String program, int maxTokens, long budget) {
+		return this.state.tokens.usedExcluding(program, request) + maxUnknown(maxTokens, budget) + maxTokens <= budget;
 	}
 
 	/**
-	 * Takes another relay's answer to a question of this one.
-	 * @param usageReceived the answer
-	 * @return whether the budget holds the turn, or empty if that is not decided yet
+	 * Adds the usage that another relay reported to a poll.
+	 * @param usage the reported usage
+	 * @return whether the budget admits the turn, or empty if that is not decided yet
 	 */
-	Optional<Boolean> usageReceived(RelayEvent.UsageReceived told) {
-		UsagePoll poll = this.state.polls.get(told.request());
+	Optional<Boolean> usageReceived(RelayEvent.UsageReceived usage) {
+		UsagePoll poll = this.state.polls.get(usage.request());
 		if (poll == null || poll.stage() == UsagePoll.Stage.LOG) {
 			return Optional.empty();
 		}
 		Exchange exchange = this.state.exchanges.get(poll.exchange());
-		poll.addUsage(told.peer(), told.tokens(), told.uncommitted());
-		return (poll.stage() == UsagePoll.Stage.REPLICAS) ? byKeepers(exchange, poll) : byRelays(exchange, poll, told);
+		poll.addUsage(usage.peer(), usage.tokens(), usage.uncommitted());
+		return (poll.stage() == UsagePoll.Stage.REPLICAS) ? decideByReplicas(exchange, poll)
+				: decideByMajority(exchange, poll, usage);
 	}
 
 	/**
-	 * Takes that another relay can't answer a question of this one.
-	 * @param usageUnavailable what it said
+	 * Records that a replica has reserved a turn but can't report the usage.
+	 * @param unavailable the event
 	 */
-	void usageUnavailable(RelayEvent.UsageUnavailable unsure) {
-		UsagePoll poll = this.state.polls.get(unsure.request());
+	void usageUnavailable(RelayEvent.UsageUnavailable unavailable) {
+		UsagePoll poll = this.state.polls.get(unavailable.request());
 		if (poll != null && poll.stage() == UsagePoll.Stage.REPLICAS) {
 			poll.unavailable();
-			byKeepers(this.state.exchanges.get(poll.exchange()), poll);
+			decideByReplicas(this.state.exchanges.get(poll.exchange()), poll);
 		}
 	}
 
-	private Optional<Boolean> byRelays(Exchange exchange, UsagePoll poll, RelayEvent.UsageReceived told) {
-		// Where one reaches the log, others may give turns there that no majority knows
-		// of, so the log decides for all. One relay is asked for a place, since each call
-		// of the log is priced; if it does not answer, the next one is.
-		if (told.logReachable()) {
+	private Optional<Boolean> decideByMajority(Exchange exchange, UsagePoll poll, RelayEvent.UsageReceived usage) {
+		// If any relay reaches the log, turns may be admitted there that no majority
+		// counts, so the log decides. Log calls are billed: one relay at a time is asked
+		// to append the reservation.
+		if (usage.logReachable()) {
 			boolean first = !poll.logReachable();
-			poll.addLogRelay(told.peer());
+			poll.addLogRelay(usage.peer());
 			if (first) {
-				askPlace(exchange, poll);
+				requestLogReservation(exchange, poll);
 			}
 		}
-		if (poll.logReachable() || !poll.hasRelayMajority(told.otherRelays())) {
+		if (poll.logReachable() || !poll.hasRelayMajority(usage.otherRelays())) {
 			return Optional.empty();
 		}
 		Turn turn = exchange.head().turn().orElseThrow();
 		long budget = turn.budget().orElseThrow();
-		long taken = Math.max(poll.used(), this.state.tokens.used(turn.program())) + missed(turn.maxTokens(), budget);
-		boolean held = taken <= withoutLog(turn.maxTokens(), budget);
-		decided(exchange, Decider.MAJORITY, held);
-		return Optional.of(held);
+		long used = Math.max(poll.used(), this.state.tokens.used(turn.program()))
+				+ maxUnknown(turn.maxTokens(), budget);
+		boolean admitted = used <= loglessLimit(turn.maxTokens(), budget);
+		finishDecision(exchange, Decider.MAJORITY, admitted);
+		return Optional.of(admitted);
 	}
 
 	/**
-	 * Takes what another relay read from the log of a turn of this one.
-	 * @param usageReceived what it read
+	 * Finishes the decision on a turn that another relay reserved in the log for this
+	 * one.
+	 * @param decision the decision in the order of the log
 	 * @return the exchange of the turn, or empty if it is decided already
 	 */
-	Optional<Exchange> logDecisionReceived(RelayEvent.LogDecisionReceived told) {
-		UsagePoll poll = this.state.polls.get(told.request());
+	Optional<Exchange> logDecisionReceived(RelayEvent.LogDecisionReceived decision) {
+		UsagePoll poll = this.state.polls.get(decision.request());
 		if (poll == null) {
 			return Optional.empty();
 		}
 		Exchange exchange = this.state.exchanges.get(poll.exchange());
-		decided(exchange, Decider.PLACE, told.admitted());
+		finishDecision(exchange, Decider.PLACE, decision.admitted());
 		return Optional.of(exchange);
 	}
 
 	/**
-	 * Returns whether the keepers of a program leave room for a turn that has a place in
-	 * the log. The relay that got it the place need not be one of them, and what relays
-	 * without the log have given is not there.
-	 * @param usageReceived what the other relay read
-	 * @return whether they do, as far as they answered
+	 * Returns whether the usage that replicas reported admits a turn. The relay that
+	 * reserved it in the log may be no replica of the program, and turns that were
+	 * admitted without the log are missing there.
+	 * @param decision the decision in the order of the log
+	 * @return whether it does, by the replies received so far
 	 */
-	boolean fitsReplicaUsage(RelayEvent.LogDecisionReceived told) {
-		UsagePoll poll = this.state.polls.get(told.request());
+	boolean fitsReplicaUsage(RelayEvent.LogDecisionReceived decision) {
+		UsagePoll poll = this.state.polls.get(decision.request());
 		if (poll == null || !poll.hasReplicas()) {
 			return true;
 		}
@@ -365,110 +368,113 @@
 		return poll.used() <= turn.budget().orElseThrow();
 	}
 
-	private void askPlace(Exchange exchange, UsagePoll poll) {
+	private void requestLogReservation(Exchange exchange, UsagePoll poll) {
 		Turn turn = exchange.head().turn().orElseThrow();
 		poll.nextLogRelay()
 			.ifPresent((relay) -> this.state.emit(new RelayEffect.RequestLogReservation(relay, exchange.id(),
 					turn.program(), turn.maxTokens(), turn.budget().orElseThrow())));
 	}
 
-	private void decided(Exchange exchange, Decider by, boolean held) {
+	private void finishDecision(Exchange exchange, Decider by, boolean admitted) {
 		UsagePoll poll = this.state.polls.remove(exchange.id());
 		this.state.conditionalReservations.remove(exchange.id());
-		if (by == Decider.KEEPERS && held) {
-			// The ordinary case, which the placing of the turn tells.
+		if (by == Decider.KEEPERS && admitted) {
+			// The notice of the dispatch implies this decision.
 			return;
 		}
-		this.state
-			.report(RelayNotices.turnDecided(exchange, by, (poll != null) ? poll.responders() : 0, held, this.state));
+		this.state.report(
+				RelayNotices.turnDecided(exchange, by, (poll != null) ? poll.responders() : 0, admitted, this.state));
 	}
 
 	/**
-	 * Answers another relay's question: holds its turn back, and says what is taken. One
-	 * that may miss turns itself says so: it would tell less than is taken. One that
-	 * reaches the log gets the turn a place there if it is asked to.
-	 * @param reservationRequested the question
+	 * Reserves a turn of another relay and replies with the usage of its program, or that
+	 * the usage is not available here because entries may be missing. If the request is
+	 * for a reservation through the log, appends that reservation instead; the decision
+	 * follows at its position in the log.
+	 * @param requested the request
 	 */
-	void reservationRequested(RelayEvent.ReservationRequested asked) {
-		if (asked.throughLog()) {
+	void reservationRequested(RelayEvent.ReservationRequested requested) {
+		if (requested.throughLog()) {
 			if (this.state.upToDate()) {
-				this.state.proxiedReservations.put(asked.request(), asked);
-				this.state
-					.write(new Reserved(asked.request(), asked.program(), asked.maxTokens(), "", List.of(), true));
+				this.state.proxiedReservations.put(requested.request(), requested);
+				this.state.write(new Reserved(requested.request(), requested.program(), requested.maxTokens(), "",
+						List.of(), true));
 			}
 			return;
 		}
-		this.state.tokens.reserve(asked.program(), asked.request(), asked.maxTokens());
+		this.state.tokens.reserve(requested.program(), requested.request(), requested.maxTokens());
 		this.state.uncommitted.add(
-				new Reserved(asked.request(), asked.program(), asked.maxTokens(), "", List.of(), false), asked.peer(),
-				asked.now());
+				new Reserved(requested.request(), requested.program(), requested.maxTokens(), "", List.of(), false),
+				requested.peer(), requested.now());
 		if (!this.state.upToDate()) {
-			this.state.emit(new RelayEffect.SendUsageUnavailable(asked.peer(), asked.request()));
+			this.state.emit(new RelayEffect.SendUsageUnavailable(requested.peer(), requested.request()));
 			return;
 		}
-		boolean log = this.state.connectivity == Connectivity.LOG;
-		this.state.emit(new RelayEffect.SendUsage(asked.peer(), asked.request(),
-				this.state.tokens.used(asked.program()), this.state.uncommitted.tokensOf(asked.program()), log,
-				log ? List.of() : this.state.uncommitted.entriesOf(asked.program()),
-				this.state.upstreams.recentLoads(asked.now())));
+		boolean logReachable = this.state.connectivity == Connectivity.LOG;
+		this.state.emit(new RelayEffect.SendUsage(requested.peer(), requested.request(),
+				this.state.tokens.used(requested.program()), this.state.uncommitted.tokensOf(requested.program()),
+				logReachable, logReachable ? List.of() : this.state.uncommitted.entriesOf(requested.program()),
+				this.state.upstreams.recentLoads(requested.now())));
 	}
 
 	/**
-	 * Takes a place in the log, which may be one that this relay got for another.
-	 * @param reserved what stands there
+	 * Decides a turn of another relay once its reservation, appended here, is read from
+	 * the log.
+	 * @param reserved the reservation
 	 */
 	void reservationCommitted(Reserved reserved) {
-		RelayEvent.ReservationRequested asked = this.state.proxiedReservations.remove(reserved.request());
-		if (asked != null) {
-			boolean held = holds(asked.request(), asked.program(), asked.maxTokens(), asked.budget());
-			this.state.emit(new RelayEffect.SendLogDecision(asked.peer(), asked.request(), held));
+		RelayEvent.ReservationRequested requested = this.state.proxiedReservations.remove(reserved.request());
+		if (requested != null) {
+			boolean admitted = admits(requested.request(), requested.program(), requested.maxTokens(),
+					requested.budget());
+			this.state.emit(new RelayEffect.SendLogDecision(requested.peer(), requested.request(), admitted));
 		}
 	}
 
 	/**
-	 * Whether a turn may run. Safe for use by several threads.
+	 * Decision from local state. Safe for use by several threads.
 	 */
 	enum Admission {
 
 		/**
-		 * It may.
+		 * The turn may run.
 		 */
 		ADMITTED,
 
 		/**
-		 * The log's order decides, or other relays.
+		 * The replicas, the log or other relays have to decide.
 		 */
 		UNDECIDED,
 
 		/**
-		 * Its program's budget does not hold it.
+		 * The turn exceeds its program's budget.
 		 */
 		REFUSED
 
 	}
 
 	/**
-	 * Who decided on a turn. Safe for use by several threads.
+	 * Source of a decision, written to notices by name. Safe for use by several threads.
 	 */
 	enum Decider {
 
 		/**
-		 * A majority of the relays that keep the program.
+		 * A quorum of the program's replicas.
 		 */
 		KEEPERS,
 
 		/**
-		 * The log, read by this relay.
+		 * The order of the log, read by this relay.
 		 */
 		LOG,
 
 		/**
-		 * The log, read by another relay.
+		 * The order of the log, read by another relay.
 		 */
 		PLACE,
 
 		/**
-		 * A majority of the relays.
+		 * A majority of all relays.
 		 */
 		MAJORITY
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerEntry.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerEntry.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 
 /**
- * What relays write down for each other: once in the platform's log, and at once over the
- * links to those that keep the program. Taking an entry twice, or in another order, leads
- * to the same state, since both ways bring the same entries. Immutable and safe for use
- * by several threads.
+ * Entry of the ledger that relays share: appended to the platform's log, and replicated
+ * directly to the replicas of the program. Applying entries is idempotent and independent
+ * of their order, since both ways deliver the same entries. Immutable and safe for use by
+ * several threads.
  */
 public sealed interface LedgerEntry {
 
 	/**
-	 * Returns the request that the entry is about.
+	 * Returns the request of the entry.
 	 * @return the id of the caller's attempt
 	 */
 	String request();
 
 	/**
-	 * Returns the program that the entry is about.
-	 * @return the program, or empty if it is about none
+	 * Returns the program of the entry.
+	 * @return the program, or empty if the entry belongs to none
 	 */
 	default Optional<String> findProgram() {
 		return switch (this) {
@@ -30,16 +30,16 @@
 	}
 
 	/**
-	 * A turn is about to run, and its most tokens are held back from its program's
-	 * budget.
+	 * Reserves the maximum tokens of a turn in its program's budget before the turn runs.
 	 *
 	 * @param request the id of the caller's attempt
 	 * @param program the program
-	 * @param tokens the most tokens that the turn generates
-	 * @param upstream the life of the upstream; empty while the turn contends
-	 * @param prompt the parts of the prompt that the upstream then holds
-	 * @param contending whether the turn runs only if the log's order leaves enough of
-	 * the budget for it; otherwise it runs already
+	 * @param maxTokens the maximum tokens that the turn generates
+	 * @param upstream the incarnation of the upstream; empty if the reservation is
+	 * conditional
+	 * @param prompt the prompt parts that the upstream has cached after the turn
+	 * @param conditional whether the turn runs only if the budget admits it at this
+	 * position in the log; otherwise it is already admitted
 	 */
 	record Reserved(String request, String program, int maxTokens, String upstream, List<PromptPart> prompt,
 			boolean conditional) implements LedgerEntry {
@@ -48,11 +48,12 @@
 		 * Creates an entry.
 		 * @param request the id of the caller's attempt
 		 * @param program the program
-		 * @param tokens the most tokens that the turn generates
-		 * @param upstream the life of the upstream
-		 * @param prompt the parts of the prompt that the upstream then holds
-		 * @param contending whether the turn runs only if the log's order leaves enough
-		 * of the budget for it; otherwise it runs already
+		 * @param maxTokens the maximum tokens that the turn generates
+		 * @param upstream the incarnation of the upstream; empty if the reservation is
+		 * conditional
+		 * @param prompt the prompt parts that the upstream has cached after the turn
+		 * @param conditional whether the turn runs only if the budget admits it at this
+		 * position in the log; otherwise it is already admitted
 		 */
 		public Reserved {
 			prompt = List.copyOf(prompt);
@@ -61,12 +62,13 @@
 	}
 
 	/**
-	 * A turn is over.
+	 * Settles a turn that has ended.
 	 *
 	 * @param request the id of the caller's attempt
 	 * @param program the program
-	 * @param tokens the tokens that the caller was given
-	 * @param text where the turn's text is, if later turns may continue from it
+	 * @param tokens the tokens that were delivered to the caller
+	 * @param textLocation the location of the turn's text; empty if later turns can't
+	 * continue from it
 	 */
 	record Settled(String request, String program, int tokens,
 			Optional<TextLocation> textLocation) implements LedgerEntry {
@@ -74,11 +76,11 @@
 	}
 
 	/**
-	 * An upstream broke off while it ran a request.
+	 * Records that an upstream failed while it ran a request.
 	 *
 	 * @param request the id of the caller's attempt
-	 * @param digest the digest of the request's content, the same for each resend
-	 * @param upstream the life of the upstream
+	 * @param digest the digest of the request's content, equal for all retries
+	 * @param upstream the incarnation of the upstream
 	 */
 	record UpstreamFailed(String request, long digest, String upstream) implements LedgerEntry {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * What relays write down and tell each other, and what follows from it. Used by one
- * thread.
+ * Rules that apply ledger entries from the log and from other relays, and that act on the
+ * budget decisions that follow from them. Used by one thread.
  */
 final class LedgerRules {
 
@@ -15,65 +15,67 @@
 
 	private final BudgetRules budgets;
 
-	private final ExchangeCompletion ends;
+	private final ExchangeCompletion completion;
 
-	private final DuplicateEntryCounter copies = new DuplicateEntryCounter();
+	private final DuplicateEntryCounter duplicates = new DuplicateEntryCounter();
 
-	LedgerRules(RelayState state, RequestRules requests, BudgetRules budgets, ExchangeCompletion ends) {
+	LedgerRules(RelayState state, RequestRules requests, BudgetRules budgets, ExchangeCompletion completion) {
 		this.state = state;
 		this.requests = requests;
 		this.budgets = budgets;
-		this.ends = ends;
+		this.completion = completion;
 	}
 
-	void entriesReceived(RelayEvent.EntriesReceived read) {
-		for (LedgerEntry entry : read.entries()) {
-			read.sender()
-				.ifPresentOrElse((teller) -> this.state.uncommitted.add(entry, teller, read.now()),
-						() -> logged(entry));
+	void entriesReceived(RelayEvent.EntriesReceived received) {
+		for (LedgerEntry entry : received.entries()) {
+			received.sender()
+				.ifPresentOrElse((sender) -> this.state.uncommitted.add(entry, sender, received.now()),
+						() -> committed(entry));
 			switch (entry) {
-				case LedgerEntry.Reserved reserved -> reserved(reserved, read.fromLog());
-				case LedgerEntry.Settled settled -> settledElsewhere(settled, read.sender());
-				case LedgerEntry.UpstreamFailed blamed ->
-					this.state.poisonRequests.recordFailure(blamed.digest(), blamed.upstream());
+				case LedgerEntry.Reserved reserved -> reserved(reserved, received.fromLog());
+				case LedgerEntry.Settled settled -> settled(settled, received.sender());
+				case LedgerEntry.UpstreamFailed failed ->
+					this.state.poisonRequests.recordFailure(failed.digest(), failed.upstream());
 			}
 		}
-		if (read.fromLog()) {
-			adopt();
-			this.copies.drain().forEach((measured) -> this.state.emit(new RelayEffect.RecordMeasurement(measured)));
+		if (received.fromLog()) {
+			appendOverdue();
+			this.duplicates.drain()
+				.forEach((measurement) -> this.state.emit(new RelayEffect.RecordMeasurement(measurement)));
 		}
 		this.requests.dispatchWaiting();
 	}
 
-	private void logged(LedgerEntry entry) {
+	private void committed(LedgerEntry entry) {
 		if (this.state.uncommitted.committed(entry)) {
-			this.copies.add(entry);
+			this.duplicates.add(entry);
 		}
 	}
 
-	private void dispatchIf(Exchange exchange, boolean held, Refusal otherwise) {
-		if (held) {
+	private void dispatchOrRefuse(Exchange exchange, boolean admitted, Refusal refusal) {
+		if (admitted) {
 			this.requests.dispatch(exchange);
 			return;
 		}
-		this.ends.giveUp(exchange, otherwise);
+		this.completion.giveUp(exchange, refusal);
 	}
 
-	void usageReceived(RelayEvent.UsageReceived told) {
-		UsagePoll poll = this.state.polls.get(told.request());
-		this.budgets.usageReceived(told)
-			.ifPresent((held) -> dispatchIf(this.state.exchanges.get(poll.exchange()), held, poll.refusal()));
+	void usageReceived(RelayEvent.UsageReceived usage) {
+		UsagePoll poll = this.state.polls.get(usage.request());
+		this.budgets.usageReceived(usage)
+			.ifPresent((admitted) -> dispatchOrRefuse(this.state.exchanges.get(poll.exchange()), admitted,
+					poll.refusal()));
 	}
 
-	void usageUnavailable(RelayEvent.UsageUnavailable unsure) {
-		this.budgets.usageUnavailable(unsure);
+	void usageUnavailable(RelayEvent.UsageUnavailable unavailable) {
+		this.budgets.usageUnavailable(unavailable);
 	}
 
-	void logDecisionReceived(RelayEvent.LogDecisionReceived told) {
-		boolean held = told.admitted() && this.budgets.fitsReplicaUsage(told);
-		this.budgets.logDecisionReceived(told)
-			.ifPresent((exchange) -> dispatchIf(exchange, held,
-					told.admitted() ? Refusal.LOG_LOST : Refusal.BUDGET_SPENT));
+	void logDecisionReceived(RelayEvent.LogDecisionReceived decision) {
+		boolean admitted = decision.admitted() && this.budgets.fitsReplicaUsage(decision);
+		this.budgets.logDecisionReceived(decision)
+			.ifPresent((exchange) -> dispatchOrRefuse(exchange, admitted,
+					decision.admitted() ? Refusal.LOG_LOST : Refusal.BUDGET_SPENT));
 	}
 
 	void caughtUp(RelayEvent.CaughtUp event) {
@@ -90,20 +92,20 @@
 		this.requests.dispatchWaiting();
 	}
 
-	private void adopt() {
+	private void appendOverdue() {
 		if (this.state.now - this.state.logReadAt > RelaySettings.LOG_OUTAGE_THRESHOLD.toMillis()) {
 			this.state.uncommitted.restartTimeouts(this.state.now);
 		}
 		this.state.logReadAt = this.state.now;
 		List<LedgerEntry> overdue = this.state.uncommitted.takeOverdue(this.state.name, this.state.linkedPeers,
-				this::holders, this.state.now);
+				this::replicasOf, this.state.now);
 		overdue.forEach(this.state::write);
 		if (!overdue.isEmpty()) {
 			this.state.report(RelayNotices.entriesAdopted(overdue.size()));
 		}
 	}
 
-	private List<String> holders(LedgerEntry entry) {
+	private List<String> replicasOf(LedgerEntry entry) {
 		return entry.findProgram().map(this.state.replicas::replicasOf).orElse(List.of());
 	}
 
@@ -111,34 +113,34 @@
 		if (fromLog) {
 			this.budgets.reservationCommitted(reserved);
 		}
-		Long own = this.state.conditionalReservations
+		Long exchangeNumber = this.state.conditionalReservations
 			.remove((fromLog && reserved.conditional()) ? reserved.request() : "");
-		if (own != null) {
-			Exchange exchange = this.state.exchanges.get(own);
+		if (exchangeNumber != null) {
+			Exchange exchange = this.state.exchanges.get(exchangeNumber);
 			this.budgets.decideInLogOrder(exchange)
-				.ifPresentOrElse((refusal) -> this.ends.giveUp(exchange, refusal),
+				.ifPresentOrElse((refusal) -> this.completion.giveUp(exchange, refusal),
 						() -> this.requests.dispatch(exchange));
 			return;
 		}
 		if (!reserved.conditional() || fromLog) {
-			reservedElsewhere(reserved);
+			applyReservation(reserved);
 		}
 	}
 
-	private void reservedElsewhere(LedgerEntry.Reserved reserved) {
+	private void applyReservation(LedgerEntry.Reserved reserved) {
 		this.state.tokens.reserve(reserved.program(), reserved.request(), reserved.maxTokens());
 		if (this.state.tokens.isOpen(reserved.program(), reserved.request())) {
-			this.state.upstreams.findIncarnation(reserved.upstream()).ifPresent((known) -> {
-				this.state.upstreams.requestStarted(reserved.request(), known, this.state.now);
-				known.addToCache(reserved.prompt(), this.state.memory(known.upstream()));
+			this.state.upstreams.findIncarnation(reserved.upstream()).ifPresent((upstream) -> {
+				this.state.upstreams.requestStarted(reserved.request(), upstream, this.state.now);
+				upstream.addToCache(reserved.prompt(), this.state.memory(upstream.upstream()));
 			});
 		}
 	}
 
-	private void settledElsewhere(LedgerEntry.Settled settled, Optional<String> teller) {
+	private void settled(LedgerEntry.Settled settled, Optional<String> sender) {
 		this.state.tokens.settle(settled.program(), settled.request(), settled.tokens());
 		settled.textLocation()
-			.ifPresent((place) -> this.state.turnCache.recordLocation(settled.request(), place, teller));
+			.ifPresent((location) -> this.state.turnCache.recordLocation(settled.request(), location, sender));
 		this.state.upstreams.requestEnded(settled.request());
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramReplicas.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramReplicas.java
@@ -10,23 +10,22 @@
 import java.util.SplittableRandom;
 
 /**
- * Which relays keep the state of a program: each turn is told to them alone, so that what
- * a relay sends and is sent grows with its own turns and not with the number of relays.
- * All relays that know the same members come to the same keepers without telling each
- * other (rendezvous hashing), and a member that comes or goes moves only the programs
- * that it keeps. Relays with more processor keep more. Used by one thread.
+ * Assignment of programs to the relays that replicate their state. Relays replicate a
+ * turn to these only, so the traffic of a relay grows with its own turns and not with the
+ * number of relays. The assignment is rendezvous hashing, weighted by processor share:
+ * all relays with the same member list compute the same replicas, and a member that joins
+ * or leaves moves only its own programs. Used by one thread.
  */
 final class ProgramReplicas {
 
 	/**
-	 * How many relays keep a program: with three, any two majorities share one, and one
-	 * may be lost or late.
+	 * Number of replicas of a program. With three, any two majorities intersect, and one
+	 * replica may be lost or slow.
 	 */
 	static final int REPLICATION_FACTOR = 3;
 
 	/**
-	 * How many programs' keepers are remembered: those whose turns come now, at a large
-	 * site.
+	 * Number of programs whose replicas are cached.
 	 */
 	private static final int CACHE_SIZE = 4096;
 
@@ -42,9 +41,9 @@
 	private Set<String> addresses = Set.of();
 
 	/**
-	 * Takes the members.
+	 * Replaces the members.
 	 * @param updated the members
-	 * @return whether they are others than before
+	 * @return whether they differ from the previous ones
 	 */
 	boolean update(List<Member> updated) {
 		if (this.members.equals(updated)) {
@@ -52,16 +51,12 @@
 		}
 		this.members = List.copyOf(updated);
 		this.cache.clear();
-		Set<String> known = new HashSet<>();
-		updated.forEach((member) -> known.add(member.address()));
-		this.addresses = Set.copyOf(known);
+		Set<String> updatedAddresses = new HashSet<>();
+		updated.forEach((member) -> updatedAddresses.add(member.address()));
+		this.addresses = Set.copyOf(updatedAddresses);
 		return true;
 	}
 
-	/**
-	 * Returns whether any members are known.
-	 * @return whether they are
-	 */
 	boolean hasMembers() {
 		return !this.members.isEmpty();
 	}
@@ -80,9 +75,9 @@
 	}
 
 	/**
-	 * Returns the relays that keep a program, in the order in which they step in for each
-	 * other. Keepers of one program are in different availability zones as far as there
-	 * are enough: a zone that fails takes one of them.
+	 * Returns the replicas of a program by descending priority. They are in different
+	 * availability zones if there are enough, so the failure of a zone affects one of
+	 * them.
 	 * @param program the program
 	 * @return the addresses; empty while no members are known
 	 */
@@ -111,8 +106,8 @@
 		return selected;
 	}
 
-	// Exponentially distributed with the weight as its rate: the smallest of several is a
-	// member's as often as its part of all weights.
+	// An exponential variate with the weight as its rate: a member has the smallest score
+	// with a probability of its share of all weights.
 	private static double score(String program, Member member) {
 		long seed = ((long) program.hashCode() << Integer.SIZE) ^ member.address().hashCode();
 		double uniform = 1 - new SplittableRandom(seed).nextDouble();
@@ -120,10 +115,10 @@
 	}
 
 	/**
-	 * A member with its score for one program. Immutable.
+	 * A member with its score for a program. Immutable.
 	 *
 	 * @param member the member
-	 * @param score the score; the smallest comes first
+	 * @param score the score; the smallest ranks first
 	 */
 	private record Scored(Member member, double score) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramTokens.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramTokens.java
@@ -5,12 +5,11 @@
 import java.util.Map;
 
 /**
- * The tokens that programs have been given, over all relays. A reservation counts at its
- * most until its turn is settled, so that a relay that dies in the middle of a turn can
- * only make a budget look smaller. A reservation that contends counts from its place in
- * the log on: of several that were made at once, all relays see the same one first. The
- * number of programs is bounded: the ones untouched for longest are forgotten. Used by
- * one thread.
+ * Token usage of programs over all relays. A reservation counts with its maximum until
+ * the turn is settled, so a relay that fails during a turn leaves the usage too high and
+ * never too low. A conditional reservation counts from its position in the log, which all
+ * relays read in the same order. The number of programs is bounded; the least recently
+ * used ones are evicted. Used by one thread.
  */
 final class ProgramTokens {
 
@@ -18,12 +17,12 @@
 
 	private final LinkedHashMap<String, Account> accounts = new LinkedHashMap<>(64, 0.75f, true);
 
-	ProgramTokens(int bound) {
-		this.maxPrograms = bound;
+	ProgramTokens(int maxPrograms) {
+		this.maxPrograms = maxPrograms;
 	}
 
 	/**
-	 * Returns what is spent or held back of a program's budget.
+	 * Returns the tokens of a program that are spent or reserved.
 	 * @param program the program
 	 * @return the tokens
 	 */
@@ -33,8 +32,7 @@
 	}
 
 	/**
-	 * Returns what a program has been given for sure: turns that may still run or end
-	 * don't count, so it only ever grows.
+	 * Returns the tokens of a program's settled turns, which never decrease.
 	 * @param program the program
 	 * @return the tokens
 	 */
@@ -44,7 +42,8 @@
 	}
 
 	/**
-	 * Returns what is spent or held back of a program's budget, but for one turn.
+	 * Returns the tokens of a program that are spent or reserved, without the reservation
+	 * of one turn.
 	 * @param program the program
 	 * @param request the turn
 	 * @return the tokens
@@ -58,15 +57,15 @@
 	}
 
 	/**
-	 * Holds back the most tokens of a turn, unless it is known already.
+	 * Reserves the maximum tokens of a turn, unless it is reserved or settled already.
 	 * @param program the program
 	 * @param request the turn
-	 * @param tokens the most tokens
+	 * @param maxTokens the maximum tokens
 	 */
-	void reserve(String program, String request, int tokens) {
+	void reserve(String program, String request, int maxTokens) {
 		Account account = account(program);
-		if (account.turns.putIfAbsent(request, tokens) == null) {
-			account.reserved += tokens;
+		if (account.turns.putIfAbsent(request, maxTokens) == null) {
+			account.reserved += maxTokens;
 		}
 	}
 
@@ -83,11 +82,11 @@
 
 	void settle(String program, String request, int tokens) {
 		Account account = account(program);
-		Integer held = account.turns.put(request, Account.SETTLED);
-		if (held != null && held == Account.SETTLED) {
+		Integer reservedTokens = account.turns.put(request, Account.SETTLED);
+		if (reservedTokens != null && reservedTokens == Account.SETTLED) {
 			return;
 		}
-		account.reserved -= (held != null) ? held : 0;
+		account.reserved -= (reservedTokens != null) ? reservedTokens : 0;
 		account.spent += tokens;
 	}
 
@@ -104,7 +103,7 @@
 	}
 
 	/**
-	 * What one program has taken. Used by one thread.
+	 * Turns and tokens of one program. Used by one thread.
 	 */
 	private static final class Account {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UncommittedEntries.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UncommittedEntries.java
@@ -12,25 +12,24 @@
 import java.util.stream.Stream;
 
 /**
- * Entries that the log has not shown yet: those that other relays told, and own ones,
- * which this relay is writing. If their own relay dies before it could write them, the
- * tokens that they count would be forgotten with the last relay that was told, and a
- * looping program be given them again; so whoever holds a copy writes it once the log had
- * its time to show it. Several may, which readers bear. Bounded: the oldest are given up.
- * Used by one thread.
+ * Ledger entries that have not been read from the log yet: replicated by other relays, or
+ * being appended by this one. If the relay that created an entry fails before the append,
+ * the usage in it would be lost with the last copy, and the program could get the same
+ * tokens twice. A relay that holds a copy therefore appends it after a timeout. Several
+ * may do so, as readers ignore duplicates. The size is bounded by removing the oldest
+ * entries. Used by one thread.
  */
 final class UncommittedEntries {
 
 	/**
-	 * How many relays write an entry first whose own relay lives, and twice as many each
-	 * further time. Such a relay tries to write it by itself, and the log may just be
-	 * late: written by all who were told, it would be later still. One that lives and
-	 * does not reach the log needs one other that does.
+	 * Number of relays that append an overdue entry while its sender is connected;
+	 * doubled after each further timeout. The limit keeps a late log from being loaded
+	 * with duplicates, and one relay that reaches the log is enough.
 	 */
 	private static final int INITIAL_WRITERS = 2;
 
 	/**
-	 * How long the entry's own relay has to write it, while the log can be read.
+	 * Time that the sender of an entry has to append it while the log can be read.
 	 */
 	private static final long COMMIT_TIMEOUT_MS = 1_500;
 
@@ -44,11 +43,11 @@
 
 	/**
 	 * Creates an empty collection.
-	 * @param spread what this relay waits longer than the first one, so that not all
-	 * write at once
+	 * @param jitterMillis the additional timeout of this relay, so that not all relays
+	 * append at once
 	 */
-	UncommittedEntries(long spread) {
-		this.commitTimeout = COMMIT_TIMEOUT_MS + spread;
+	UncommittedEntries(long jitterMillis) {
+		this.commitTimeout = COMMIT_TIMEOUT_MS + jitterMillis;
 	}
 
 	void add(LedgerEntry entry, String sender, long now) {
@@ -63,19 +62,19 @@
 	}
 
 	/**
-	 * Returns the entries of one program.
+	 * Returns the entries of a program.
 	 * @param program the program
-	 * @return the entries, the oldest first
+	 * @return the entries, oldest first
 	 */
 	List<LedgerEntry> entriesOf(String program) {
 		return entries().filter((entry) -> entry.findProgram().filter(program::equals).isPresent()).toList();
 	}
 
 	/**
-	 * Returns what entries of one program say to be taken: what would be forgotten with
-	 * all relays now.
+	 * Returns the usage of a program that is recorded in these entries only, and would be
+	 * lost with all relays.
 	 * @param program the program
-	 * @return the tokens, those of turns that have not ended at their most
+	 * @return the tokens, with the maximum of turns that are not settled
 	 */
 	long tokensOf(String program) {
 		Map<String, Integer> byTurn = new HashMap<>();
@@ -92,7 +91,7 @@
 
 	/**
 	 * Returns the entries of all programs.
-	 * @return the entries, the oldest first
+	 * @return the entries, oldest first
 	 */
 	List<LedgerEntry> all() {
 		return entries().toList();
@@ -103,35 +102,36 @@
 	}
 
 	/**
-	 * Takes an entry that the log shows.
+	 * Removes an entry that was read from the log.
 	 * @param entry the entry
-	 * @return whether the log has shown it before, as far as that is remembered
+	 * @return whether it is a duplicate of one of the last entries read from the log
 	 */
 	boolean committed(LedgerEntry entry) {
 		Key key = Key.of(entry);
 		this.pending.remove(key);
-		// A turn that was held back by its keepers and never ran is settled without
-		// having been reserved in the log: written then, it would be held back for ever.
+		// The reservation of a settled turn may never have been in the log. Appended
+		// after the settlement it would never be released.
 		if (entry instanceof LedgerEntry.Settled settled) {
 			this.pending.remove(new Key(settled.request(), LedgerEntry.Reserved.class));
 		}
-		boolean shownFirst = this.committed.add(key);
+		boolean first = this.committed.add(key);
 		if (this.committed.size() > MAX_ENTRIES) {
 			this.committed.removeFirst();
 		}
-		return !shownFirst;
+		return !first;
 	}
 
 	/**
-	 * Returns the entries that the log should have shown by now and that this relay is to
-	 * write, and forgets them. Entries that others are to write wait once more.
+	 * Removes and returns the entries whose commit timeout has expired and that this
+	 * relay has to append. The timeout of those that other relays append is restarted.
 	 * @param own the name of this relay
-	 * @param linked the relays that this one is linked to
-	 * @param holders tells which relays were told of an entry; none if all were
+	 * @param linkedPeers the relays connected to this one
+	 * @param replicas returns the relays that hold a copy of an entry, or an empty list
+	 * if all relays do
 	 * @param now when the log was read
 	 * @return the entries
 	 */
-	List<LedgerEntry> takeOverdue(String own, Set<String> linked, Function<LedgerEntry, List<String>> holders,
+	List<LedgerEntry> takeOverdue(String own, Set<String> linkedPeers, Function<LedgerEntry, List<String>> replicas,
 			long now) {
 		List<PendingEntry> due = new ArrayList<>();
 		for (PendingEntry next : this.pending.values()) {
@@ -147,9 +147,9 @@
 				this.pending.put(Key.of(next.entry()), next.reschedule(now));
 				continue;
 			}
-			List<String> told = holders.apply(next.entry());
-			int rank = told.isEmpty() ? rank(next, own, linked) : told.indexOf(own);
-			if (!linked.contains(next.sender()) || rank < next.writers()) {
+			List<String> holders = replicas.apply(next.entry());
+			int rank = holders.isEmpty() ? rank(next, own, linkedPeers) : holders.indexOf(own);
+			if (!linkedPeers.contains(next.sender()) || rank < next.writers()) {
 				overdue.add(next.entry());
 				continue;
 			}
@@ -158,14 +158,14 @@
 		return overdue;
 	}
 
-	// All relays come to the same order without telling each other.
-	private static int rank(PendingEntry waiting, String own, Set<String> linked) {
-		int ownScore = score(waiting.entry(), own);
-		int before = 0;
-		for (String peer : linked) {
-			before += (!peer.equals(waiting.sender()) && score(waiting.entry(), peer) < ownScore) ? 1 : 0;
+	// A hash of entry and relay gives all relays the same order without coordination.
+	private static int rank(PendingEntry pendingEntry, String own, Set<String> linkedPeers) {
+		int ownScore = score(pendingEntry.entry(), own);
+		int rank = 0;
+		for (String peer : linkedPeers) {
+			rank += (!peer.equals(pendingEntry.sender()) && score(pendingEntry.entry(), peer) < ownScore) ? 1 : 0;
 		}
-		return before;
+		return rank;
 	}
 
 	private static int score(LedgerEntry entry, String relay) {
@@ -174,8 +174,8 @@
 	}
 
 	/**
-	 * Starts the time anew for all entries: the log could not be read until now, so none
-	 * had its time to show.
+	 * Restarts the timeout of all entries after a period in which the log could not be
+	 * read.
 	 * @param now when the log was read again
 	 */
 	void restartTimeouts(long now) {
@@ -187,12 +187,13 @@
 	}
 
 	/**
-	 * An entry that the log has not shown. Immutable.
+	 * An entry that was not read from the log yet. Immutable.
 	 *
 	 * @param entry the entry
-	 * @param sender the relay that told it
-	 * @param since when its time began
-	 * @param helpers how many relays write it next while that one lives
+	 * @param sender the relay that sent it
+	 * @param since when its timeout started
+	 * @param writers the number of relays that append it next while its sender is
+	 * connected
 	 */
 	private record PendingEntry(LedgerEntry entry, String sender, long since, int writers) {
 
@@ -203,10 +204,10 @@
 	}
 
 	/**
-	 * What makes two entries the same. Immutable.
+	 * Identity of an entry. Immutable.
 	 *
 	 * @param request the request
-	 * @param kind the kind of entry
+	 * @param kind the type of the entry
 	 */
 	private record Key(String request, Class<?> kind) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * The answers to this relay's question whether a program's budget holds a turn. Each
- * relay counts once. Used by one thread.
+ * Quorum read of the usage of a program before one of its turns runs. Each relay is
+ * counted once. Used by one thread.
  */
 final class UsagePoll {
 
@@ -25,7 +25,7 @@
 
 	private Stage stage = Stage.REPLICAS;
 
-	private int timers;
+	private int pendingTimers;
 
 	private int unavailable;
 
@@ -40,16 +40,16 @@
 	private long uncommitted;
 
 	/**
-	 * Creates a poll without answers.
+	 * Creates a poll without replies.
 	 * @param exchange the exchange of the turn
 	 * @param request the turn
-	 * @param replicas the relays that keep the program; none if they are not known
+	 * @param replicas the replicas of the program; empty if no members are known
 	 */
-	UsagePoll(long exchange, String request, List<String> keepers) {
+	UsagePoll(long exchange, String request, List<String> replicas) {
 		this.exchange = exchange;
 		this.request = request;
-		this.replicas = keepers;
-		this.replicaResponded = keepers.isEmpty();
+		this.replicas = replicas;
+		this.replicaResponded = replicas.isEmpty();
 	}
 
 	long exchange() {
@@ -64,24 +64,21 @@
 		return !this.replicas.isEmpty();
 	}
 
-	/**
-	 * Returns whose answer is waited for.
-	 * @return the stage
-	 */
 	Stage stage() {
 		return this.stage;
 	}
 
 	/**
-	 * Waits for the log from now on.
+	 * Makes the log decide from now on.
 	 */
 	void waitForLog() {
 		this.stage = Stage.LOG;
 	}
 
 	/**
-	 * Waits for all relays from now on, each of which is asked anew.
-	 * @param own this relay
+	 * Makes a majority of all relays decide from now on, and discards the replies counted
+	 * so far.
+	 * @param own the name of this relay
 	 */
 	void waitForAllRelays(String own) {
 		this.stage = Stage.RELAYS;
@@ -90,27 +87,27 @@
 	}
 
 	/**
-	 * Takes the answer of a relay.
+	 * Adds the reply of a relay.
 	 * @param relay the relay
-	 * @param tokens what it knows to be taken, the turn included
-	 * @param hidden how much of that the log has not shown it
+	 * @param tokens the usage that it knows, the turn included
+	 * @param uncommittedTokens the part of it that is not in the log yet
 	 */
-	void addUsage(String relay, long tokens, long hidden) {
+	void addUsage(String relay, long tokens, long uncommittedTokens) {
 		this.responders.add(relay);
-		this.uncommitted = Math.max(this.uncommitted, hidden);
+		this.uncommitted = Math.max(this.uncommitted, uncommittedTokens);
 		this.replicaResponded = this.replicaResponded || this.replicas.contains(relay);
 		this.used = Math.max(this.used, tokens);
 	}
 
 	/**
-	 * Takes that a keeper has noted the turn and can't say what is taken.
+	 * Counts a replica that has reserved the turn but can't report the usage.
 	 */
 	void unavailable() {
 		this.unavailable++;
 	}
 
 	/**
-	 * Returns the most that an answer says to be taken.
+	 * Returns the highest usage in any reply.
 	 * @return the tokens, the turn included
 	 */
 	long used() {
@@ -118,7 +115,7 @@
 	}
 
 	/**
-	 * Returns the most that an answer says not to be in the log.
+	 * Returns the highest uncommitted usage in any reply.
 	 * @return the tokens, the turn included
 	 */
 	long uncommitted() {
@@ -126,21 +123,22 @@
 	}
 
 	/**
-	 * Returns what turns that were asked for in the same moment may have been granted
-	 * beyond what this poll shows. Two replicas of three that answer in different orders
-	 * grant up to half more than each of them counts; all replicas together show every
-	 * turn, and a turn that is seen alone by two is the only one that is.
-	 * @param most the most tokens of the turn itself
+	 * Returns an upper bound of the tokens that concurrent turns may be granted beyond
+	 * the replies of this poll. Two of three replicas that receive requests in different
+	 * orders may together grant up to half more than each of them counts. Replies of all
+	 * replicas cover every turn, and a turn that is the only uncommitted one in each
+	 * reply has no concurrent turns.
+	 * @param maxTokens the maximum tokens of the turn itself
 	 * @return the tokens
 	 */
-	long maxUnseen(int most) {
+	long maxUnseen(int maxTokens) {
 		boolean all = this.responders.size() >= this.replicas.size();
-		return (all || this.uncommitted <= most) ? 0 : this.uncommitted / 2;
+		return (all || this.uncommitted <= maxTokens) ? 0 : this.uncommitted / 2;
 	}
 
 	/**
-	 * Returns whether a replica has neither answered nor said that it is unsure.
-	 * @return whether one has not
+	 * Returns whether any replica has sent no reply yet.
+	 * @return whether any has not
 	 */
 	boolean awaitsReplicas() {
 		return this.responders.size() + this.unavailable < this.replicas.size();
@@ -151,16 +149,17 @@
 	}
 
 	/**
-	 * Returns whether enough keepers have answered to decide.
-	 * @return whether they have
+	 * Returns whether a majority of the replicas has reported the usage.
+	 * @return whether it has
 	 */
 	boolean hasReplicaQuorum() {
 		return this.responders.size() >= quorum();
 	}
 
 	/**
-	 * Returns whether so many keepers are unsure that the others can't decide.
-	 * @return whether they are
+	 * Returns whether too many replicas can't report the usage for the others to be
+	 * a majority.
+	 * @return whether that is so
 	 */
 	boolean replicaQuorumLost() {
 		return this.replicas.size() - this.unavailable < quorum();
@@ -171,25 +170,25 @@
 	}
 
 	/**
-	 * Returns whether what keepers decided meanwhile is seen: one that answered knows of
-	 * it, and those that are unsure hold the turn back as the others do.
-	 * @return whether it is
+	 * Returns whether concurrent decisions of the replicas are covered: a replica that
+	 * replied counts them, and those that can't report have reserved the turn as well.
+	 * @return whether they are
 	 */
 	boolean coversReplicaDecisions() {
 		return !this.responders.isEmpty() || replicaQuorumLost();
 	}
 
 	/**
-	 * Returns whether a majority of all relays has answered, and a keeper among them.
-	 * @param others how many other relays are known
+	 * Returns whether a majority of all relays has replied, including a replica.
+	 * @param otherRelays the number of other relays
 	 * @return whether it has
 	 */
-	boolean hasRelayMajority(int others) {
-		return this.replicaResponded && this.responders.size() >= (others + 1) / 2;
+	boolean hasRelayMajority(int otherRelays) {
+		return this.replicaResponded && this.responders.size() >= (otherRelays + 1) / 2;
 	}
 
 	/**
-	 * Takes that a relay reaches the log, and could get the turn a place there.
+	 * Adds a relay that reaches the log and can reserve the turn there.
 	 * @param relay the relay
 	 */
 	void addLogRelay(String relay) {
@@ -198,24 +197,24 @@
 	}
 
 	/**
-	 * Returns whether some relay reaches the log, so that the log decides.
-	 * @return whether one does
+	 * Returns whether any relay reaches the log, so that the log decides.
+	 * @return whether any does
 	 */
 	boolean logReachable() {
 		return this.logReachable;
 	}
 
 	/**
-	 * Returns the relay to ask for a place in the log, each time the next one.
-	 * @return the relay, or empty if all were asked
+	 * Removes the next relay that can reserve the turn in the log.
+	 * @return the relay, or empty if there are no more
 	 */
 	Optional<String> nextLogRelay() {
 		return Optional.ofNullable(this.logRelays.pollFirst());
 	}
 
 	/**
-	 * Notes that the turn is waited for longer than usual.
-	 * @return whether it was not before
+	 * Extends the timeout of the decision, once.
+	 * @return whether it was not extended before
 	 */
 	boolean extendTimeout() {
 		boolean first = !this.extended;
@@ -223,47 +222,45 @@
 		return first;
 	}
 
-	/**
-	 * Notes that a reminder is under way.
-	 */
 	void timerStarted() {
-		this.timers++;
+		this.pendingTimers++;
 	}
 
 	/**
-	 * Takes a reminder.
-	 * @return whether no other is under way
+	 * Counts a timer that has fired.
+	 * @return whether no other timer is pending
 	 */
 	boolean timerFired() {
-		this.timers--;
-		return this.timers <= 0;
+		this.pendingTimers--;
+		return this.pendingTimers <= 0;
 	}
 
 	/**
-	 * Returns why the turn is refused if its budget is told not to hold it.
-	 * @return the refusal: without the log only a part of the budget is given
+	 * Returns the refusal of a turn that its budget does not admit. Without the log only
+	 * a part of the budget is granted, so it may not be spent.
+	 * @return the refusal
 	 */
 	Refusal refusal() {
 		return (this.stage == Stage.REPLICAS) ? Refusal.BUDGET_SPENT : Refusal.LOG_LOST;
 	}
 
 	/**
-	 * Whose answer is waited for. Safe for use by several threads.
+	 * Decider that the poll waits for. Safe for use by several threads.
 	 */
 	enum Stage {
 
 		/**
-		 * That of the relays that keep the program.
+		 * A quorum of the program's replicas.
 		 */
 		REPLICAS,
 
 		/**
-		 * That of the log's order.
+		 * The order of the log.
 		 */
 		LOG,
 
 		/**
-		 * That of all other relays.
+		 * A majority of all relays.
 		 */
 		RELAYS
 
