--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEffect.java
@@ -11,21 +11,22 @@
 import io.lentilslip.core.quota.PermitRequest;
 
 /**
- * What a relay wants done. Immutable and safe for use by several threads.
+ * Action that a relay requests from its process. Immutable and safe for use by several
+ * threads.
  */
 public sealed interface RelayEffect {
 
 	/**
-	 * Send a request to an upstream.
+	 * Sends a request to an upstream.
 	 *
 	 * @param exchange the exchange
 	 * @param attempt the number of the attempt
 	 * @param upstream the upstream
-	 * @param chain what stands before the caller's body; shared, never written to
-	 * @param left the time that is left for the request
-	 * @param lastEvent the last event that the caller has
-	 * @param stream whether the answer is passed on as it comes
-	 * @param caller whose request it is
+	 * @param prefix the bytes sent before the caller's body; shared and never modified
+	 * @param timeout the remaining time of the request
+	 * @param lastEvent the number of the last event that the caller received
+	 * @param stream whether the response is streamed
+	 * @param caller the caller of the request
 	 */
 	record SendRequest(long exchange, int attempt, Upstream upstream, byte[] prefix, Duration timeout,
 			OptionalLong lastEvent, boolean stream, CallerIdentity caller) implements RelayEffect {
@@ -33,27 +34,27 @@
 	}
 
 	/**
-	 * Ask another relay for permits of a team.
+	 * Requests permits of a team from another relay.
 	 *
 	 * @param peer the other relay
-	 * @param ask what is asked for
+	 * @param request the request
 	 */
 	record RequestPermits(String peer, PermitRequest request) implements RelayEffect {
 
 	}
 
 	/**
-	 * Grant another relay permits of a team.
+	 * Grants permits of a team to another relay.
 	 *
 	 * @param peer the other relay
-	 * @param reply what is granted
+	 * @param reply the granted permits
 	 */
 	record GrantPermits(String peer, PermitReply reply) implements RelayEffect {
 
 	}
 
 	/**
-	 * Give up an attempt, so that its upstream stops working on it.
+	 * Cancels an attempt, so that the upstream stops running it.
 	 *
 	 * @param exchange the exchange
 	 * @param attempt the attempt
@@ -63,7 +64,7 @@
 	}
 
 	/**
-	 * Give the caller the whole answer of an upstream.
+	 * Sends the complete response of an upstream to the caller.
 	 *
 	 * @param exchange the exchange
 	 * @param head the head
@@ -74,7 +75,7 @@
 	}
 
 	/**
-	 * Give the caller the head of a stream.
+	 * Sends the head of a streamed response to the caller.
 	 *
 	 * @param exchange the exchange
 	 * @param head the head
@@ -84,7 +85,7 @@
 	}
 
 	/**
-	 * Give the caller an event of a stream.
+	 * Forwards an event of a stream to the caller.
 	 *
 	 * @param exchange the exchange
 	 * @param raw the bytes of the event
@@ -94,7 +95,7 @@
 	}
 
 	/**
-	 * End the caller's stream as complete.
+	 * Ends the caller's stream as complete.
 	 *
 	 * @param exchange the exchange
 	 */
@@ -103,7 +104,7 @@
 	}
 
 	/**
-	 * End the caller's connection, so that a part of an answer doesn't look complete.
+	 * Aborts the caller's connection, so that a partial response doesn't look complete.
 	 *
 	 * @param exchange the exchange
 	 */
@@ -112,29 +113,30 @@
 	}
 
 	/**
-	 * Give the caller an answer of the relay's own.
+	 * Sends a refusal of the relay itself to the caller.
 	 *
 	 * @param exchange the exchange
-	 * @param refusal why
-	 * @param comeBack when the caller may try again
+	 * @param refusal the reason
+	 * @param retryAfter the delay after which the caller may retry; empty if none is
+	 * suggested
 	 */
 	record Refuse(long exchange, Refusal refusal, Optional<Duration> retryAfter) implements RelayEffect {
 
 	}
 
 	/**
-	 * Write an entry to the log, and tell it to relays that can't wait for it to be
-	 * there.
+	 * Appends an entry to the log, and replicates it directly to relays that can't wait
+	 * for the log.
 	 *
 	 * @param entry the entry
-	 * @param tell the relays that are told
+	 * @param replicas the relays that receive it directly
 	 */
 	record AppendEntry(LedgerEntry entry, List<String> replicas) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
 		 * @param entry the entry
-		 * @param tell the relays that are told
+		 * @param replicas the relays that receive it directly
 		 */
 		public AppendEntry {
 			replicas = List.copyOf(replicas);
@@ -143,7 +145,7 @@
 	}
 
 	/**
-	 * Write the text of a turn to the log, to this relay's partition of the texts.
+	 * Appends the text of a turn to this relay's text partition of the log.
 	 *
 	 * @param request the turn
 	 * @param text its text
@@ -153,17 +155,17 @@
 	}
 
 	/**
-	 * Read the text of a turn from the log.
+	 * Reads the text of a turn from the log.
 	 *
 	 * @param request the turn
-	 * @param places where it may stand
+	 * @param locations its possible locations
 	 */
 	record ReadText(String request, List<TextLocation> locations) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
 		 * @param request the turn
-		 * @param places where it may stand
+		 * @param locations its possible locations
 		 */
 		public ReadText {
 			locations = List.copyOf(locations);
@@ -172,7 +174,7 @@
 	}
 
 	/**
-	 * Ask other relays where the texts of a chain are.
+	 * Requests the locations of the texts of a chain from other relays.
 	 *
 	 * @param peers the other relays
 	 * @param request the last turn of the chain
@@ -191,7 +193,7 @@
 	}
 
 	/**
-	 * Tell another relay where the texts of a chain are.
+	 * Sends the locations of the texts of a chain to another relay.
 	 *
 	 * @param peer the other relay
 	 * @param turns the turns of the chain that are known here
@@ -210,7 +212,7 @@
 	}
 
 	/**
-	 * Ask the relay that ran a turn for texts of its chain.
+	 * Requests texts of a chain from the relay that ran a turn of it.
 	 *
 	 * @param peer the other relay
 	 * @param requests the turns
@@ -229,17 +231,17 @@
 	}
 
 	/**
-	 * Send another relay the texts that it asked for.
+	 * Sends another relay the texts that it requested.
 	 *
 	 * @param peer the other relay
-	 * @param texts those that are in memory
+	 * @param texts those that are cached
 	 */
 	record SendTexts(String peer, List<TurnText> texts) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
 		 * @param peer the other relay
-		 * @param texts those that are in memory
+		 * @param texts those that are cached
 		 */
 		public SendTexts {
 			texts = List.copyOf(texts);
@@ -248,9 +250,9 @@
 	}
 
 	/**
-	 * Ask other relays to write a turn to the log.
+	 * Requests that other relays write a turn to the log.
 	 *
-	 * @param end what the turn has taken of its program's budget
+	 * @param settlement the settlement of the turn
 	 * @param text its text
 	 */
 	record RequestTurnWrite(LedgerEntry.Settled settlement, StoredTurn text) implements RelayEffect {
@@ -258,7 +260,7 @@
 	}
 
 	/**
-	 * Tell another relay that the log has a turn that it asked for help with.
+	 * Acknowledges to another relay that its turn is stored in the log.
 	 *
 	 * @param peer the other relay
 	 * @param request the turn
@@ -268,14 +270,14 @@
 	}
 
 	/**
-	 * Ask other relays what is taken of a program's budget, and have them hold a turn
-	 * back from it.
+	 * Requests that other relays reserve a turn in its program's budget and report the
+	 * program's usage.
 	 *
 	 * @param peers the relays; empty for all
-	 * @param request the turn that is to run
+	 * @param request the turn
 	 * @param program the program
-	 * @param most the most tokens of the turn
-	 * @param budget the program's budget
+	 * @param maxTokens the maximum tokens of the turn
+	 * @param budget the program's budget in tokens
 	 */
 	record RequestReservation(List<String> peers, String request, String program, int maxTokens,
 			long budget) implements RelayEffect {
@@ -283,10 +285,10 @@
 		/**
 		 * Creates an effect.
 		 * @param peers the relays; empty for all
-		 * @param request the turn that is to run
+		 * @param request the turn
 		 * @param program the program
-		 * @param most the most tokens of the turn
-		 * @param budget the program's budget
+		 * @param maxTokens the maximum tokens of the turn
+		 * @param budget the program's budget in tokens
 		 */
 		public RequestReservation {
 			peers = List.copyOf(peers);
@@ -295,13 +297,13 @@
 	}
 
 	/**
-	 * Ask another relay, which reaches the log, to get a turn a place there.
+	 * Requests that another relay, which reaches the log, reserves a turn there.
 	 *
 	 * @param peer the other relay
-	 * @param request the turn that is to run
+	 * @param request the turn
 	 * @param program the program
-	 * @param most the most tokens of the turn
-	 * @param budget the program's budget
+	 * @param maxTokens the maximum tokens of the turn
+	 * @param budget the program's budget in tokens
 	 */
 	record RequestLogReservation(String peer, String request, String program, int maxTokens,
 			long budget) implements RelayEffect {
@@ -309,16 +311,17 @@
 	}
 
 	/**
-	 * Tell another relay what is taken of a program's budget, after the entries that it
-	 * may not have heard of.
+	 * Sends the usage of a program to another relay, preceded by entries that the other
+	 * relay may not have.
 	 *
 	 * @param peer the other relay
-	 * @param request the turn for which it asked
-	 * @param tokens the tokens that are spent or held back
-	 * @param unlogged how many of them the log has not shown
-	 * @param log whether this relay reaches the log, and can get the turn a place there
-	 * @param entries entries of the program that the log has not shown
-	 * @param loads what upstreams said of their load last
+	 * @param request the turn of the other relay
+	 * @param tokens the tokens that are spent or reserved, the turn included
+	 * @param uncommitted the part of them that is not in the log yet
+	 * @param logReachable whether this relay reaches the log and can reserve the turn
+	 * there
+	 * @param entries the uncommitted entries of the program
+	 * @param loads the latest loads that upstreams reported
 	 */
 	record SendUsage(String peer, String request, long tokens, long uncommitted, boolean logReachable,
 			List<LedgerEntry> entries, List<UpstreamLoad> loads) implements RelayEffect {
@@ -326,13 +329,13 @@
 		/**
 		 * Creates an effect.
 		 * @param peer the other relay
-		 * @param request the turn for which it asked
-		 * @param tokens the tokens that are spent or held back
-		 * @param unlogged how many of them the log has not shown
-		 * @param log whether this relay reaches the log, and can get the turn a place
+		 * @param request the turn of the other relay
+		 * @param tokens the tokens that are spent or reserved, the turn included
+		 * @param uncommitted the part of them that is not in the log yet
+		 * @param logReachable whether this relay reaches the log and can reserve the turn
 		 * there
-		 * @param entries entries of the program that the log has not shown
-		 * @param loads what upstreams said of their load last
+		 * @param entries the uncommitted entries of the program
+		 * @param loads the latest loads that upstreams reported
 		 */
 		public SendUsage {
 			entries = List.copyOf(entries);
@@ -342,49 +345,49 @@
 	}
 
 	/**
-	 * Tell another relay that its turn is held back here, and that this relay may miss
-	 * turns and can't say what is taken.
+	 * Tells another relay that its turn is reserved here, but that this relay can't
+	 * report the usage because entries may be missing.
 	 *
 	 * @param peer the other relay
-	 * @param request the turn for which it asked
+	 * @param request the turn of the other relay
 	 */
 	record SendUsageUnavailable(String peer, String request) implements RelayEffect {
 
 	}
 
 	/**
-	 * Ask all other relays for what they know beyond the log.
+	 * Requests the uncommitted entries of all other relays.
 	 */
 	record RequestSync() implements RelayEffect {
 
 	}
 
 	/**
-	 * Tell another relay what the log's order decided for its turn.
+	 * Sends another relay the decision on its turn in the order of the log.
 	 *
 	 * @param peer the other relay
 	 * @param request the turn
-	 * @param held whether the program's budget holds it
+	 * @param admitted whether the program's budget admits it
 	 */
 	record SendLogDecision(String peer, String request, boolean admitted) implements RelayEffect {
 
 	}
 
 	/**
-	 * Tell another relay what this one knows beyond the log of programs that the other
-	 * one keeps.
+	 * Sends another relay the uncommitted entries of the programs that it is a replica
+	 * of.
 	 *
 	 * @param peer the other relay
-	 * @param entries entries of others that the log has not shown
-	 * @param complete whether this relay misses nothing
+	 * @param entries the uncommitted entries
+	 * @param complete whether the ledger of this relay is complete
 	 */
 	record SendSync(String peer, List<LedgerEntry> entries, boolean complete) implements RelayEffect {
 
 		/**
 		 * Creates an effect.
 		 * @param peer the other relay
-		 * @param entries entries of others that the log has not shown
-		 * @param complete whether this relay misses nothing
+		 * @param entries the uncommitted entries
+		 * @param complete whether the ledger of this relay is complete
 		 */
 		public SendSync {
 			entries = List.copyOf(entries);
@@ -393,41 +396,41 @@
 	}
 
 	/**
-	 * Read the log now rather than at the next regular time.
+	 * Reads the log immediately instead of at the next poll interval.
 	 */
 	record ReadLog() implements RelayEffect {
 
 	}
 
 	/**
-	 * Read the log up to its end as it is now, and say when it is reached.
+	 * Reads the log up to its current end, and reports when that is reached.
 	 */
 	record CatchUp() implements RelayEffect {
 
 	}
 
 	/**
-	 * Remind an exchange later.
+	 * Starts a timer of an exchange.
 	 *
 	 * @param exchange the exchange
-	 * @param delay when
-	 * @param reminder what for
+	 * @param delay the delay
+	 * @param timer the kind of the timer
 	 */
 	record StartTimer(long exchange, Duration delay, RelayEvent.TimerKind timer) implements RelayEffect {
 
 	}
 
 	/**
-	 * Tell the platform whether the relay takes requests.
+	 * Reports the readiness of the relay to the platform.
 	 *
-	 * @param ready whether it does
+	 * @param ready whether the relay accepts requests
 	 */
 	record ReportReadiness(boolean ready) implements RelayEffect {
 
 	}
 
 	/**
-	 * Put the limits of a new table in force.
+	 * Applies the limits of a new route table.
 	 *
 	 * @param limits the limits
 	 */
@@ -436,7 +439,7 @@
 	}
 
 	/**
-	 * Count a measurement.
+	 * Records a measurement.
 	 *
 	 * @param measurement the measurement
 	 */
@@ -445,7 +448,7 @@
 	}
 
 	/**
-	 * Write a notice.
+	 * Writes a notice.
 	 *
 	 * @param notice the notice
 	 */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEvent.java
@@ -9,19 +9,19 @@
 import io.lentilslip.core.quota.PermitRequest;
 
 /**
- * What happens to a relay. Times are milliseconds of a steady clock. Immutable and safe
- * for use by several threads.
+ * Event that a relay handles. Times are milliseconds of a monotonic clock. Immutable and
+ * safe for use by several threads.
  */
 public sealed interface RelayEvent {
 
 	/**
-	 * Returns when it happened.
-	 * @return milliseconds of a steady clock
+	 * Returns the time of the event.
+	 * @return milliseconds of a monotonic clock
 	 */
 	long now();
 
 	/**
-	 * An event of one exchange with a caller. An exchange that has ended ignores it.
+	 * An event of one exchange with a caller. Ignored once the exchange has ended.
 	 */
 	sealed interface ExchangeEvent extends RelayEvent {
 
@@ -34,27 +34,27 @@
 	}
 
 	/**
-	 * An event of one attempt at an upstream. An attempt that was given up ignores it, so
-	 * a late answer meets nothing.
+	 * An event of one attempt at an upstream. Ignored once the attempt was cancelled, so
+	 * a late response has no effect.
 	 */
 	sealed interface AttemptEvent extends ExchangeEvent {
 
 		/**
 		 * Returns the attempt.
-		 * @return its number in the exchange, from 1
+		 * @return its number in the exchange, starting at 1
 		 */
 		int attempt();
 
 	}
 
 	/**
-	 * A caller's request was read whole.
+	 * A caller's request was received completely.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param exchange the exchange
-	 * @param head what the request says of itself
-	 * @param body its body; shared, never written to
-	 * @param digest a digest of path, caller and body, the same for each resend
+	 * @param head the head of the request
+	 * @param body its body; shared and never modified
+	 * @param digest a digest of path, caller and body, equal for all retries
 	 */
 	record RequestReceived(long now, long exchange, RequestHead head, byte[] body,
 			long digest) implements ExchangeEvent {
@@ -62,22 +62,22 @@
 	}
 
 	/**
-	 * Another relay asks for permits of a team.
+	 * Another relay requests permits of a team.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
-	 * @param ask what it asks for
+	 * @param request the request
 	 */
 	record PermitsRequested(long now, String peer, PermitRequest request) implements RelayEvent {
 
 	}
 
 	/**
-	 * Another relay has granted permits of a team.
+	 * Another relay granted permits of a team.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
-	 * @param reply what it granted
+	 * @param reply the granted permits
 	 */
 	record PermitsGranted(long now, String peer, PermitReply reply) implements RelayEvent {
 
@@ -86,7 +86,7 @@
 	/**
 	 * The caller closed its connection.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param exchange the exchange
 	 */
 	record CallerDisconnected(long now, long exchange) implements ExchangeEvent {
@@ -94,20 +94,20 @@
 	}
 
 	/**
-	 * A time that was asked for has come.
+	 * A timer of an exchange fired.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param exchange the exchange
-	 * @param reminder what for
+	 * @param timer the kind of the timer
 	 */
 	record TimerFired(long now, long exchange, TimerKind timer) implements ExchangeEvent {
 
 	}
 
 	/**
-	 * The whole answer of an upstream arrived.
+	 * The complete response of an upstream was received.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param exchange the exchange
 	 * @param attempt the attempt
 	 * @param head its head
@@ -119,9 +119,9 @@
 	}
 
 	/**
-	 * The head of a stream arrived.
+	 * The head of a streamed response was received.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param exchange the exchange
 	 * @param attempt the attempt
 	 * @param head its head
@@ -131,13 +131,13 @@
 	}
 
 	/**
-	 * A whole event of a stream arrived.
+	 * A complete event of a stream was received.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param exchange the exchange
 	 * @param attempt the attempt
 	 * @param number its number
-	 * @param raw its bytes as they came
+	 * @param raw its bytes as received
 	 * @param data its data
 	 */
 	record StreamEventReceived(long now, long exchange, int attempt, long number, byte[] raw,
@@ -146,9 +146,9 @@
 	}
 
 	/**
-	 * A stream ended as its upstream meant it to.
+	 * A stream ended with its regular end.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param exchange the exchange
 	 * @param attempt the attempt
 	 */
@@ -157,33 +157,33 @@
 	}
 
 	/**
-	 * An attempt failed without a whole answer.
+	 * An attempt failed without a complete response.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param exchange the exchange
 	 * @param attempt the attempt
-	 * @param cause why
+	 * @param cause the cause
 	 */
 	record AttemptFailed(long now, long exchange, int attempt, FailureCause cause) implements AttemptEvent {
 
 	}
 
 	/**
-	 * Entries were read from the log, or came from another relay.
+	 * Ledger entries were read from the log, or received from another relay.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param entries the entries
-	 * @param teller the relay that told them; empty if they were read from the log, and
-	 * so stand in the order that all relays see
+	 * @param sender the relay that sent them; empty if they were read from the log, in
+	 * the order that all relays read
 	 */
 	record EntriesReceived(long now, List<LedgerEntry> entries, Optional<String> sender) implements RelayEvent {
 
 		/**
 		 * Creates an event.
-		 * @param now when
+		 * @param now the time of the event
 		 * @param entries the entries
-		 * @param teller the relay that told them; empty if they were read from the log,
-		 * and so stand in the order that all relays see
+		 * @param sender the relay that sent them; empty if they were read from the log,
+		 * in the order that all relays read
 		 */
 		public EntriesReceived {
 			entries = List.copyOf(entries);
@@ -200,36 +200,35 @@
 	}
 
 	/**
-	 * This process did not run for a while: it was frozen, suspended or starved. What it
-	 * believes is as old as that.
+	 * This process resumed after it was frozen, suspended or starved of processor time.
+	 * Its state may be stale by the length of that pause.
 	 *
-	 * @param now when
-	 * @param slept for how long, at most
+	 * @param now the time of the event
+	 * @param pause the maximum length of the pause
 	 */
 	record ProcessResumed(long now, Duration pause) implements RelayEvent {
 
 	}
 
 	/**
-	 * The log was read up to its end, for the first time in this life or since the relay
-	 * woke.
+	 * The log was read up to its end, for the first time since the start or since the
+	 * process resumed.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param offset the offset after the last entry
-	 * @param took how long the reading took
-	 * @param age the longest time for which nothing was written to it, up to now, by
-	 * clocks that may be off; empty if there is no entry
+	 * @param duration the time that reading took
+	 * @param idle the maximum time since the last append, subject to clock skew; empty if
+	 * the log has no entries
 	 */
 	record CaughtUp(long now, long offset, Duration duration, Optional<Duration> idle) implements RelayEvent {
 
 	}
 
 	/**
-	 * The log has the entries by which kept turns end, written by this relay. Other
-	 * entries of the same requests don't count: a turn that is reserved there is not yet
-	 * kept.
+	 * The log has acknowledged settlements of stored turns that this relay appended.
+	 * Other entries of these turns, such as reservations, are not reported.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param requests the turns
 	 */
 	record SettlementsStored(long now, Set<String> requests) implements RelayEvent {
@@ -237,21 +236,22 @@
 	}
 
 	/**
-	 * The log has texts that this relay wrote, or has told where they go.
+	 * The log has acknowledged texts that this relay appended, or reported the end of
+	 * their partition.
 	 *
-	 * @param now when
-	 * @param requests the turns whose texts they are
-	 * @param end where the partition of this relay's texts ends now
-	 * @param took how long the log took
+	 * @param now the time of the event
+	 * @param requests the turns of the texts
+	 * @param endOffset the end offset of this relay's text partition
+	 * @param latency the latency of the log
 	 */
 	record TextsStored(long now, Set<String> requests, long endOffset, Duration latency) implements RelayEvent {
 
 		/**
 		 * Creates an event.
-		 * @param now when
-		 * @param requests the turns whose texts they are
-		 * @param end where the partition of this relay's texts ends now
-		 * @param took how long the log took
+		 * @param now the time of the event
+		 * @param requests the turns of the texts
+		 * @param endOffset the end offset of this relay's text partition
+		 * @param latency the latency of the log
 		 */
 		public TextsStored {
 			requests = Set.copyOf(requests);
@@ -260,16 +260,16 @@
 	}
 
 	/**
-	 * The log has whole turns that this relay asked another one to write.
+	 * Turns that this relay asked other relays to write are stored in the log.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param requests the turns
 	 */
 	record TurnWritesAcknowledged(long now, Set<String> requests) implements RelayEvent {
 
 		/**
 		 * Creates an event.
-		 * @param now when
+		 * @param now the time of the event
 		 * @param requests the turns
 		 */
 		public TurnWritesAcknowledged {
@@ -279,11 +279,11 @@
 	}
 
 	/**
-	 * Another relay can't write a turn to the log and asks for help with it.
+	 * Another relay can't write a turn to the log and requests that this one does.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
-	 * @param end what the turn has taken of its program's budget
+	 * @param settlement the settlement of the turn
 	 * @param text its text
 	 */
 	record TurnWriteRequested(long now, String peer, LedgerEntry.Settled settlement,
@@ -292,9 +292,10 @@
 	}
 
 	/**
-	 * Another relay, which can't read the log, asks where the texts of a chain are.
+	 * Another relay, which can't read the log, requests the locations of the texts of a
+	 * chain.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
 	 * @param request the last turn of the chain
 	 */
@@ -303,19 +304,19 @@
 	}
 
 	/**
-	 * Another relay has told where the texts of a chain are.
+	 * Another relay sent the locations of the texts of a chain.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
-	 * @param turns the turns that it knows
+	 * @param turns the turns of the chain that it knows
 	 */
 	record TextLocationsReceived(long now, String peer, List<TurnLocation> turns) implements RelayEvent {
 
 		/**
 		 * Creates an event.
-		 * @param now when
+		 * @param now the time of the event
 		 * @param peer the other relay
-		 * @param turns the turns that it knows
+		 * @param turns the turns of the chain that it knows
 		 */
 		public TextLocationsReceived {
 			turns = List.copyOf(turns);
@@ -324,9 +325,9 @@
 	}
 
 	/**
-	 * Another relay asks for texts that this one may have in memory.
+	 * Another relay requests texts that this one may have cached.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
 	 * @param requests the turns
 	 */
@@ -334,7 +335,7 @@
 
 		/**
 		 * Creates an event.
-		 * @param now when
+		 * @param now the time of the event
 		 * @param peer the other relay
 		 * @param requests the turns
 		 */
@@ -345,16 +346,16 @@
 	}
 
 	/**
-	 * Another relay has sent texts that this one asked for.
+	 * Another relay sent texts that this one requested.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param texts the texts
 	 */
 	record TextsReceived(long now, List<TurnText> texts) implements RelayEvent {
 
 		/**
 		 * Creates an event.
-		 * @param now when
+		 * @param now the time of the event
 		 * @param texts the texts
 		 */
 		public TextsReceived {
@@ -364,9 +365,9 @@
 	}
 
 	/**
-	 * The log was read for a text.
+	 * A read of a text from the log has ended.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param request the turn
 	 * @param text the text, or empty if it was not found
 	 */
@@ -375,15 +376,17 @@
 	}
 
 	/**
-	 * Another relay asks what is taken of a program's budget, before it runs a turn.
+	 * Another relay requests the reservation of a turn in its program's budget before the
+	 * turn runs.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
 	 * @param request the turn
 	 * @param program the program
-	 * @param most the most tokens of the turn
-	 * @param budget the program's budget
-	 * @param place whether a place in the log is asked for, instead of an answer at once
+	 * @param maxTokens the maximum tokens of the turn
+	 * @param budget the program's budget in tokens
+	 * @param throughLog whether the reservation is appended to the log and decided there;
+	 * otherwise the usage is reported immediately
 	 */
 	record ReservationRequested(long now, String peer, String request, String program, int maxTokens, long budget,
 			boolean throughLog) implements RelayEvent {
@@ -391,15 +394,16 @@
 	}
 
 	/**
-	 * Another relay has told what is taken of a program's budget.
+	 * Another relay reserved a turn and reported the usage of its program.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
-	 * @param request the turn for which it was asked
-	 * @param tokens the tokens that it knows to be taken
-	 * @param unlogged how many of them the log has not shown it
-	 * @param log whether it reaches the log, and can get the turn a place there
-	 * @param others how many other relays are known
+	 * @param request the turn
+	 * @param tokens the tokens that are spent or reserved, the turn included
+	 * @param uncommitted the part of them that is not in the log yet
+	 * @param logReachable whether that relay reaches the log and can reserve the turn
+	 * there
+	 * @param otherRelays the number of other relays that are known
 	 */
 	record UsageReceived(long now, String peer, String request, long tokens, long uncommitted, boolean logReachable,
 			int otherRelays) implements RelayEvent {
@@ -407,28 +411,29 @@
 	}
 
 	/**
-	 * Another relay can't tell what is taken of a program's budget: it may miss turns.
+	 * Another relay reserved a turn but can't report the usage of its program, because
+	 * entries may be missing there.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
-	 * @param request the turn for which it was asked
+	 * @param request the turn
 	 */
 	record UsageUnavailable(long now, String peer, String request) implements RelayEvent {
 
 	}
 
 	/**
-	 * Another relay has passed on what upstreams said of their load.
+	 * Another relay forwarded the load that upstreams reported.
 	 *
-	 * @param now when
-	 * @param loads what they said
+	 * @param now the time of the event
+	 * @param loads the loads
 	 */
 	record LoadsReceived(long now, List<UpstreamLoad> loads) implements RelayEvent {
 
 		/**
 		 * Creates an event.
-		 * @param now when
-		 * @param loads what they said
+		 * @param now the time of the event
+		 * @param loads the loads
 		 */
 		public LoadsReceived {
 			loads = List.copyOf(loads);
@@ -437,17 +442,17 @@
 	}
 
 	/**
-	 * The relays of the site were listed anew.
+	 * The list of the relays of the site was read.
 	 *
-	 * @param now when
-	 * @param members all of them, this one included
+	 * @param now the time of the event
+	 * @param members all relays, including this one
 	 */
 	record MembershipUpdated(long now, List<Member> members) implements RelayEvent {
 
 		/**
 		 * Creates an event.
-		 * @param now when
-		 * @param members all of them, this one included
+		 * @param now the time of the event
+		 * @param members all relays, including this one
 		 */
 		public MembershipUpdated {
 			members = List.copyOf(members);
@@ -456,9 +461,9 @@
 	}
 
 	/**
-	 * Another relay, which may miss turns, asks for what the log has not shown.
+	 * Another relay, whose ledger may be incomplete, requests the uncommitted entries.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
 	 */
 	record SyncRequested(long now, String peer) implements RelayEvent {
@@ -466,30 +471,30 @@
 	}
 
 	/**
-	 * Another relay has read from the log whether a program's budget holds a turn.
+	 * Another relay reported the decision on a turn in the order of the log.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param request the turn
-	 * @param held whether it does
+	 * @param admitted whether the program's budget admits it
 	 */
 	record LogDecisionReceived(long now, String request, boolean admitted) implements RelayEvent {
 
 	}
 
 	/**
-	 * The relay has a port for the links of others.
+	 * The listener for connections of other relays was started.
 	 *
-	 * @param now when
-	 * @param name the name by which they know it
+	 * @param now the time of the event
+	 * @param name the name of this relay for other relays
 	 */
 	record ListenerStarted(long now, String name) implements RelayEvent {
 
 	}
 
 	/**
-	 * A link to another relay is up, whichever made it.
+	 * A connection to another relay was established by either side.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
 	 */
 	record PeerConnected(long now, String peer) implements RelayEvent {
@@ -497,9 +502,9 @@
 	}
 
 	/**
-	 * The link to another relay is over.
+	 * The connection to another relay was closed.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
 	 */
 	record PeerDisconnected(long now, String peer) implements RelayEvent {
@@ -507,21 +512,21 @@
 	}
 
 	/**
-	 * Another relay that misses nothing has told all that it knows beyond the log.
+	 * Another relay with a complete ledger has sent all its uncommitted entries.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param peer the other relay
-	 * @param others how many other relays are known
+	 * @param otherRelays the number of other relays that are known
 	 */
 	record SyncCompleted(long now, String peer, int otherRelays) implements RelayEvent {
 
 	}
 
 	/**
-	 * What this relay reaches has changed.
+	 * The connectivity of this relay changed.
 	 *
-	 * @param now when
-	 * @param reach what it reaches
+	 * @param now the time of the event
+	 * @param connectivity the new connectivity
 	 */
 	record ConnectivityChanged(long now, Connectivity connectivity) implements RelayEvent {
 
@@ -530,7 +535,7 @@
 	/**
 	 * A route table was read.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param table the table
 	 */
 	record RouteTableUpdated(long now, RouteTable table) implements RelayEvent {
@@ -538,16 +543,16 @@
 	}
 
 	/**
-	 * The platform's whole list of upstreams was read.
+	 * The complete list of upstreams was read from the platform.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param upstreams the upstreams
 	 */
 	record UpstreamsReplaced(long now, List<Upstream> upstreams) implements RelayEvent {
 
 		/**
 		 * Creates an event.
-		 * @param now when
+		 * @param now the time of the event
 		 * @param upstreams the upstreams
 		 */
 		public UpstreamsReplaced {
@@ -557,9 +562,9 @@
 	}
 
 	/**
-	 * One upstream was listed anew or changed.
+	 * An upstream was added or changed.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param upstream the upstream
 	 */
 	record UpstreamUpdated(long now, Upstream upstream) implements RelayEvent {
@@ -567,20 +572,20 @@
 	}
 
 	/**
-	 * A record of the list of upstreams names none that can be used.
+	 * A record of the list of upstreams is invalid.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param id the key of the record
-	 * @param problem why
+	 * @param problem the reason
 	 */
 	record UpstreamInvalid(long now, String id, UpstreamRecordError problem) implements RelayEvent {
 
 	}
 
 	/**
-	 * An upstream is no longer listed.
+	 * An upstream was removed from the list.
 	 *
-	 * @param now when
+	 * @param now the time of the event
 	 * @param id its id
 	 */
 	record UpstreamRemoved(long now, String id) implements RelayEvent {
@@ -588,17 +593,18 @@
 	}
 
 	/**
-	 * What a relay reaches of the rest of its site. Safe for use by several threads.
+	 * What a relay reaches of its site; written to notices by name. Safe for use by
+	 * several threads.
 	 */
 	enum Connectivity {
 
 		/**
-		 * The log, and perhaps other relays.
+		 * The log, and possibly other relays.
 		 */
 		LOG,
 
 		/**
-		 * Half of the other relays or more, and not the log.
+		 * At least half of the other relays, but not the log.
 		 */
 		RELAYS,
 
@@ -610,65 +616,65 @@
 	}
 
 	/**
-	 * What an exchange can be reminded of. Safe for use by several threads.
+	 * Kind of a timer of an exchange. Safe for use by several threads.
 	 */
 	enum TimerKind {
 
 		/**
-		 * For a permit of a team.
+		 * Timeout of a request for permits of a team.
 		 */
 		PERMIT,
 
 		/**
-		 * The longest time that the request may take is over.
+		 * Deadline of the request.
 		 */
 		DEADLINE,
 
 		/**
-		 * The text of its chain should have been found.
+		 * Timeout of the lookup of the turn's chain.
 		 */
 		CHAIN_LOOKUP,
 
 		/**
-		 * The texts of its chain should have been brought.
+		 * Timeout of the fetch of the chain's texts.
 		 */
 		TEXT_FETCH,
 
 		/**
-		 * The keepers of the program, the log or other relays should have told whether
-		 * the budget holds the turn.
+		 * Timeout of a stage of the budget decision.
 		 */
 		BUDGET_DECISION,
 
 		/**
-		 * The log should have taken a kept turn.
+		 * Timeout of the write of a stored turn to the log.
 		 */
 		LOG_WRITE,
 
 		/**
-		 * The upstream should have said something.
+		 * Idle timeout of the upstream.
 		 */
 		UPSTREAM_IDLE
 
 	}
 
 	/**
-	 * Why an attempt failed. Safe for use by several threads.
+	 * Cause of a failed attempt; written to notices by name. Safe for use by several
+	 * threads.
 	 */
 	enum FailureCause {
 
 		/**
-		 * No connection could be made: nothing was sent.
+		 * No connection was established, so the request was not sent.
 		 */
 		NOT_CONNECTED(false),
 
 		/**
-		 * The connection ended before the whole answer was in.
+		 * The connection was closed before the response was complete.
 		 */
 		BROKEN(true),
 
 		/**
-		 * What came is no answer to this request.
+		 * The response is malformed or belongs to another request.
 		 */
 		UNREADABLE(true);
 
@@ -679,7 +685,7 @@
 		}
 
 		/**
-		 * Returns whether the request may have run.
+		 * Returns whether the upstream may have run the request.
 		 * @return whether it may
 		 */
 		public boolean mayHaveRun() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
@@ -157,8 +157,8 @@
 	}
 
 	/**
-	 * Returns whether too many replicas can't report the usage for the others to be
-	 * a majority.
+	 * Returns whether too many replicas can't report the usage for the others to be a
+	 * majority.
 	 * @return whether that is so
 	 */
 	boolean replicaQuorumLost() {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/BudgetProperties.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/BudgetProperties.java
@@ -13,27 +13,27 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Several relays before one log. A program sends waves of turns, each wave to several
- * relays before these hear of each other. What callers are given is never more than the
- * budget and the most of one turn, and a turn that the log placed is answered.
+ * Checks the budget over several relays with one log, with concurrent turns that start
+ * before relays have replicated them. Callers never receive more tokens than the budget
+ * and the maximum of one turn, and every admitted turn is answered.
  */
 class BudgetProperties {
 
-	private static final int MOST = 100;
+	private static final int MAX_TOKENS = 100;
 
 	@Property(tries = 400, seed = "20261")
-	void budgetHoldsOverAllRelays(@ForAll @IntRange(min = 1, max = 4) int relays,
+	void budgetHoldsOverConcurrentTurnsOnAllRelays(@ForAll @IntRange(min = 1, max = 4) int relays,
 			@ForAll @IntRange(min = 1, max = 20) int turnsOfBudget, @ForAll long seed) {
-		Site site = new Site(relays, (long) turnsOfBudget * MOST, new Random(seed));
-		for (int wave = 0; wave < 30; wave++) {
-			site.wave();
+		Site site = new Site(relays, (long) turnsOfBudget * MAX_TOKENS, new Random(seed));
+		for (int round = 0; round < 30; round++) {
+			site.runConcurrentTurns();
 		}
-		assertThat(site.given).isLessThanOrEqualTo((long) turnsOfBudget * MOST + MOST);
-		assertThat(site.underWay()).isZero();
+		assertThat(site.deliveredTokens).isLessThanOrEqualTo((long) turnsOfBudget * MAX_TOKENS + MAX_TOKENS);
+		assertThat(site.runningTurns()).isZero();
 	}
 
 	/**
-	 * The relays, their log and their callers. Used by one thread.
+	 * Simulation of relays, their log and their callers. Used by one thread.
 	 */
 	private static final class Site {
 
@@ -43,7 +43,7 @@
 
 		private final Map<RelayFixture, Integer> read = new HashMap<>();
 
-		private final Map<RelayFixture, List<LedgerEntry>> unwritten = new HashMap<>();
+		private final Map<RelayFixture, List<LedgerEntry>> unappended = new HashMap<>();
 
 		private final List<Running> running = new ArrayList<>();
 
@@ -51,7 +51,7 @@
 
 		private final Random random;
 
-		private long given;
+		private long deliveredTokens;
 
 		private int turns;
 
@@ -62,34 +62,34 @@
 				RelayFixture relay = RelayFixture.ready();
 				this.relays.add(relay);
 				this.read.put(relay, 0);
-				this.unwritten.put(relay, new ArrayList<>());
+				this.unappended.put(relay, new ArrayList<>());
 			}
 		}
 
-		void wave() {
+		void runConcurrentTurns() {
 			int size = 1 + this.random.nextInt(RelaySettings.ASSUMED_CONCURRENT_TURNS);
-			Map<RelayFixture, List<LedgerEntry>> told = new HashMap<>();
+			Map<RelayFixture, List<LedgerEntry>> startedEntries = new HashMap<>();
 			for (int i = 0; i < size; i++) {
 				RelayFixture relay = this.relays.get(this.random.nextInt(this.relays.size()));
 				this.turns++;
 				List<RelayEffect> effects = relay.sendTurn("t" + this.turns, "draft",
-						RelayFixture.turn("p", this.budget, MOST, null));
-				told.computeIfAbsent(relay, (key) -> new ArrayList<>()).addAll(RelayFixture.written(effects));
-				take(relay, effects);
+						RelayFixture.turn("p", this.budget, MAX_TOKENS, null));
+				startedEntries.computeIfAbsent(relay, (key) -> new ArrayList<>()).addAll(RelayFixture.written(effects));
+				apply(relay, effects);
 			}
-			told.forEach(this::tell);
-			settle();
+			startedEntries.forEach(this::replicate);
+			synchronizeLog();
 			while (!this.running.isEmpty()) {
 				run(this.running.remove(this.random.nextInt(this.running.size())));
-				settle();
+				synchronizeLog();
 			}
 		}
 
-		int underWay() {
+		int runningTurns() {
 			return this.running.size();
 		}
 
-		private void settle() {
+		private void synchronizeLog() {
 			for (int round = 0; round < 3; round++) {
 				this.relays.forEach(this::append);
 				this.relays.forEach(this::read);
@@ -97,8 +97,8 @@
 		}
 
 		private void append(RelayFixture relay) {
-			this.log.addAll(this.unwritten.get(relay));
-			this.unwritten.get(relay).clear();
+			this.log.addAll(this.unappended.get(relay));
+			this.unappended.get(relay).clear();
 		}
 
 		private void read(RelayFixture relay) {
@@ -106,20 +106,20 @@
 			LedgerEntry[] entries = next.toArray(new LedgerEntry[0]);
 			this.read.put(relay, this.log.size());
 			List<RelayEffect> effects = relay.readFromLog(entries);
-			take(relay, effects);
-			tell(relay, RelayFixture.written(effects));
+			apply(relay, effects);
+			replicate(relay, RelayFixture.written(effects));
 		}
 
-		private void take(RelayFixture relay, List<RelayEffect> effects) {
-			this.unwritten.get(relay).addAll(RelayFixture.written(effects));
+		private void apply(RelayFixture relay, List<RelayEffect> effects) {
+			this.unappended.get(relay).addAll(RelayFixture.written(effects));
 			RelayFixture.ofType(effects, RelayEffect.SendRequest.class)
 				.forEach((send) -> this.running.add(new Running(relay, send)));
 		}
 
-		private void tell(RelayFixture from, List<LedgerEntry> entries) {
+		private void replicate(RelayFixture from, List<LedgerEntry> entries) {
 			for (RelayFixture relay : this.relays) {
 				if (relay != from) {
-					take(relay, relay.readFromPeer(entries.toArray(new LedgerEntry[0])));
+					apply(relay, relay.readFromPeer(entries.toArray(new LedgerEntry[0])));
 				}
 			}
 		}
@@ -130,29 +130,29 @@
 			RelayFixture relay = turn.relay();
 			List<RelayEffect> effects = new ArrayList<>(
 					relay.handle(new RelayEvent.StreamOpened(relay.now(), exchange, attempt, RelayFixture.SIGNED)));
-			int events = this.random.nextInt(MOST / RelayFixture.TOKENS_PER_EVENT + 1);
+			int events = this.random.nextInt(MAX_TOKENS / RelayFixture.TOKENS_PER_EVENT + 1);
 			for (int i = 1; i <= events; i++) {
 				byte[] data = { 'x' };
 				effects.addAll(relay
 					.handle(new RelayEvent.StreamEventReceived(relay.now(), exchange, attempt, i, data, data)));
 			}
-			this.given += (long) RelayFixture.ofType(effects, RelayEffect.ForwardStreamEvent.class).size()
+			this.deliveredTokens += (long) RelayFixture.ofType(effects, RelayEffect.ForwardStreamEvent.class).size()
 					* RelayFixture.TOKENS_PER_EVENT;
-			boolean leaves = this.random.nextInt(4) == 0;
-			RelayEvent last = leaves ? new RelayEvent.CallerDisconnected(relay.now(), exchange)
+			boolean disconnects = this.random.nextInt(4) == 0;
+			RelayEvent last = disconnects ? new RelayEvent.CallerDisconnected(relay.now(), exchange)
 					: new RelayEvent.StreamEnded(relay.now(), exchange, attempt);
 			effects.addAll(relay.handle(last));
-			take(relay, effects);
-			tell(relay, RelayFixture.written(effects));
+			apply(relay, effects);
+			replicate(relay, RelayFixture.written(effects));
 		}
 
 	}
 
 	/**
-	 * A turn that an upstream runs. Immutable.
+	 * A turn that runs on an upstream. Immutable.
 	 *
 	 * @param relay the relay that sent it
-	 * @param send where it was sent
+	 * @param send the request to the upstream
 	 */
 	private record Running(RelayFixture relay, RelayEffect.SendRequest send) {
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
@@ -11,26 +11,23 @@
 
 	private static final int RELAYS = 30;
 
-	// The log is late by seconds, as it is when many write much. Each relay that was told
-	// of an entry takes that for the death of the relay which told it, though the link to
-	// it is up, and writes the entry as well: 30 copies within four seconds, which make
-	// the log later still. One or two are enough, for a relay that lives and does not
-	// reach the log.
+	// The log is late. If all receivers appended the entry although its sender is
+	// connected, the duplicates would delay the log further.
 	@Test
-	void entryOfARelayThatLivesIsWrittenByFewOthers() {
-		List<RelayFixture> relays = told();
-		assertThat(written(relays, 4_500)).isBetween(1, RELAYS / 3);
-		assertThat(written(relays, 20_000)).isPositive();
+	void entryOfConnectedRelayIsAppendedByFewOthers() {
+		List<RelayFixture> relays = relaysWithReplicatedEntry();
+		assertThat(appendedBy(relays, 4_500)).isBetween(1, RELAYS / 3);
+		assertThat(appendedBy(relays, 20_000)).isPositive();
 	}
 
 	@Test
-	void entryOfARelayThatIsLostIsWrittenByAllWhoWereToldOfIt() {
-		List<RelayFixture> relays = told();
+	void entryOfDisconnectedRelayIsAppendedByAllReceivers() {
+		List<RelayFixture> relays = relaysWithReplicatedEntry();
 		relays.forEach((relay) -> relay.handle(new RelayEvent.PeerDisconnected(relay.now(), "teller")));
-		assertThat(written(relays, 4_500)).isEqualTo(RELAYS);
+		assertThat(appendedBy(relays, 4_500)).isEqualTo(RELAYS);
 	}
 
-	private static List<RelayFixture> told() {
+	private static List<RelayFixture> relaysWithReplicatedEntry() {
 		List<RelayFixture> relays = new ArrayList<>();
 		for (int seed = 0; seed < RELAYS; seed++) {
 			RelayFixture relay = RelayFixture.ready(seed);
@@ -48,15 +45,15 @@
 		return relays;
 	}
 
-	private static int written(List<RelayFixture> relays, long milliseconds) {
-		int written = 0;
+	private static int appendedBy(List<RelayFixture> relays, long milliseconds) {
+		int appended = 0;
 		for (RelayFixture relay : relays) {
 			for (long passed = 0; passed < milliseconds; passed += 500) {
 				relay.advance(500);
-				written += RelayFixture.written(relay.readFromLog()).size();
+				appended += RelayFixture.written(relay.readFromLog()).size();
 			}
 		}
-		return written;
+		return appended;
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/OutageProperties.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/OutageProperties.java
@@ -9,83 +9,81 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Several relays before a log that goes away and comes back, each linked to all others.
- * Messages of one link arrive in order and between links in any order, while turns of one
- * program begin and end, relays start again with nothing, and now and then all of them at
- * once. What callers are given is never more than the budget and the most of one turn.
+ * Checks the budget on fully connected relays without a member list, over outages of the
+ * log, restarts of relays and the loss of all relays. Callers never receive more tokens
+ * than the budget and the maximum of one turn.
  */
 class OutageProperties {
 
-	private static final int MOST = RelaySite.MOST;
+	private static final int MAX_TOKENS = RelaySite.MAX_TOKENS;
 
 	@Property(tries = 1500, seed = "4711")
-	void budgetHoldsOverOutagesAndLosses(@ForAll @IntRange(min = 3, max = 7) int relays,
+	void budgetHoldsOverOutagesAndRestarts(@ForAll @IntRange(min = 3, max = 7) int relays,
 			@ForAll @IntRange(min = 1, max = 12) int turnsOfBudget, @ForAll long seed) {
-		RelaySite site = RelaySite.linked(relays, (long) turnsOfBudget * MOST, new Random(seed));
-		site.goThroughOutagesAndRestarts();
-		assertThat(site.given()).isLessThanOrEqualTo((long) turnsOfBudget * MOST + MOST);
+		RelaySite site = RelaySite.connected(relays, (long) turnsOfBudget * MAX_TOKENS, new Random(seed));
+		site.runWithOutagesAndRestarts();
+		assertThat(site.deliveredTokens()).isLessThanOrEqualTo((long) turnsOfBudget * MAX_TOKENS + MAX_TOKENS);
 	}
 
-	// What broke when the agreement of relays was first tried: a looping program is given
-	// turns while the store is down, all relays are lost before it is back, and the
-	// program comes again to relays that know nothing of it.
+	// Tokens granted during the outage are forgotten with all relays and must not be
+	// granted again afterwards.
 	@Property(tries = 400, seed = "776982295391")
-	void budgetHoldsOverTheLossOfAllRelaysInAnOutage(@ForAll @IntRange(min = 3, max = 7) int relays,
+	void budgetHoldsOverLossOfAllRelaysDuringOutage(@ForAll @IntRange(min = 3, max = 7) int relays,
 			@ForAll @IntRange(min = 1, max = 12) int turnsOfBudget, @ForAll long seed) {
-		RelaySite site = RelaySite.linked(relays, (long) turnsOfBudget * MOST, new Random(seed));
-		site.logGoes();
-		for (int wave = 0; wave < 15; wave++) {
-			site.wave(1);
+		RelaySite site = RelaySite.connected(relays, (long) turnsOfBudget * MAX_TOKENS, new Random(seed));
+		site.stopLog();
+		for (int round = 0; round < 15; round++) {
+			site.runTurns(1);
 		}
-		assertThat(site.given()).isGreaterThanOrEqualTo(MOST);
-		site.loseAllBeforeTheLogIsBack();
-		assertThat(site.given()).isLessThanOrEqualTo((long) turnsOfBudget * MOST + MOST);
+		assertThat(site.deliveredTokens()).isGreaterThanOrEqualTo(MAX_TOKENS);
+		site.loseAllRelaysBeforeLogIsRestored();
+		assertThat(site.deliveredTokens()).isLessThanOrEqualTo((long) turnsOfBudget * MAX_TOKENS + MAX_TOKENS);
 	}
 
-	// A property that nothing can break shows nothing: in an outage programs do get half
-	// of their budgets, and all of them once the log is back.
+	// Guards against budgets that hold only because turns are refused: programs get half
+	// of their budgets during an outage, and the rest afterwards.
 	@Property(tries = 100, seed = "4713")
-	void programsGoOnInAnOutage(@ForAll long seed) {
-		RelaySite site = RelaySite.linked(7, 10 * MOST, new Random(seed));
-		site.logGoes();
-		for (int wave = 0; wave < 30; wave++) {
-			site.wave(1);
+	void programsContinueDuringOutage(@ForAll long seed) {
+		RelaySite site = RelaySite.connected(7, 10 * MAX_TOKENS, new Random(seed));
+		site.stopLog();
+		for (int round = 0; round < 30; round++) {
+			site.runTurns(1);
 		}
-		assertThat(site.given()).isBetween(4L * MOST, 5L * MOST);
-		site.logComes();
-		for (int wave = 0; wave < 30; wave++) {
-			site.wave(1);
+		assertThat(site.deliveredTokens()).isBetween(4L * MAX_TOKENS, 5L * MAX_TOKENS);
+		site.restoreLog();
+		for (int round = 0; round < 30; round++) {
+			site.runTurns(1);
 		}
-		assertThat(site.given()).isGreaterThan(9L * MOST);
+		assertThat(site.deliveredTokens()).isGreaterThan(9L * MAX_TOKENS);
 	}
 
-	// Three of seven relays die in an outage. The four that are left are a majority.
+	// Three of seven relays restart during an outage. The other four are a majority.
 	@Property(tries = 50, seed = "4714")
-	void majorityOfRelaysIsEnough(@ForAll long seed) {
-		RelaySite site = RelaySite.linked(7, 10 * MOST, new Random(seed));
-		site.logGoes();
+	void majorityOfRelaysSuffices(@ForAll long seed) {
+		RelaySite site = RelaySite.connected(7, 10 * MAX_TOKENS, new Random(seed));
+		site.stopLog();
 		for (int relay = 0; relay < 3; relay++) {
 			site.restart(relay);
 		}
-		for (int wave = 0; wave < 60; wave++) {
-			site.wave(1);
+		for (int round = 0; round < 60; round++) {
+			site.runTurns(1);
 		}
-		assertThat(site.given()).isGreaterThan(4L * MOST);
+		assertThat(site.deliveredTokens()).isGreaterThan(4L * MAX_TOKENS);
 	}
 
-	// The store turns three of seven relays away and serves the others. These get the
-	// turns of the three their places in the log, so programs get all of their budgets.
+	// The log rejects three of seven relays. The others reserve turns for these, so
+	// programs get their full budgets.
 	@Property(tries = 50, seed = "4715")
-	void relaysThatTheLogTurnsAwayGetPlacesThroughOthers(@ForAll long seed) {
+	void relaysWithoutLogAccessReserveThroughOthers(@ForAll long seed) {
 		Random random = new Random(seed);
-		RelaySite site = RelaySite.linked(7, 10 * MOST, random);
+		RelaySite site = RelaySite.connected(7, 10 * MAX_TOKENS, random);
 		for (int relay = 0; relay < 3; relay++) {
-			site.turnAway(relay);
+			site.denyLogAccess(relay);
 		}
-		for (int wave = 0; wave < 60; wave++) {
-			site.waveAt(random.nextInt(3));
+		for (int round = 0; round < 60; round++) {
+			site.runTurnAt(random.nextInt(3));
 		}
-		assertThat(site.given()).isBetween(9L * MOST, 10L * MOST);
+		assertThat(site.deliveredTokens()).isBetween(9L * MAX_TOKENS, 10L * MAX_TOKENS);
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/ProgramReplicasTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ProgramReplicasTests.java
@@ -18,21 +18,21 @@
 	private final ProgramReplicas replicas = new ProgramReplicas();
 
 	@Test
-	void nobodyKeepsAProgramWhileNoMembersAreKnown() {
+	void programHasNoReplicasWithoutMembers() {
 		assertThat(this.replicas.hasMembers()).isFalse();
 		assertThat(this.replicas.replicasOf("p")).isEmpty();
 	}
 
 	@Test
-	void aloneRelayKeepsAllPrograms() {
+	void singleRelayReplicatesAllPrograms() {
 		this.replicas.update(List.of(Member.of("a")));
 		assertThat(this.replicas.replicasOf("p")).containsExactly("a");
 	}
 
-	// Two relays read the list in different orders. If they came to different keepers, a
-	// turn that one of them asks for would not be seen by the other.
+	// Relays read the members in different orders. With different replicas, concurrent
+	// turns would not be counted for each other.
 	@Test
-	void keepersDoNotDependOnTheOrderOfTheList() {
+	void replicasDoNotDependOnOrderOfMembers() {
 		List<Member> members = members(40, 5);
 		ProgramReplicas other = new ProgramReplicas();
 		this.replicas.update(members);
@@ -43,9 +43,9 @@
 		}
 	}
 
-	// An availability zone fails with all its relays. Each program has two keepers left.
+	// The failure of an availability zone leaves each program two replicas.
 	@Test
-	void keepersOfOneProgramAreInDifferentZones() {
+	void replicasOfProgramAreInDifferentZones() {
 		this.replicas.update(members(40, 5));
 		for (int program = 0; program < PROGRAMS; program++) {
 			Set<String> zones = new HashSet<>();
@@ -55,7 +55,7 @@
 	}
 
 	@Test
-	void siteWithFewZonesHasThreeKeepersAllTheSame() {
+	void siteWithFewZonesStillHasThreeReplicas() {
 		this.replicas.update(members(7, 2));
 		assertThat(this.replicas.replicasOf("p")).hasSize(ProgramReplicas.REPLICATION_FACTOR);
 		this.replicas.update(members(2, 2));
@@ -63,44 +63,43 @@
 	}
 
 	@Test
-	void relayThatComesTakesItsPartAndMovesNothingElse() {
+	void joiningRelayMovesOnlyItsOwnShare() {
 		List<Member> members = members(40, 1);
 		this.replicas.update(members);
 		Map<String, List<String>> before = new HashMap<>();
 		for (int program = 0; program < PROGRAMS; program++) {
 			before.put("p" + program, this.replicas.replicasOf("p" + program));
 		}
-		List<Member> more = new ArrayList<>(members);
-		more.add(new Member("new", "zone-0", 100));
-		this.replicas.update(more);
+		List<Member> extended = new ArrayList<>(members);
+		extended.add(new Member("new", "zone-0", 100));
+		this.replicas.update(extended);
 		int moved = 0;
-		for (Map.Entry<String, List<String>> kept : before.entrySet()) {
-			List<String> now = this.replicas.replicasOf(kept.getKey());
-			if (now.contains("new")) {
+		for (Map.Entry<String, List<String>> previous : before.entrySet()) {
+			List<String> current = this.replicas.replicasOf(previous.getKey());
+			if (current.contains("new")) {
 				moved++;
 				continue;
 			}
-			assertThat(now).isEqualTo(kept.getValue());
+			assertThat(current).isEqualTo(previous.getValue());
 		}
-		double part = (double) moved / PROGRAMS;
-		assertThat(part).isBetween(0.5 * ProgramReplicas.REPLICATION_FACTOR / 41,
+		double share = (double) moved / PROGRAMS;
+		assertThat(share).isBetween(0.5 * ProgramReplicas.REPLICATION_FACTOR / 41,
 				2.0 * ProgramReplicas.REPLICATION_FACTOR / 41);
 	}
 
-	// A small machine that kept as much as a large one would spend its whole processor on
-	// the programs of others.
+	// A small machine with an equal share would spend its processor time on replication.
 	@Test
-	void relayWithLessProcessorKeepsLess() {
+	void relayWithLessProcessorReplicatesFewerPrograms() {
 		List<Member> members = new ArrayList<>(members(20, 1));
 		members.add(new Member("small", "zone-0", 20));
 		this.replicas.update(members);
-		Map<String, Integer> kept = new HashMap<>();
+		Map<String, Integer> programCounts = new HashMap<>();
 		for (int program = 0; program < PROGRAMS; program++) {
-			this.replicas.replicasOf("p" + program).forEach((address) -> kept.merge(address, 1, Integer::sum));
+			this.replicas.replicasOf("p" + program).forEach((address) -> programCounts.merge(address, 1, Integer::sum));
 		}
 		double mean = (double) (ProgramReplicas.REPLICATION_FACTOR * PROGRAMS) / members.size();
-		assertThat((double) kept.get("small")).isBetween(0.1 * mean, 0.4 * mean);
-		assertThat(kept.values()).allSatisfy((count) -> assertThat((double) count).isLessThan(1.4 * mean));
+		assertThat((double) programCounts.get("small")).isBetween(0.1 * mean, 0.4 * mean);
+		assertThat(programCounts.values()).allSatisfy((count) -> assertThat((double) count).isLessThan(1.4 * mean));
 	}
 
 	private static List<Member> members(int count, int zones) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/ProgramTokensTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ProgramTokensTests.java
@@ -9,7 +9,7 @@
 	private final ProgramTokens tokens = new ProgramTokens(2);
 
 	@Test
-	void reservationCountsAtItsMostUntilItIsSettled() {
+	void reservationCountsWithMaximumUntilSettled() {
 		this.tokens.reserve("p", "t", 100);
 		assertThat(this.tokens.used("p")).isEqualTo(100);
 		this.tokens.settle("p", "t", 30);
@@ -17,7 +17,7 @@
 	}
 
 	@Test
-	void entriesThatComeTwiceCountOnce() {
+	void duplicateEntriesCountOnce() {
 		this.tokens.reserve("p", "t", 100);
 		this.tokens.reserve("p", "t", 100);
 		this.tokens.settle("p", "t", 30);
@@ -27,7 +27,7 @@
 	}
 
 	@Test
-	void settlementThatComesBeforeItsReservationIsFinal() {
+	void settlementBeforeReservationIsFinal() {
 		this.tokens.settle("p", "t", 30);
 		this.tokens.reserve("p", "t", 100);
 		assertThat(this.tokens.used("p")).isEqualTo(30);
@@ -35,7 +35,7 @@
 	}
 
 	@Test
-	void programUntouchedForLongestIsForgotten() {
+	void leastRecentlyUsedProgramIsEvicted() {
 		this.tokens.settle("a", "t1", 1);
 		this.tokens.settle("b", "t2", 1);
 		this.tokens.settle("a", "t3", 1);
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelaySite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelaySite.java
@@ -12,20 +12,21 @@
 import io.lentilslip.core.relay.RelayEvent.Connectivity;
 
 /**
- * Some relays, the links between them, their log and their callers. Messages of one link
- * arrive in order and between links in any order. Used by one thread.
+ * Simulation of several relays, their connections, their log and their callers. Messages
+ * of one connection arrive in order, those of different connections in any order. Used by
+ * one thread.
  */
 final class RelaySite {
 
-	static final int MOST = 100;
+	static final int MAX_TOKENS = 100;
 
-	private static final int EARLY = 20;
+	private static final int EARLY_TIMER_ODDS = 20;
 
-	private static final int REMINDERS = 8;
+	private static final int TIMER_ROUNDS = 8;
 
-	private final List<Life> members = new ArrayList<>();
+	private final List<Instance> instances = new ArrayList<>();
 
-	private final Map<Link, Deque<Runnable>> links = new TreeMap<>();
+	private final Map<Connection, Deque<Runnable>> connections = new TreeMap<>();
 
 	private final List<Runnable> running = new ArrayList<>();
 
@@ -33,252 +34,254 @@
 
 	private final long budget;
 
-	private final boolean listed;
+	private final boolean hasMembership;
 
 	private final Random random;
 
-	private boolean logIsUp = true;
+	private boolean logAvailable = true;
 
 	private String program = "p";
 
-	private long given;
+	private long deliveredTokens;
 
 	private int turns;
 
-	private long messages;
+	private long messageCount;
 
-	private RelaySite(int count, long budget, Random random, boolean listed) {
+	private RelaySite(int count, long budget, Random random, boolean hasMembership) {
 		this.budget = budget;
 		this.random = random;
-		this.listed = listed;
+		this.hasMembership = hasMembership;
 		for (int i = 0; i < count; i++) {
-			this.members.add(new Life(i, RelayFixture.ready()));
+			this.instances.add(new Instance(i, RelayFixture.ready()));
 		}
-		this.members.forEach(this::list);
+		this.instances.forEach(this::updateMembership);
 	}
 
 	/**
-	 * Returns relays that know nothing of each other but the links, each linked to all.
-	 * @param count how many
-	 * @param budget the budget of each program
-	 * @param random the order of things
+	 * Returns relays without a member list, each connected to all others.
+	 * @param count the number of relays
+	 * @param budget the budget of each program in tokens
+	 * @param random the source of the order of all steps
 	 * @return the site
 	 */
-	static RelaySite linked(int count, long budget, Random random) {
+	static RelaySite connected(int count, long budget, Random random) {
 		return new RelaySite(count, budget, random, false);
 	}
 
 	/**
-	 * Returns relays that know of each other, so that programs have keepers.
-	 * @param count how many
-	 * @param budget the budget of each program
-	 * @param random the order of things
+	 * Returns relays with a member list, so that programs have replicas.
+	 * @param count the number of relays
+	 * @param budget the budget of each program in tokens
+	 * @param random the source of the order of all steps
 	 * @return the site
 	 */
-	static RelaySite listed(int count, long budget, Random random) {
+	static RelaySite withMembership(int count, long budget, Random random) {
 		return new RelaySite(count, budget, random, true);
 	}
 
-	private void list(Life life) {
-		if (!this.listed) {
+	private void updateMembership(Instance instance) {
+		if (!this.hasMembership) {
 			return;
 		}
 		List<Member> all = new ArrayList<>();
-		for (int i = 0; i < this.members.size(); i++) {
+		for (int i = 0; i < this.instances.size(); i++) {
 			all.add(new Member(Integer.toString(i), "zone-" + i % 3, 100));
 		}
-		life.relay.handle(new RelayEvent.ListenerStarted(life.relay.now(), Integer.toString(life.index)));
-		life.relay.handle(new RelayEvent.MembershipUpdated(life.relay.now(), all));
+		instance.relay.handle(new RelayEvent.ListenerStarted(instance.relay.now(), Integer.toString(instance.index)));
+		instance.relay.handle(new RelayEvent.MembershipUpdated(instance.relay.now(), all));
 	}
 
 	/**
-	 * Has all further turns be those of another program.
+	 * Makes all further turns belong to another program.
 	 * @param next its name
 	 */
-	void program(String next) {
+	void switchProgram(String next) {
 		this.program = next;
 	}
 
-	long given() {
-		return this.given;
+	long deliveredTokens() {
+		return this.deliveredTokens;
 	}
 
 	/**
-	 * Returns how many messages relays have sent each other.
+	 * Returns the number of messages between relays.
 	 * @return the number
 	 */
-	long messages() {
-		return this.messages;
+	long messageCount() {
+		return this.messageCount;
 	}
 
-	void wave(int size) {
+	void runTurns(int size) {
 		for (int i = 0; i < size; i++) {
-			ask(this.members.get(this.random.nextInt(this.members.size())));
+			startTurn(this.instances.get(this.random.nextInt(this.instances.size())));
 			if (this.random.nextBoolean()) {
 				step();
 			}
 		}
-		settle();
+		runUntilIdle();
 	}
 
-	void waveAt(int member) {
-		ask(this.members.get(member));
-		settle();
+	void runTurnAt(int instance) {
+		startTurn(this.instances.get(instance));
+		runUntilIdle();
 	}
 
-	private void ask(Life member) {
+	private void startTurn(Instance instance) {
 		this.turns++;
-		take(member, member.relay.sendTurn("t" + this.turns, "draft",
-				RelayFixture.turn(this.program, this.budget, MOST, null)));
+		apply(instance, instance.relay.sendTurn("t" + this.turns, "draft",
+				RelayFixture.turn(this.program, this.budget, MAX_TOKENS, null)));
 	}
 
-	private void settle() {
-		for (int round = 0; round < REMINDERS; round++) {
+	private void runUntilIdle() {
+		for (int round = 0; round < TIMER_ROUNDS; round++) {
 			while (step()) {
-				// Until nothing is under way.
+				// Repeats until no step is ready.
 			}
-			this.members.forEach(this::orderDue);
+			this.instances.forEach(this::fireTimers);
 		}
 		while (step()) {
-			// Until nothing is under way.
+			// Repeats until no step is ready.
 		}
 	}
 
-	private void orderDue(Life member) {
-		List<Long> due = List.copyOf(member.waiting);
-		member.waiting.clear();
+	private void fireTimers(Instance instance) {
+		List<Long> due = List.copyOf(instance.timers);
+		instance.timers.clear();
 		for (long exchange : due) {
-			take(member, member.relay
-				.handle(new RelayEvent.TimerFired(member.relay.now(), exchange, RelayEvent.TimerKind.BUDGET_DECISION)));
+			apply(instance, instance.relay.handle(
+					new RelayEvent.TimerFired(instance.relay.now(), exchange, RelayEvent.TimerKind.BUDGET_DECISION)));
 		}
 	}
 
-	void logGoes() {
-		this.logIsUp = false;
-		this.members.forEach((member) -> reach(member, Connectivity.RELAYS));
+	void stopLog() {
+		this.logAvailable = false;
+		this.instances.forEach((instance) -> changeConnectivity(instance, Connectivity.RELAYS));
 	}
 
 	/**
-	 * Has the log go without a word: no relay finds out.
+	 * Stops the log without any relay detecting it.
 	 */
-	void logFallsSilent() {
-		this.logIsUp = false;
+	void stopLogUndetected() {
+		this.logAvailable = false;
 	}
 
-	void logComes() {
-		this.logIsUp = true;
-		for (Life member : this.members) {
-			member.turnedAway = false;
-			reach(member, Connectivity.LOG);
+	void restoreLog() {
+		this.logAvailable = true;
+		for (Instance instance : this.instances) {
+			instance.logAccessDenied = false;
+			changeConnectivity(instance, Connectivity.LOG);
 		}
-		settle();
-		this.members.forEach(this::catchUp);
+		runUntilIdle();
+		this.instances.forEach(this::catchUp);
 	}
 
-	void turnAway(int member) {
-		this.members.get(member).turnedAway = true;
-		reach(this.members.get(member), Connectivity.RELAYS);
+	void denyLogAccess(int instance) {
+		this.instances.get(instance).logAccessDenied = true;
+		changeConnectivity(this.instances.get(instance), Connectivity.RELAYS);
 	}
 
-	private void reach(Life member, Connectivity reach) {
-		take(member, member.relay.handle(new RelayEvent.ConnectivityChanged(member.relay.now(), reach)));
+	private void changeConnectivity(Instance instance, Connectivity connectivity) {
+		apply(instance, instance.relay.handle(new RelayEvent.ConnectivityChanged(instance.relay.now(), connectivity)));
 	}
 
 	void restart(int index) {
 		lose(index);
-		Life member = this.members.get(index);
-		reach(member, this.logIsUp ? Connectivity.LOG : Connectivity.RELAYS);
-		for (Life other : this.members) {
-			if (other != member && !this.listed) {
-				link(other, member);
-				link(member, other);
+		Instance instance = this.instances.get(index);
+		changeConnectivity(instance, this.logAvailable ? Connectivity.LOG : Connectivity.RELAYS);
+		for (Instance other : this.instances) {
+			if (other != instance && !this.hasMembership) {
+				connect(other, instance);
+				connect(instance, other);
 			}
 		}
-		settle();
-		if (this.logIsUp) {
-			catchUp(member);
+		runUntilIdle();
+		if (this.logAvailable) {
+			catchUp(instance);
 		}
 	}
 
 	/**
-	 * Has waves of turns, between which the log goes and comes and relays start again.
+	 * Runs turns, with outages of the log and restarts of relays between them.
 	 */
-	void goThroughOutagesAndRestarts() {
-		for (int wave = 0; wave < 12; wave++) {
-			wave(1 + this.random.nextInt(3));
+	void runWithOutagesAndRestarts() {
+		for (int round = 0; round < 12; round++) {
+			runTurns(1 + this.random.nextInt(3));
 			switch (this.random.nextInt(8)) {
-				case 0 -> logGoes();
-				case 1 -> logComes();
-				case 2 -> restart(this.random.nextInt(this.members.size()));
+				case 0 -> stopLog();
+				case 1 -> restoreLog();
+				case 2 -> restart(this.random.nextInt(this.instances.size()));
 				default -> {
 				}
 			}
 		}
-		wave(2);
+		runTurns(2);
 	}
 
 	/**
-	 * Loses all relays while the log is away, and has the program go on when it is back.
+	 * Loses all relays, restores the log afterwards and runs more turns of the program.
 	 */
-	void loseAllBeforeTheLogIsBack() {
-		loseAll();
-		logComes();
-		for (int wave = 0; wave < 15; wave++) {
-			wave(1);
+	void loseAllRelaysBeforeLogIsRestored() {
+		loseAllRelays();
+		restoreLog();
+		for (int round = 0; round < 15; round++) {
+			runTurns(1);
 		}
 	}
 
-	private void loseAll() {
+	private void loseAllRelays() {
 		this.running.clear();
-		for (int i = 0; i < this.members.size(); i++) {
+		for (int i = 0; i < this.instances.size(); i++) {
 			lose(i);
 		}
-		for (Life member : this.members) {
-			if (!this.listed) {
-				this.members.stream().filter((other) -> other != member).forEach((other) -> link(member, other));
+		for (Instance instance : this.instances) {
+			if (!this.hasMembership) {
+				this.instances.stream()
+					.filter((other) -> other != instance)
+					.forEach((other) -> connect(instance, other));
 			}
 		}
 	}
 
 	private void lose(int index) {
-		this.links.keySet().removeIf((link) -> link.from() == index || link.to() == index);
-		this.members.set(index, new Life(index, RelayFixture.afterRestart()));
-		list(this.members.get(index));
+		this.connections.keySet().removeIf((connection) -> connection.from() == index || connection.to() == index);
+		this.instances.set(index, new Instance(index, RelayFixture.afterRestart()));
+		updateMembership(this.instances.get(index));
 	}
 
-	private void link(Life from, Life to) {
-		take(from, from.relay.handle(new RelayEvent.PeerConnected(from.relay.now(), Integer.toString(to.index))));
+	private void connect(Instance from, Instance to) {
+		apply(from, from.relay.handle(new RelayEvent.PeerConnected(from.relay.now(), Integer.toString(to.index))));
 	}
 
-	private void catchUp(Life member) {
-		read(member);
-		if (!member.caughtUp) {
-			member.caughtUp = true;
-			take(member, member.relay.handle(RelayFixture.caughtUp(member.relay.now())));
+	private void catchUp(Instance instance) {
+		read(instance);
+		if (!instance.caughtUp) {
+			instance.caughtUp = true;
+			apply(instance, instance.relay.handle(RelayFixture.caughtUp(instance.relay.now())));
 		}
 	}
 
 	private boolean step() {
 		List<Runnable> ready = new ArrayList<>();
-		this.links.values()
+		this.connections.values()
 			.stream()
-			.filter((link) -> !link.isEmpty())
-			.forEach((link) -> ready.add(() -> link.pollFirst().run()));
+			.filter((connection) -> !connection.isEmpty())
+			.forEach((connection) -> ready.add(() -> connection.pollFirst().run()));
 		for (Runnable run : this.running) {
 			ready.add(() -> {
 				this.running.remove(run);
 				run.run();
 			});
 		}
-		for (Life member : this.members) {
-			if (this.listed && !member.waiting.isEmpty() && this.random.nextInt(EARLY) == 0) {
-				ready.add(() -> orderDue(member));
+		for (Instance instance : this.instances) {
+			if (this.hasMembership && !instance.timers.isEmpty() && this.random.nextInt(EARLY_TIMER_ODDS) == 0) {
+				ready.add(() -> fireTimers(instance));
 			}
-			if (reachesLog(member) && !member.unwritten.isEmpty()) {
-				ready.add(() -> append(member));
+			if (reachesLog(instance) && !instance.unappended.isEmpty()) {
+				ready.add(() -> append(instance));
 			}
-			if (reachesLog(member) && member.caughtUp && member.read < this.log.size()) {
-				ready.add(() -> read(member));
+			if (reachesLog(instance) && instance.caughtUp && instance.read < this.log.size()) {
+				ready.add(() -> read(instance));
 			}
 		}
 		if (ready.isEmpty()) {
@@ -288,62 +291,63 @@
 		return true;
 	}
 
-	private boolean reachesLog(Life member) {
-		return this.logIsUp && !member.turnedAway;
+	private boolean reachesLog(Instance instance) {
+		return this.logAvailable && !instance.logAccessDenied;
 	}
 
-	private void append(Life member) {
-		this.log.addAll(member.unwritten);
-		member.unwritten.clear();
+	private void append(Instance instance) {
+		this.log.addAll(instance.unappended);
+		instance.unappended.clear();
 	}
 
-	private void read(Life member) {
-		LedgerEntry[] entries = this.log.subList(member.read, this.log.size()).toArray(new LedgerEntry[0]);
-		member.read = this.log.size();
-		take(member, member.relay.readFromLog(entries));
+	private void read(Instance instance) {
+		LedgerEntry[] entries = this.log.subList(instance.read, this.log.size()).toArray(new LedgerEntry[0]);
+		instance.read = this.log.size();
+		apply(instance, instance.relay.readFromLog(entries));
 	}
 
-	private void take(Life from, List<RelayEffect> effects) {
+	private void apply(Instance from, List<RelayEffect> effects) {
 		for (RelayEffect effect : effects) {
 			switch (effect) {
-				case RelayEffect.AppendEntry write -> {
-					from.unwritten.add(write.entry());
-					if (this.listed) {
-						toSome(from, write.replicas(), (to) -> tell(from, to, write.entry()));
+				case RelayEffect.AppendEntry append -> {
+					from.unappended.add(append.entry());
+					if (this.hasMembership) {
+						sendToPeers(from, append.replicas(), (to) -> replicate(from, to, append.entry()));
 					}
 					else {
-						toOthers(from, (to) -> tell(to, write.entry()));
+						sendToOthers(from, (to) -> replicate(to, append.entry()));
 					}
 				}
-				case RelayEffect.RequestReservation ask -> {
-					if (ask.peers().isEmpty()) {
-						toOthers(from, (to) -> ask(from, to, ask));
+				case RelayEffect.RequestReservation request -> {
+					if (request.peers().isEmpty()) {
+						sendToOthers(from, (to) -> requestReservation(from, to, request));
 					}
 					else {
-						toSome(from, ask.peers(), (to) -> ask(from, to, ask));
+						sendToPeers(from, request.peers(), (to) -> requestReservation(from, to, request));
 					}
 				}
-				case RelayEffect.RequestSync ignored -> toOthers(from, (to) -> take(to,
+				case RelayEffect.RequestSync ignored -> sendToOthers(from, (to) -> apply(to,
 						to.relay.handle(new RelayEvent.SyncRequested(to.relay.now(), Integer.toString(from.index)))));
-				case RelayEffect.SendUsageUnavailable tell -> send(from, Integer.parseInt(tell.peer()),
-						(to) -> take(to, to.relay.handle(new RelayEvent.UsageUnavailable(to.relay.now(),
-								Integer.toString(from.index), tell.request()))));
-				case RelayEffect.RequestLogReservation ask ->
-					send(from, Integer.parseInt(ask.peer()), (to) -> place(from, to, ask));
-				case RelayEffect.SendUsage tell -> send(from, Integer.parseInt(tell.peer()), (to) -> {
-					tell.entries().forEach((entry) -> tell(to, entry));
-					take(to, to.relay.handle(
-							new RelayEvent.UsageReceived(to.relay.now(), Integer.toString(from.index), tell.request(),
-									tell.tokens(), tell.uncommitted(), tell.logReachable(), this.members.size() - 1)));
+				case RelayEffect.SendUsageUnavailable reply -> send(from, Integer.parseInt(reply.peer()),
+						(to) -> apply(to, to.relay.handle(new RelayEvent.UsageUnavailable(to.relay.now(),
+								Integer.toString(from.index), reply.request()))));
+				case RelayEffect.RequestLogReservation request ->
+					send(from, Integer.parseInt(request.peer()), (to) -> requestLogReservation(from, to, request));
+				case RelayEffect.SendUsage reply -> send(from, Integer.parseInt(reply.peer()), (to) -> {
+					reply.entries().forEach((entry) -> replicate(to, entry));
+					apply(to,
+							to.relay.handle(new RelayEvent.UsageReceived(to.relay.now(), Integer.toString(from.index),
+									reply.request(), reply.tokens(), reply.uncommitted(), reply.logReachable(),
+									this.instances.size() - 1)));
 				});
-				case RelayEffect.SendLogDecision tell ->
-					send(from, Integer.parseInt(tell.peer()), (to) -> take(to, to.relay
-						.handle(new RelayEvent.LogDecisionReceived(to.relay.now(), tell.request(), tell.admitted()))));
-				case RelayEffect.SendSync tell -> tellUnlogged(from, tell);
+				case RelayEffect.SendLogDecision reply ->
+					send(from, Integer.parseInt(reply.peer()), (to) -> apply(to, to.relay.handle(
+							new RelayEvent.LogDecisionReceived(to.relay.now(), reply.request(), reply.admitted()))));
+				case RelayEffect.SendSync sync -> sendSync(from, sync);
 				case RelayEffect.SendRequest send -> this.running.add(() -> run(from, send));
-				case RelayEffect.StartTimer remind -> {
-					if (remind.timer() == RelayEvent.TimerKind.BUDGET_DECISION) {
-						from.waiting.add(remind.exchange());
+				case RelayEffect.StartTimer start -> {
+					if (start.timer() == RelayEvent.TimerKind.BUDGET_DECISION) {
+						from.timers.add(start.exchange());
 					}
 				}
 				default -> {
@@ -352,97 +356,97 @@
 		}
 	}
 
-	private void ask(Life from, Life to, RelayEffect.RequestReservation ask) {
-		take(to, to.relay.handle(new RelayEvent.ReservationRequested(to.relay.now(), Integer.toString(from.index),
-				ask.request(), ask.program(), ask.maxTokens(), ask.budget(), false)));
+	private void requestReservation(Instance from, Instance to, RelayEffect.RequestReservation request) {
+		apply(to, to.relay.handle(new RelayEvent.ReservationRequested(to.relay.now(), Integer.toString(from.index),
+				request.request(), request.program(), request.maxTokens(), request.budget(), false)));
 	}
 
-	private void place(Life from, Life to, RelayEffect.RequestLogReservation ask) {
-		take(to, to.relay.handle(new RelayEvent.ReservationRequested(to.relay.now(), Integer.toString(from.index),
-				ask.request(), ask.program(), ask.maxTokens(), ask.budget(), true)));
+	private void requestLogReservation(Instance from, Instance to, RelayEffect.RequestLogReservation request) {
+		apply(to, to.relay.handle(new RelayEvent.ReservationRequested(to.relay.now(), Integer.toString(from.index),
+				request.request(), request.program(), request.maxTokens(), request.budget(), true)));
 	}
 
-	private void tellUnlogged(Life from, RelayEffect.SendSync tell) {
-		List<LedgerEntry> entries = new ArrayList<>(from.unwritten);
-		entries.addAll(tell.entries());
-		send(from, Integer.parseInt(tell.peer()), (to) -> {
-			entries.forEach((entry) -> tell(to, entry));
-			if (tell.complete()) {
-				take(to, to.relay.handle(new RelayEvent.SyncCompleted(to.relay.now(), Integer.toString(from.index),
-						this.members.size() - 1)));
+	private void sendSync(Instance from, RelayEffect.SendSync sync) {
+		List<LedgerEntry> entries = new ArrayList<>(from.unappended);
+		entries.addAll(sync.entries());
+		send(from, Integer.parseInt(sync.peer()), (to) -> {
+			entries.forEach((entry) -> replicate(to, entry));
+			if (sync.complete()) {
+				apply(to, to.relay.handle(new RelayEvent.SyncCompleted(to.relay.now(), Integer.toString(from.index),
+						this.instances.size() - 1)));
 			}
 		});
 	}
 
-	private void tell(Life to, LedgerEntry entry) {
-		take(to, to.relay.readFromPeer(entry));
+	private void replicate(Instance to, LedgerEntry entry) {
+		apply(to, to.relay.readFromPeer(entry));
 	}
 
-	private void tell(Life from, Life to, LedgerEntry entry) {
-		take(to, to.relay.handle(new RelayEvent.EntriesReceived(to.relay.now(), List.of(entry),
+	private void replicate(Instance from, Instance to, LedgerEntry entry) {
+		apply(to, to.relay.handle(new RelayEvent.EntriesReceived(to.relay.now(), List.of(entry),
 				Optional.of(Integer.toString(from.index)))));
 	}
 
-	private void toSome(Life from, List<String> peers, Message message) {
+	private void sendToPeers(Instance from, List<String> peers, Message message) {
 		peers.forEach((peer) -> send(from, Integer.parseInt(peer), message));
 	}
 
-	private void toOthers(Life from, Message message) {
-		for (Life to : this.members) {
+	private void sendToOthers(Instance from, Message message) {
+		for (Instance to : this.instances) {
 			if (to != from) {
 				send(from, to.index, message);
 			}
 		}
 	}
 
-	private void send(Life from, int to, Message message) {
-		if (this.members.get(from.index) != from) {
+	private void send(Instance from, int to, Message message) {
+		if (this.instances.get(from.index) != from) {
 			return;
 		}
-		this.messages++;
-		this.links.computeIfAbsent(new Link(from.index, to), (link) -> new ArrayDeque<>())
-			.add(() -> message.arriveAt(this.members.get(to)));
+		this.messageCount++;
+		this.connections.computeIfAbsent(new Connection(from.index, to), (connection) -> new ArrayDeque<>())
+			.add(() -> message.deliverTo(this.instances.get(to)));
 	}
 
-	private void run(Life at, RelayEffect.SendRequest send) {
-		if (this.members.get(at.index) != at) {
+	private void run(Instance at, RelayEffect.SendRequest send) {
+		if (this.instances.get(at.index) != at) {
 			return;
 		}
 		RelayFixture relay = at.relay;
 		long exchange = send.exchange();
 		List<RelayEffect> effects = new ArrayList<>(
 				relay.handle(new RelayEvent.StreamOpened(relay.now(), exchange, send.attempt(), RelayFixture.SIGNED)));
-		for (int i = 1; i <= MOST / RelayFixture.TOKENS_PER_EVENT; i++) {
+		for (int i = 1; i <= MAX_TOKENS / RelayFixture.TOKENS_PER_EVENT; i++) {
 			byte[] data = { 'x' };
 			effects.addAll(relay
 				.handle(new RelayEvent.StreamEventReceived(relay.now(), exchange, send.attempt(), i, data, data)));
 		}
-		this.given += (long) RelayFixture.ofType(effects, RelayEffect.ForwardStreamEvent.class).size()
+		this.deliveredTokens += (long) RelayFixture.ofType(effects, RelayEffect.ForwardStreamEvent.class).size()
 				* RelayFixture.TOKENS_PER_EVENT;
 		effects.addAll(relay.handle(new RelayEvent.StreamEnded(relay.now(), exchange, send.attempt())));
-		take(at, effects);
+		apply(at, effects);
 	}
 
 	/**
-	 * One life of a relay. Used by one thread.
+	 * One incarnation of a relay. Used by one thread.
 	 */
-	private static final class Life {
+	private static final class Instance {
 
 		private final int index;
 
 		private final RelayFixture relay;
 
-		private final List<LedgerEntry> unwritten = new ArrayList<>();
+		private final List<LedgerEntry> unappended = new ArrayList<>();
 
-		private final List<Long> waiting = new ArrayList<>();
+		private final List<Long> timers = new ArrayList<>();
 
 		private int read;
 
 		private boolean caughtUp;
 
-		private boolean turnedAway;
+		private boolean logAccessDenied;
 
-		Life(int index, RelayFixture relay) {
+		Instance(int index, RelayFixture relay) {
 			this.index = index;
 			this.relay = relay;
 			this.caughtUp = relay.caughtUp();
@@ -451,15 +455,15 @@
 	}
 
 	/**
-	 * A direction between two relays. Immutable.
+	 * One direction of the connection between two relays. Immutable.
 	 *
-	 * @param from who speaks
-	 * @param to who hears
+	 * @param from the sender
+	 * @param to the receiver
 	 */
-	private record Link(int from, int to) implements Comparable<Link> {
+	private record Connection(int from, int to) implements Comparable<Connection> {
 
 		@Override
-		public int compareTo(Link other) {
+		public int compareTo(Connection other) {
 			return (this.from != other.from) ? Integer.compare(this.from, other.from)
 					: Integer.compare(this.to, other.to);
 		}
@@ -467,12 +471,12 @@
 	}
 
 	/**
-	 * What happens when a message arrives. Used by one thread.
+	 * A message in flight. Used by one thread.
 	 */
 	@FunctionalInterface
 	private interface Message {
 
-		void arriveAt(Life relay);
+		void deliverTo(Instance relay);
 
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/ReplicaBudgetProperties.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ReplicaBudgetProperties.java
@@ -10,142 +10,135 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Several relays that know of each other, before a log that goes away and comes back. The
- * keepers of a program decide on its turns; now and then one of them does not answer in
- * time, starts again with nothing, or all are lost at once. What callers are given is
- * never more than the budget and the most of one turn.
+ * Checks the budget of programs whose replicas decide on their turns, over outages of the
+ * log, timeouts and restarts of relays and the loss of all relays. Callers never receive
+ * more tokens than the budget and the maximum of one turn.
  */
 class ReplicaBudgetProperties {
 
-	private static final int MOST = RelaySite.MOST;
+	private static final int MAX_TOKENS = RelaySite.MAX_TOKENS;
 
 	@Property(tries = 1500, seed = "4721")
-	void budgetHoldsOverOutagesAndLosses(@ForAll @IntRange(min = 1, max = 9) int relays,
+	void budgetHoldsOverOutagesAndRestarts(@ForAll @IntRange(min = 1, max = 9) int relays,
 			@ForAll @IntRange(min = 1, max = 12) int turnsOfBudget, @ForAll long seed) {
-		RelaySite site = RelaySite.listed(relays, (long) turnsOfBudget * MOST, new Random(seed));
-		site.program("p" + seed);
-		site.goThroughOutagesAndRestarts();
-		assertThat(site.given()).isLessThanOrEqualTo((long) turnsOfBudget * MOST + MOST);
+		RelaySite site = RelaySite.withMembership(relays, (long) turnsOfBudget * MAX_TOKENS, new Random(seed));
+		site.switchProgram("p" + seed);
+		site.runWithOutagesAndRestarts();
+		assertThat(site.deliveredTokens()).isLessThanOrEqualTo((long) turnsOfBudget * MAX_TOKENS + MAX_TOKENS);
 	}
 
 	@Property(tries = 400, seed = "4722")
-	void budgetHoldsOverTheLossOfAllRelaysInAnOutage(@ForAll @IntRange(min = 3, max = 9) int relays,
+	void budgetHoldsOverLossOfAllRelaysDuringOutage(@ForAll @IntRange(min = 3, max = 9) int relays,
 			@ForAll @IntRange(min = 1, max = 12) int turnsOfBudget, @ForAll long seed) {
-		RelaySite site = RelaySite.listed(relays, (long) turnsOfBudget * MOST, new Random(seed));
-		site.program("p" + seed);
-		site.logGoes();
-		for (int wave = 0; wave < 15; wave++) {
-			site.wave(1);
+		RelaySite site = RelaySite.withMembership(relays, (long) turnsOfBudget * MAX_TOKENS, new Random(seed));
+		site.switchProgram("p" + seed);
+		site.stopLog();
+		for (int round = 0; round < 15; round++) {
+			site.runTurns(1);
 		}
-		assertThat(site.given()).isGreaterThanOrEqualTo(MOST);
-		site.loseAllBeforeTheLogIsBack();
-		assertThat(site.given()).isLessThanOrEqualTo((long) turnsOfBudget * MOST + MOST);
+		assertThat(site.deliveredTokens()).isGreaterThanOrEqualTo(MAX_TOKENS);
+		site.loseAllRelaysBeforeLogIsRestored();
+		assertThat(site.deliveredTokens()).isLessThanOrEqualTo((long) turnsOfBudget * MAX_TOKENS + MAX_TOKENS);
 	}
 
-	// The store falls silent, and for a second or two no relay knows. A looping program
-	// takes
-	// all that it is given in that time, all relays are lost, and it comes again to
-	// relays
-	// that know nothing of it.
+	// The outage is detected with a delay. Tokens granted before that must not be granted
+	// again after all relays are lost.
 	@Property(tries = 400, seed = "4726")
-	void budgetHoldsOverTheLossOfAllRelaysInAnOutageThatNobodyHasNoticed(@ForAll @IntRange(min = 3, max = 9) int relays,
+	void budgetHoldsOverLossOfAllRelaysDuringUndetectedOutage(@ForAll @IntRange(min = 3, max = 9) int relays,
 			@ForAll @IntRange(min = 1, max = 12) int turnsOfBudget, @ForAll long seed) {
-		outageThatNobodyNotices(relays, turnsOfBudget, seed, 2);
+		checkUndetectedOutage(relays, turnsOfBudget, seed, 2);
 	}
 
-	// The same with three turns in one moment. Each of them is seen by one of the others,
-	// and
-	// each sees one: the first the second, the second the third, and the third the first.
-	// So
-	// all three are given what the log has not shown, where it should be two.
+	// Each of three concurrent turns may be counted for only one of the others, so all
+	// three could be granted from the uncommitted part of the budget.
 	@Property(tries = 400, seed = "4726")
-	void budgetHoldsOverSuchAnOutageWithThreeTurnsAtOnce(@ForAll @IntRange(min = 3, max = 9) int relays,
+	void budgetHoldsOverUndetectedOutageWithThreeConcurrentTurns(@ForAll @IntRange(min = 3, max = 9) int relays,
 			@ForAll @IntRange(min = 1, max = 12) int turnsOfBudget, @ForAll long seed) {
-		outageThatNobodyNotices(relays, turnsOfBudget, seed, 3);
+		checkUndetectedOutage(relays, turnsOfBudget, seed, 3);
 	}
 
-	private static void outageThatNobodyNotices(int relays, int turnsOfBudget, long seed, int atOnce) {
+	private static void checkUndetectedOutage(int relays, int turnsOfBudget, long seed, int maxConcurrent) {
 		Random random = new Random(seed);
-		RelaySite site = RelaySite.listed(relays, (long) turnsOfBudget * MOST, random);
-		site.program("p" + seed);
-		site.wave(random.nextInt(atOnce));
-		site.logFallsSilent();
-		for (int wave = 0; wave < 15; wave++) {
-			site.wave(1 + random.nextInt(atOnce));
+		RelaySite site = RelaySite.withMembership(relays, (long) turnsOfBudget * MAX_TOKENS, random);
+		site.switchProgram("p" + seed);
+		site.runTurns(random.nextInt(maxConcurrent));
+		site.stopLogUndetected();
+		for (int round = 0; round < 15; round++) {
+			site.runTurns(1 + random.nextInt(maxConcurrent));
 		}
-		site.loseAllBeforeTheLogIsBack();
-		assertThat(site.given()).isLessThanOrEqualTo((long) turnsOfBudget * MOST + MOST);
+		site.loseAllRelaysBeforeLogIsRestored();
+		assertThat(site.deliveredTokens()).isLessThanOrEqualTo((long) turnsOfBudget * MAX_TOKENS + MAX_TOKENS);
 	}
 
-	// A property that nothing can break shows nothing: programs get their whole budgets,
-	// half of them in an outage, and the rest once the log is back.
+	// Guards against budgets that hold only because turns are refused: programs get half
+	// of their budgets during an outage, and the rest afterwards.
 	@Property(tries = 100, seed = "4723")
-	void programsGetTheirBudgets(@ForAll @IntRange(min = 1, max = 9) int relays, @ForAll long seed) {
-		RelaySite site = RelaySite.listed(relays, 10 * MOST, new Random(seed));
-		for (int wave = 0; wave < 40; wave++) {
-			site.wave(1);
+	void programsGetFullBudgets(@ForAll @IntRange(min = 1, max = 9) int relays, @ForAll long seed) {
+		RelaySite site = RelaySite.withMembership(relays, 10 * MAX_TOKENS, new Random(seed));
+		for (int round = 0; round < 40; round++) {
+			site.runTurns(1);
 		}
-		assertThat(site.given()).isGreaterThan(9L * MOST);
-		site.program("q");
-		site.logGoes();
-		for (int wave = 0; wave < 40; wave++) {
-			site.wave(1);
+		assertThat(site.deliveredTokens()).isGreaterThan(9L * MAX_TOKENS);
+		site.switchProgram("q");
+		site.stopLog();
+		for (int round = 0; round < 40; round++) {
+			site.runTurns(1);
 		}
-		assertThat(site.given()).isBetween(13L * MOST, 15L * MOST);
-		site.logComes();
-		for (int wave = 0; wave < 40; wave++) {
-			site.wave(1);
+		assertThat(site.deliveredTokens()).isBetween(13L * MAX_TOKENS, 15L * MAX_TOKENS);
+		site.restoreLog();
+		for (int round = 0; round < 40; round++) {
+			site.runTurns(1);
 		}
-		assertThat(site.given()).isGreaterThan(18L * MOST);
+		assertThat(site.deliveredTokens()).isGreaterThan(18L * MAX_TOKENS);
 	}
 
-	// Two of nine relays start again in an outage, and two of a program's keepers may
-	// be among them. The others are still a majority.
+	// Two of nine relays restart during an outage and may both be replicas of the
+	// program. The other relays are still a majority.
 	@Property(tries = 200, seed = "4724")
-	void programsGoOnWithoutTwoOfTheirKeepers(@ForAll long seed) {
+	void programsContinueWithoutTwoReplicas(@ForAll long seed) {
 		Random random = new Random(seed);
-		RelaySite site = RelaySite.listed(9, 10 * MOST, random);
-		site.program("p" + seed);
-		site.logGoes();
+		RelaySite site = RelaySite.withMembership(9, 10 * MAX_TOKENS, random);
+		site.switchProgram("p" + seed);
+		site.stopLog();
 		int first = random.nextInt(3);
 		for (int relay = first; relay < first + 2; relay++) {
 			site.restart(relay);
 		}
-		for (int wave = 0; wave < 60; wave++) {
-			site.wave(1);
+		for (int round = 0; round < 60; round++) {
+			site.runTurns(1);
 		}
-		assertThat(site.given()).isGreaterThan(4L * MOST);
+		assertThat(site.deliveredTokens()).isGreaterThan(4L * MAX_TOKENS);
 	}
 
-	// The store turns two of seven relays away and serves the others. These get the turns
-	// of the two their places in the log, so programs get all of their budgets.
+	// The log rejects two of seven relays. The others reserve turns for these, so
+	// programs get their full budgets.
 	@Property(tries = 50, seed = "4725")
-	void relaysThatTheLogTurnsAwayGetPlacesThroughOthers(@ForAll long seed) {
+	void relaysWithoutLogAccessReserveThroughOthers(@ForAll long seed) {
 		Random random = new Random(seed);
-		RelaySite site = RelaySite.listed(7, 10 * MOST, random);
-		site.program("p" + seed);
+		RelaySite site = RelaySite.withMembership(7, 10 * MAX_TOKENS, random);
+		site.switchProgram("p" + seed);
 		for (int relay = 0; relay < 2; relay++) {
-			site.turnAway(relay);
+			site.denyLogAccess(relay);
 		}
-		for (int wave = 0; wave < 60; wave++) {
-			site.waveAt(random.nextInt(2));
+		for (int round = 0; round < 60; round++) {
+			site.runTurnAt(random.nextInt(2));
 		}
-		assertThat(site.given()).isBetween(9L * MOST, 10L * MOST);
+		assertThat(site.deliveredTokens()).isBetween(9L * MAX_TOKENS, 10L * MAX_TOKENS);
 	}
 
-	// A relay told all others of each turn, so that at three hundred relays each did the
-	// work of three hundred. A turn is told to its program's keepers alone.
+	// Guards against the replication of turns to all relays, whose cost grows with the
+	// site.
 	@Test
-	void messagesOfATurnDoNotGrowWithTheNumberOfRelays() {
+	void messagesPerTurnDoNotGrowWithNumberOfRelays() {
 		for (int relays : new int[] { 7, 64, 300 }) {
-			RelaySite site = RelaySite.listed(relays, 10 * MOST, new Random(relays));
+			RelaySite site = RelaySite.withMembership(relays, 10 * MAX_TOKENS, new Random(relays));
 			int turns = 200;
 			for (int turn = 0; turn < turns; turn++) {
-				site.program("p" + turn);
-				site.wave(1);
+				site.switchProgram("p" + turn);
+				site.runTurns(1);
 			}
-			assertThat(site.given()).isEqualTo((long) turns * MOST);
-			assertThat(site.messages()).isLessThanOrEqualTo(3L * ProgramReplicas.REPLICATION_FACTOR * turns);
+			assertThat(site.deliveredTokens()).isEqualTo((long) turns * MAX_TOKENS);
+			assertThat(site.messageCount()).isLessThanOrEqualTo(3L * ProgramReplicas.REPLICATION_FACTOR * turns);
 		}
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UncommittedEntriesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UncommittedEntriesTests.java
@@ -22,24 +22,24 @@
 	private final LedgerEntry entry = RelayFixture.settledTurn("t", null);
 
 	@Test
-	void entryIsOverdueOnceTheLogHadItsTime() {
+	void entryIsOverdueAfterCommitTimeout() {
 		this.entries.add(this.entry, "x", 0);
 		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 1_499)).isEmpty();
 		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 1_500)).containsExactly(this.entry);
 		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 9_000)).isEmpty();
 	}
 
-	// The log shows an entry before the link brings it. Kept then, it would be written a
-	// second time by every relay.
+	// The entry is read from the log before it is replicated. Added then, it would be
+	// appended again by every relay.
 	@Test
-	void entryThatTheLogShowedFirstIsNotKept() {
+	void entryReadFromLogFirstIsNotAdded() {
 		this.entries.committed(this.entry);
 		this.entries.add(this.entry, "x", 0);
 		assertThat(this.entries.size()).isZero();
 	}
 
 	@Test
-	void entryIsACopyOnceTheLogHasShownOneOfItsRequestAndKind() {
+	void committedEntryWithSameRequestAndTypeIsDuplicate() {
 		LedgerEntry reserved = new LedgerEntry.Reserved("t", "p", 7, "", List.of(), false);
 		assertThat(this.entries.committed(this.entry)).isFalse();
 		assertThat(this.entries.committed(reserved)).isFalse();
@@ -48,7 +48,7 @@
 	}
 
 	@Test
-	void timeBeginsAnewWhenTheLogIsBack() {
+	void timeoutsRestartAfterLogOutage() {
 		this.entries.add(this.entry, "x", 0);
 		this.entries.restartTimeouts(5_000);
 		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 6_000)).isEmpty();
@@ -56,7 +56,7 @@
 	}
 
 	@Test
-	void entriesAreFoundByTheirProgram() {
+	void entriesAreFoundByProgram() {
 		LedgerEntry reserved = new LedgerEntry.Reserved("r", "p", 7, "", List.of(), false);
 		LedgerEntry settled = new LedgerEntry.Settled("s", "p", 5, Optional.empty());
 		LedgerEntry other = new LedgerEntry.Settled("o", "q", 5, Optional.empty());
@@ -67,7 +67,7 @@
 	}
 
 	@Test
-	void ownEntryIsLeftToItsWriterAndCounts() {
+	void ownEntryIsNeverOverdueButCounts() {
 		LedgerEntry reserved = new LedgerEntry.Reserved("r", "p", 100, "", List.of(), false);
 		this.entries.add(reserved, "own", 0);
 		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 9_000)).isEmpty();
@@ -75,7 +75,7 @@
 	}
 
 	@Test
-	void turnThatHasNotEndedCountsAtItsMost() {
+	void unsettledTurnCountsWithMaximum() {
 		LedgerEntry ended = new LedgerEntry.Reserved("r", "p", 100, "", List.of(), false);
 		LedgerEntry open = new LedgerEntry.Reserved("o", "p", 100, "", List.of(), false);
 		LedgerEntry settled = new LedgerEntry.Settled("r", "p", 30, Optional.empty());
@@ -86,40 +86,38 @@
 		assertThat(this.entries.tokensOf("p")).isEqualTo(100);
 	}
 
-	// Three relays keep a program, and the log has not shown an entry of it. The first
-	// two
-	// write it, and the third only if they have not either.
+	// Two replicas append an overdue entry, and the third only after another timeout.
 	@Test
-	void keepersStepInOneAfterTheOther() {
-		List<String> keepers = List.of("a", "b", "own");
+	void furtherReplicasAppendAfterFurtherTimeouts() {
+		List<String> replicas = List.of("a", "b", "own");
 		this.entries.add(this.entry, "x", 0);
-		assertThat(this.entries.takeOverdue("own", Set.of("x"), (entry) -> keepers, 1_500)).isEmpty();
-		assertThat(this.entries.takeOverdue("own", Set.of("x"), (entry) -> keepers, 3_000)).containsExactly(this.entry);
+		assertThat(this.entries.takeOverdue("own", Set.of("x"), (entry) -> replicas, 1_500)).isEmpty();
+		assertThat(this.entries.takeOverdue("own", Set.of("x"), (entry) -> replicas, 3_000))
+			.containsExactly(this.entry);
 	}
 
-	// A relay lives and does not reach the log. Thirty others were told what it gave, and
-	// when the longest of their patience is over, at least one of them has tried to write
-	// each entry: what none has written is given again after the loss of all relays.
+	// A connected relay doesn't reach the log. Unless another relay appends each of its
+	// entries in time, the tokens could be granted again after the loss of all relays.
 	@Test
-	void entryOfARelayThatLivesIsWrittenByAnotherWithinThePatienceOfAll() {
+	void entryOfConnectedRelayIsAppendedByAnotherWithinMaximumTimeout() {
 		int relays = 30;
-		int entriesTold = 1000;
+		int entryCount = 1000;
 		SplittableRandom random = new SplittableRandom(5);
 		Set<String> all = IntStream.range(0, relays).mapToObj((peer) -> "p" + peer).collect(Collectors.toSet());
-		Set<String> written = new HashSet<>();
+		Set<String> appended = new HashSet<>();
 		for (int relay = 1; relay < relays; relay++) {
 			String own = "p" + relay;
-			Set<String> linked = new HashSet<>(all);
-			linked.remove(own);
-			UncommittedEntries others = new UncommittedEntries(
+			Set<String> linkedPeers = new HashSet<>(all);
+			linkedPeers.remove(own);
+			UncommittedEntries received = new UncommittedEntries(
 					random.nextLong(RelaySettings.ADOPTION_JITTER.toMillis()));
-			IntStream.range(0, entriesTold)
-				.forEach((turn) -> others.add(RelayFixture.settledTurn("t" + turn, null), "p0", 0));
+			IntStream.range(0, entryCount)
+				.forEach((turn) -> received.add(RelayFixture.settledTurn("t" + turn, null), "p0", 0));
 			for (long now = 0; now <= 4_000; now += 80) {
-				others.takeOverdue(own, linked, ALL, now).forEach((entry) -> written.add(entry.request()));
+				received.takeOverdue(own, linkedPeers, ALL, now).forEach((entry) -> appended.add(entry.request()));
 			}
 		}
-		assertThat(written).hasSize(entriesTold);
+		assertThat(appended).hasSize(entryCount);
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UsagePollTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UsagePollTests.java
@@ -11,7 +11,7 @@
 	private final UsagePoll poll = new UsagePoll(1, "t", List.of("a", "b", "c"));
 
 	@Test
-	void twoKeepersOfThreeDecideByTheMostThatIsTaken() {
+	void twoReplicasOfThreeDecideByHighestUsage() {
 		this.poll.addUsage("a", 300, 0);
 		assertThat(this.poll.hasReplicaQuorum()).isFalse();
 		this.poll.addUsage("c", 100, 0);
@@ -19,19 +19,17 @@
 		assertThat(this.poll.used()).isEqualTo(300);
 	}
 
-	// A link is made anew, and the question of before is answered as well. Counted twice,
-	// one
-	// keeper would be a majority, and two turns could each have one without seeing the
-	// other.
+	// A request is answered twice if a connection is replaced. Counted twice, one replica
+	// would be a majority, and two concurrent turns could miss each other.
 	@Test
-	void relayCountsOnce() {
+	void relayIsCountedOnce() {
 		this.poll.addUsage("a", 300, 0);
 		this.poll.addUsage("a", 300, 0);
 		assertThat(this.poll.hasReplicaQuorum()).isFalse();
 	}
 
 	@Test
-	void twoUnsureKeepersLeaveTheDecisionToOthers() {
+	void twoUnavailableReplicasLoseTheQuorum() {
 		this.poll.unavailable();
 		assertThat(this.poll.replicaQuorumLost()).isFalse();
 		assertThat(this.poll.coversReplicaDecisions()).isFalse();
@@ -40,10 +38,10 @@
 		assertThat(this.poll.coversReplicaDecisions()).isTrue();
 	}
 
-	// Three turns of one moment are each seen by two replicas in another order, so that
-	// each counts one of the others.
+	// Replicas may receive three concurrent turns in different orders, so that each turn
+	// is counted for only one of the others.
 	@Test
-	void twoReplicasLeaveHalfOfWhatTheyCountUnseen() {
+	void twoReplicasLeaveHalfOfUncommittedUsageUnseen() {
 		this.poll.addUsage("a", 200, 200);
 		this.poll.addUsage("c", 100, 100);
 		assertThat(this.poll.maxUnseen(100)).isEqualTo(100);
@@ -54,17 +52,15 @@
 	}
 
 	@Test
-	void turnThatTwoReplicasSeeAloneLeavesNothingUnseen() {
+	void onlyUncommittedTurnLeavesNothingUnseen() {
 		this.poll.addUsage("a", 100, 100);
 		this.poll.addUsage("b", 100, 100);
 		assertThat(this.poll.maxUnseen(100)).isZero();
 	}
 
-	// Half of the relays answer and none of them keeps the program. What its keepers
-	// decided
-	// before is known to none of these.
+	// A majority without a replica doesn't know the earlier decisions of the replicas.
 	@Test
-	void majorityOfAllNeedsAKeeper() {
+	void majorityOfRelaysRequiresReplica() {
 		this.poll.waitForAllRelays("own");
 		this.poll.addUsage("x", 100, 0);
 		this.poll.addUsage("y", 100, 0);
@@ -74,7 +70,7 @@
 	}
 
 	@Test
-	void answersOfBeforeDoNotCountWhenAllAreAsked() {
+	void earlierRepliesDoNotCountTowardsMajority() {
 		this.poll.addUsage("a", 300, 0);
 		this.poll.addUsage("b", 100, 0);
 		this.poll.waitForAllRelays("a");
@@ -83,7 +79,7 @@
 	}
 
 	@Test
-	void onlyTheLastReminderCounts() {
+	void onlyLastTimerCounts() {
 		this.poll.timerStarted();
 		this.poll.timerStarted();
 		assertThat(this.poll.timerFired()).isFalse();
@@ -91,7 +87,7 @@
 	}
 
 	@Test
-	void relaysThatReachTheLogAreAskedOneAfterTheOther() {
+	void relaysThatReachTheLogAreReturnedInOrder() {
 		assertThat(this.poll.logReachable()).isFalse();
 		this.poll.addLogRelay("x");
 		this.poll.addLogRelay("y");
