--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/LedgerRules.java
@@ -85,7 +85,7 @@
 		}
 		this.state.caughtUpAt = event.now();
 		this.state.caughtUp = true;
-		this.state.stale = false;
+		this.state.logStale = false;
 		if (!this.state.ledgerComplete && !this.state.logWasRecent) {
 			this.state.emit(new RelayEffect.RequestSync());
 		}
@@ -93,10 +93,10 @@
 	}
 
 	private void appendOverdue() {
-		if (this.state.now - this.state.logReadAt > RelaySettings.LOG_OUTAGE_THRESHOLD.toMillis()) {
+		if (this.state.now - this.state.lastLogReadAt > RelaySettings.LOG_OUTAGE_THRESHOLD.toMillis()) {
 			this.state.uncommitted.restartTimeouts(this.state.now);
 		}
-		this.state.logReadAt = this.state.now;
+		this.state.lastLogReadAt = this.state.now;
 		List<LedgerEntry> overdue = this.state.uncommitted.takeOverdue(this.state.name, this.state.linkedPeers,
 				this::replicasOf, this.state.now);
 		overdue.forEach(this.state::write);
@@ -132,7 +132,7 @@
 		if (this.state.tokens.isOpen(reserved.program(), reserved.request())) {
 			this.state.upstreams.findIncarnation(reserved.upstream()).ifPresent((upstream) -> {
 				this.state.upstreams.requestStarted(reserved.request(), upstream, this.state.now);
-				upstream.addToCache(reserved.prompt(), this.state.memory(upstream.upstream()));
+				upstream.addToCache(reserved.prompt(), this.state.cacheTokens(upstream.upstream()));
 			});
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -7,10 +7,10 @@
 import java.util.stream.Stream;
 
 import io.lentilslip.core.relay.Exchange.Phase;
-import io.lentilslip.core.relay.TurnCache.Chain;
 import io.lentilslip.core.relay.RelayEvent.Connectivity;
 import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import io.lentilslip.core.relay.RequestHead.Turn;
+import io.lentilslip.core.relay.TurnCache.Chain;
 
 /**
  * How the texts of turns are kept and found. A text is written to the log once, by the
@@ -302,7 +302,7 @@
 	 * @param exchange the exchange that waits
 	 */
 	void chainTimedOut(Exchange exchange) {
-		boolean exists = exchange.phase() == Phase.WAITING_FOR_CHAIN && !this.state.stale
+		boolean exists = exchange.phase() == Phase.WAITING_FOR_CHAIN && !this.state.logStale
 				&& chain(exchange) instanceof Chain.Incomplete;
 		if (exists && exchange.extendWait()) {
 			this.state.startTimer(exchange, exchange.remaining(this.state.now).dividedBy(TEXTS_WAIT_PART),
