--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
@@ -41,8 +41,8 @@
 
 	/**
 	 * Decides from local state whether a program's budget admits a turn. Turns that other
-	 * relays started in the last few milliseconds are not known here, so a turn close to
-	 * the limit stays undecided.
+	 * relays have just started are not known here, so a turn close to the limit stays
+	 * undecided.
 	 * @param exchange the exchange
 	 * @return the decision
 	 */
@@ -315,8 +315,8 @@
 
 	private Optional<Boolean> decideByMajority(Exchange exchange, UsagePoll poll, RelayEvent.UsageReceived usage) {
 		// If any relay reaches the log, turns may be admitted there that no majority
-		// counts, so the log decides. Log calls are billed: one relay at a time is asked
-		// to append the reservation.
+		// counts, so the log decides. Only one relay at a time is asked to append the
+		// reservation, because log calls are billed.
 		if (usage.logReachable()) {
 			boolean first = !poll.logReachable();
 			poll.addLogRelay(usage.peer());
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEffect.java
@@ -345,8 +345,8 @@
 	}
 
 	/**
-	 * Tells another relay that its turn is reserved here, but that this relay can't
-	 * report the usage because entries may be missing.
+	 * Reports to another relay that its turn is reserved here, but that the usage is
+	 * unavailable because entries may be missing.
 	 *
 	 * @param peer the other relay
 	 * @param request the turn of the other relay
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
@@ -157,9 +157,8 @@
 	}
 
 	/**
-	 * Returns whether too many replicas can't report the usage for the others to be a
-	 * majority.
-	 * @return whether that is so
+	 * Returns whether so many replicas are unavailable that a quorum is impossible.
+	 * @return whether a quorum is impossible
 	 */
 	boolean replicaQuorumLost() {
 		return this.replicas.size() - this.unavailable < quorum();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
@@ -16,15 +16,15 @@
 	@Test
 	void entryOfConnectedRelayIsAppendedByFewOthers() {
 		List<RelayFixture> relays = relaysWithReplicatedEntry();
-		assertThat(appendedBy(relays, 4_500)).isBetween(1, RELAYS / 3);
-		assertThat(appendedBy(relays, 20_000)).isPositive();
+		assertThat(countAppended(relays, 4_500)).isBetween(1, RELAYS / 3);
+		assertThat(countAppended(relays, 20_000)).isPositive();
 	}
 
 	@Test
 	void entryOfDisconnectedRelayIsAppendedByAllReceivers() {
 		List<RelayFixture> relays = relaysWithReplicatedEntry();
 		relays.forEach((relay) -> relay.handle(new RelayEvent.PeerDisconnected(relay.now(), "teller")));
-		assertThat(appendedBy(relays, 4_500)).isEqualTo(RELAYS);
+		assertThat(countAppended(relays, 4_500)).isEqualTo(RELAYS);
 	}
 
 	private static List<RelayFixture> relaysWithReplicatedEntry() {
@@ -45,7 +45,7 @@
 		return relays;
 	}
 
-	private static int appendedBy(List<RelayFixture> relays, long milliseconds) {
+	private static int countAppended(List<RelayFixture> relays, long milliseconds) {
 		int appended = 0;
 		for (RelayFixture relay : relays) {
 			for (long passed = 0; passed < milliseconds; passed += 500) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelaySite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelaySite.java
@@ -112,8 +112,8 @@
 		return this.messageCount;
 	}
 
-	void runTurns(int size) {
-		for (int i = 0; i < size; i++) {
+	void runTurns(int count) {
+		for (int i = 0; i < count; i++) {
 			startTurn(this.instances.get(this.random.nextInt(this.instances.size())));
 			if (this.random.nextBoolean()) {
 				step();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UncommittedEntriesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UncommittedEntriesTests.java
@@ -60,10 +60,10 @@
 		LedgerEntry reserved = new LedgerEntry.Reserved("r", "p", 7, "", List.of(), false);
 		LedgerEntry settled = new LedgerEntry.Settled("s", "p", 5, Optional.empty());
 		LedgerEntry other = new LedgerEntry.Settled("o", "q", 5, Optional.empty());
-		LedgerEntry kept = RelayFixture.settledTurn("k", null);
-		List.of(reserved, kept, settled, other).forEach((entry) -> this.entries.add(entry, "x", 0));
-		assertThat(this.entries.entriesOf("p")).containsExactly(reserved, kept, settled);
-		assertThat(this.entries.all()).containsExactly(reserved, kept, settled, other);
+		LedgerEntry settledWithText = RelayFixture.settledTurn("k", null);
+		List.of(reserved, settledWithText, settled, other).forEach((entry) -> this.entries.add(entry, "x", 0));
+		assertThat(this.entries.entriesOf("p")).containsExactly(reserved, settledWithText, settled);
+		assertThat(this.entries.all()).containsExactly(reserved, settledWithText, settled, other);
 	}
 
 	@Test
