--- a/lentilslip-core/src/main/java/io/lentilslip/core/notice/FieldName.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/notice/FieldName.java
@@ -3,14 +3,13 @@
 import java.util.Locale;
 
 /**
- * The name of a field of a notice. The same name means the same thing in every notice, so
- * that operators can search for one value over all codes. Safe for use by several
- * threads.
+ * Name of a field of a notice. A name has the same meaning in every notice, so that
+ * operators can search for one value across all codes. Safe for use by several threads.
  */
 public enum FieldName {
 
 	/**
-	 * The process that wrote the notice; added to every notice on its way out.
+	 * The process that wrote the notice; added to every notice when it is written.
 	 */
 	PROCESS,
 
@@ -20,7 +19,7 @@
 	ROLE,
 
 	/**
-	 * The VM that the notice is about.
+	 * The VM that the event concerns.
 	 */
 	VM,
 
@@ -30,12 +29,12 @@
 	ZONE,
 
 	/**
-	 * An address and port.
+	 * A network address with its port.
 	 */
 	ADDRESS,
 
 	/**
-	 * One life of a process on its VM.
+	 * An incarnation of a process on its VM.
 	 */
 	INCARNATION,
 
@@ -50,7 +49,7 @@
 	PROGRAM,
 
 	/**
-	 * The number of a call in its program.
+	 * The number of a call within its program.
 	 */
 	CALL,
 
@@ -70,17 +69,17 @@
 	MODEL,
 
 	/**
-	 * An epoch of a claim, which also serves as fencing number.
+	 * The epoch of a claim, which is also its fencing token.
 	 */
 	EPOCH,
 
 	/**
-	 * An attempt of a call.
+	 * The number of an attempt of a call.
 	 */
 	ATTEMPT,
 
 	/**
-	 * What is known of a request's execution.
+	 * Whether a request was executed, as far as known.
 	 */
 	VERDICT,
 
@@ -100,32 +99,32 @@
 	VERSION,
 
 	/**
-	 * Why it happened.
+	 * The cause of the event.
 	 */
 	REASON,
 
 	/**
-	 * A file of the configuration or the settings.
+	 * A configuration or settings file.
 	 */
 	FILE,
 
 	/**
-	 * A line of that file.
+	 * A line number in that file.
 	 */
 	LINE,
 
 	/**
-	 * What should have been there.
+	 * The expected value.
 	 */
 	EXPECTED,
 
 	/**
-	 * How many.
+	 * A number of items, as described by the code.
 	 */
 	COUNT,
 
 	/**
-	 * The bound that was met.
+	 * The limit that was reached or that applies.
 	 */
 	LIMIT,
 
@@ -135,17 +134,17 @@
 	TOKENS,
 
 	/**
-	 * A span of time in milliseconds.
+	 * A duration in milliseconds.
 	 */
 	MILLISECONDS,
 
 	/**
-	 * One attempt of a caller, by the id that the caller gave it.
+	 * A request, by the id that its caller assigned.
 	 */
 	REQUEST,
 
 	/**
-	 * One life of an upstream, by the id that the platform lists.
+	 * An upstream, by the id under which the platform lists it.
 	 */
 	UPSTREAM,
 
@@ -155,18 +154,18 @@
 	ROUTE,
 
 	/**
-	 * A status of HTTP.
+	 * An HTTP status code.
 	 */
 	STATUS,
 
 	/**
-	 * The upstreams that a request could have gone to, the best first, each with what
-	 * made it better or worse and how old that knowledge was.
+	 * The ranked upstreams of a request, the best first, each with its cost, the inputs
+	 * of the cost, and the age of its load report.
 	 */
 	CANDIDATES;
 
 	/**
-	 * Returns the text that stands before the value in a line and in JSON.
+	 * Returns the key of the field in log lines and in JSON.
 	 * @return the name in lower case
 	 */
 	public String label() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/notice/Notice.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/notice/Notice.java
@@ -7,21 +7,21 @@
 import java.util.Set;
 
 /**
- * A numbered event that operators read. It has only fields that its code lists, each at
- * most once; a field may be left out where its value isn't known. Immutable and safe for
- * use by several threads.
+ * Immutable numbered event for operators. It has only fields that its code lists, each at
+ * most once; a field with an unknown value may be omitted. Safe for use by several
+ * threads.
  *
- * @param code what happened
- * @param fields to whom and how, in the order of their adding
+ * @param code the kind of event
+ * @param fields the fields, in the order in which they were added
  */
 public record Notice(NoticeCode code, List<NoticeField> fields) {
 
 	/**
 	 * Creates a notice.
-	 * @param code what happened
-	 * @param fields to whom and how, in the order of their adding
+	 * @param code the kind of event
+	 * @param fields the fields, in the order in which they were added
 	 * @throws IllegalArgumentException if the code does not list a field, or a field
-	 * stands twice
+	 * occurs twice
 	 */
 	public Notice {
 		Objects.requireNonNull(code, "code");
@@ -38,12 +38,12 @@
 	}
 
 	/**
-	 * Returns this notice with a further field.
+	 * Returns a copy of this notice with an additional field.
 	 * @param name the name of the field
 	 * @param value the value, written by its {@code toString}
-	 * @return the longer notice
-	 * @throws IllegalArgumentException if the code does not list the field, or it stands
-	 * here already
+	 * @return the copy
+	 * @throws IllegalArgumentException if the code does not list the field, or this
+	 * notice already has it
 	 */
 	public Notice with(FieldName name, Object value) {
 		List<NoticeField> longer = new ArrayList<>(this.fields);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/notice/NoticeField.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/notice/NoticeField.java
@@ -3,9 +3,8 @@
 import java.util.Objects;
 
 /**
- * A field of a notice. The value is kept as it was given, which may be a caller's text:
- * whoever writes it out bounds and escapes it for the form that is written. Immutable and
- * safe for use by several threads.
+ * Immutable field of a notice. The value is untrusted and stored verbatim: writers have
+ * to truncate and escape it for their output format. Safe for use by several threads.
  *
  * @param name the name of the field
  * @param value the value of the field
--- a/lentilslip-core/src/main/java/io/lentilslip/core/notice/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/notice/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Numbered events that operators read, as values that reducers emit.
+ * Numbered events for operators, as values that reducers emit.
  */
 package io.lentilslip.core.notice;
--- a/lentilslip-core/src/test/java/io/lentilslip/core/measurement/MeasurementTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/measurement/MeasurementTests.java
@@ -14,7 +14,7 @@
 	private static final GroupName GROUP = new GroupName("sellers");
 
 	@Test
-	void negativeFirstTokenIsRefused() {
+	void negativeFirstTokenIsRejected() {
 		assertThatIllegalArgumentException()
 			.isThrownBy(() -> new Measurement.CallEnded(GROUP, "interactive", Measurement.CallEnded.Outcome.ANSWERED,
 					Duration.ofMillis(5), Duration.ZERO, Optional.of(Duration.ofMillis(-1)), 1, 0, 1))
@@ -22,7 +22,7 @@
 	}
 
 	@Test
-	void negativeSizeIsRefused() {
+	void negativeSizeIsRejected() {
 		assertThatIllegalArgumentException()
 			.isThrownBy(() -> new Measurement.CollectionSize(CollectionName.LINKS, -1, 10))
 			.withMessage("size is negative: -1");
--- a/lentilslip-core/src/test/java/io/lentilslip/core/notice/NoticeCodeTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/notice/NoticeCodeTests.java
@@ -17,7 +17,7 @@
 
 	@ParameterizedTest
 	@EnumSource
-	void codeTellsMeaningActionAndRange(NoticeCode code) {
+	void codeHasMeaningActionAndRange(NoticeCode code) {
 		assertThat(code.meaning()).matches("[A-Z][^|\\n]+\\.");
 		assertThat(code.action()).matches("[A-Z][^|\\n]+\\.");
 		assertThat(code.range().ordinal() + 1).isEqualTo(code.number() / 1000);
--- a/lentilslip-core/src/test/java/io/lentilslip/core/notice/NoticeTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/notice/NoticeTests.java
@@ -8,7 +8,7 @@
 class NoticeTests {
 
 	@Test
-	void fieldsKeepTheOrderOfTheirAdding() {
+	void fieldsKeepInsertionOrder() {
 		Notice notice = NoticeCode.PROGRAM_CLAIMED.with(FieldName.EPOCH, 4L).with(FieldName.PROGRAM, "sellers/draft");
 		assertThat(notice.code()).isEqualTo(NoticeCode.PROGRAM_CLAIMED);
 		assertThat(notice.fields()).containsExactly(new NoticeField(FieldName.EPOCH, "4"),
@@ -16,13 +16,13 @@
 	}
 
 	@Test
-	void fieldThatTheCodeDoesNotListIsRefused() {
+	void fieldNotListedByTheCodeIsRejected() {
 		assertThatIllegalArgumentException().isThrownBy(() -> NoticeCode.PROGRAM_CLAIMED.with(FieldName.FILE, "a.ini"))
 			.withMessage("PROGRAM_CLAIMED does not list the field FILE");
 	}
 
 	@Test
-	void fieldThatStandsTwiceIsRefused() {
+	void duplicateFieldIsRejected() {
 		Notice notice = NoticeCode.PROGRAM_CLAIMED.with(FieldName.EPOCH, 4L);
 		assertThatIllegalArgumentException().isThrownBy(() -> notice.with(FieldName.EPOCH, 5L))
 			.withMessage("PROGRAM_CLAIMED has the field EPOCH twice");
