--- a/lentilslip-core/src/main/java/io/lentilslip/core/measurement/CollectionName.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/measurement/CollectionName.java
@@ -1,29 +1,29 @@
 package io.lentilslip.core.measurement;
 
 /**
- * A queue, map or cache whose size and bound are measured. A collection that is missing
- * here can grow unseen, so each one that a process holds for longer than one event has a
- * constant. Safe for use by several threads.
+ * Queue, map or cache whose size and capacity are measured. Every collection that
+ * outlives a single event has a constant, so that none can grow unnoticed. Safe for use
+ * by several threads.
  */
 public enum CollectionName implements Label {
 
 	/**
-	 * Programs with a home that is known here.
+	 * Programs with a known home.
 	 */
 	PROGRAMS,
 
 	/**
-	 * Calls that wait to be sent to an upstream.
+	 * Calls that wait for an upstream.
 	 */
 	WAITING_CALLS,
 
 	/**
-	 * Calls that an upstream is running.
+	 * Calls in flight at an upstream.
 	 */
 	RUNNING_CALLS,
 
 	/**
-	 * Idempotency keys with the record of their run.
+	 * Idempotency keys with the records of their calls.
 	 */
 	IDEMPOTENCY_RECORDS,
 
@@ -33,32 +33,32 @@
 	PENDING_TURNS,
 
 	/**
-	 * Turns of histories that are held in memory.
+	 * Turns of histories in memory.
 	 */
 	HISTORY_TURNS,
 
 	/**
-	 * Upstreams that are known.
+	 * Known upstreams.
 	 */
 	UPSTREAMS,
 
 	/**
-	 * Links to peers.
+	 * Connections to peers.
 	 */
 	LINKS,
 
 	/**
-	 * Groups with work, or with service still counted.
+	 * Groups with pending work or recently accounted service.
 	 */
 	ACTIVE_GROUPS,
 
 	/**
-	 * Slices of budgets that are held.
+	 * Reserved slices of budgets.
 	 */
 	BUDGET_SLICES,
 
 	/**
-	 * Prefixes that are believed to be cached by an engine.
+	 * Prefixes that are assumed to be cached by an engine.
 	 */
 	PREFIX_BELIEFS,
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/measurement/Label.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/measurement/Label.java
@@ -3,8 +3,9 @@
 import java.util.Locale;
 
 /**
- * A constant that serves as the value of a label of a metric. Only enums implement this,
- * which bounds the number of values. Implementations are safe for use by several threads.
+ * Constant used as the value of a metric label. Only enums implement this interface,
+ * which bounds the label's cardinality. Implementations are safe for use by several
+ * threads.
  */
 public interface Label {
 
@@ -15,7 +16,7 @@
 	String name();
 
 	/**
-	 * Returns the value of the label.
+	 * Returns the label value.
 	 * @return the name in lower case
 	 */
 	default String label() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/measurement/Measurement.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/measurement/Measurement.java
@@ -7,9 +7,9 @@
 import io.lentilslip.core.identity.GroupName;
 
 /**
- * Something that was measured. Reducers emit measurements as effects; they carry times
- * that were computed from the events, never read from a clock. Implementations are
- * immutable and safe for use by several threads.
+ * Immutable measurement that a reducer emits as an effect. Durations are computed from
+ * the times of events, never read from a clock. Implementations are safe for use by
+ * several threads.
  */
 public sealed interface Measurement {
 
@@ -29,15 +29,15 @@
 	 * A call that was accepted has ended.
 	 *
 	 * @param group the group the call is charged to
-	 * @param serviceClass the class of service, as named by the configuration
+	 * @param serviceClass the service class, by its configured name
 	 * @param outcome how the call ended
-	 * @param latency the time from the call's arrival to the end of its answer
+	 * @param latency the time from the call's arrival to the end of its response
 	 * @param queueing the part of the latency that the call waited for an upstream
 	 * @param firstToken the time from the call's arrival to the first token; empty if
 	 * there was none
-	 * @param promptTokens the tokens of the prompt, cached ones included
-	 * @param cachedTokens the tokens of the prompt that the engine had cached
-	 * @param generatedTokens the tokens of the answer
+	 * @param promptTokens the tokens of the prompt, including cached ones
+	 * @param cachedTokens the tokens of the prompt that were cached by the engine
+	 * @param generatedTokens the generated tokens
 	 */
 	record CallEnded(GroupName group, String serviceClass, Outcome outcome, Duration latency, Duration queueing,
 			Optional<Duration> firstToken, long promptTokens, long cachedTokens,
@@ -46,16 +46,16 @@
 		/**
 		 * Creates a measurement.
 		 * @param group the group the call is charged to
-		 * @param serviceClass the class of service, as named by the configuration
+		 * @param serviceClass the service class, by its configured name
 		 * @param outcome how the call ended
-		 * @param latency the time from the call's arrival to the end of its answer
+		 * @param latency the time from the call's arrival to the end of its response
 		 * @param queueing the part of the latency that the call waited for an upstream
 		 * @param firstToken the time from the call's arrival to the first token; empty if
 		 * there was none
-		 * @param promptTokens the tokens of the prompt, cached ones included
-		 * @param cachedTokens the tokens of the prompt that the engine had cached
-		 * @param generatedTokens the tokens of the answer
-		 * @throws IllegalArgumentException if a time or a number is negative
+		 * @param promptTokens the tokens of the prompt, including cached ones
+		 * @param cachedTokens the tokens of the prompt that were cached by the engine
+		 * @param generatedTokens the generated tokens
+		 * @throws IllegalArgumentException if a duration or a number is negative
 		 */
 		public CallEnded {
 			Objects.requireNonNull(group, "group");
@@ -75,32 +75,33 @@
 		public enum Outcome implements Label {
 
 			/**
-			 * The caller has the whole answer.
+			 * The caller received the complete response.
 			 */
 			ANSWERED,
 
 			/**
-			 * The caller has the answer of an earlier run of the same key.
+			 * The caller received the recorded response of an earlier call with the same
+			 * key.
 			 */
 			ANSWERED_FROM_RECORD,
 
 			/**
-			 * The upstream ran the call and answered with an error.
+			 * The upstream executed the call and returned an error.
 			 */
 			UPSTREAM_ERROR,
 
 			/**
-			 * The caller left before the end of the answer.
+			 * The caller disconnected before the end of the response.
 			 */
 			CALLER_LEFT,
 
 			/**
-			 * The call may have run, and its answer is lost.
+			 * The call may have been executed, and its response is lost.
 			 */
 			UNKNOWN,
 
 			/**
-			 * The call was taken out of the queue without running.
+			 * The call was removed from the queue without being executed.
 			 */
 			NOT_RUN
 
@@ -113,8 +114,8 @@
 	 *
 	 * @param group the group the program is charged to
 	 * @param latency the time from the arrival of its first call to the end of its last
-	 * answer
-	 * @param calls the number of its calls that ran
+	 * response
+	 * @param calls the number of its executed calls
 	 * @param reason why it ended
 	 */
 	record ProgramEnded(GroupName group, Duration latency, long calls, Reason reason) implements Measurement {
@@ -123,10 +124,10 @@
 		 * Creates a measurement.
 		 * @param group the group the program is charged to
 		 * @param latency the time from the arrival of its first call to the end of its
-		 * last answer
-		 * @param calls the number of its calls that ran
+		 * last response
+		 * @param calls the number of its executed calls
 		 * @param reason why it ended
-		 * @throws IllegalArgumentException if a time or a number is negative
+		 * @throws IllegalArgumentException if a duration or a number is negative
 		 */
 		public ProgramEnded {
 			Objects.requireNonNull(group, "group");
@@ -146,12 +147,12 @@
 			ENDED_BY_CALLER,
 
 			/**
-			 * It was silent for longer than its limit.
+			 * It exceeded its idle timeout.
 			 */
 			IDLE_LIMIT,
 
 			/**
-			 * It made as many calls as it may.
+			 * It reached its limit of calls.
 			 */
 			CALL_LIMIT,
 
@@ -161,7 +162,7 @@
 			PARENT_ENDED,
 
 			/**
-			 * Its group is gone from the configuration.
+			 * Its group was removed from the configuration.
 			 */
 			GROUP_REMOVED
 
@@ -170,17 +171,17 @@
 	}
 
 	/**
-	 * A call was refused without running.
+	 * A call was rejected without being executed.
 	 *
-	 * @param group the group of the caller; empty if the caller is not known
-	 * @param reason why it was refused
+	 * @param group the group of the caller; empty if the caller is unknown
+	 * @param reason why it was rejected
 	 */
 	record CallRefused(Optional<GroupName> group, Reason reason) implements Measurement {
 
 		/**
 		 * Creates a measurement.
-		 * @param group the group of the caller; empty if the caller is not known
-		 * @param reason why it was refused
+		 * @param group the group of the caller; empty if the caller is unknown
+		 * @param reason why it was rejected
 		 */
 		public CallRefused {
 			Objects.requireNonNull(group, "group");
@@ -188,52 +189,52 @@
 		}
 
 		/**
-		 * Why a call was refused. Safe for use by several threads.
+		 * Why a call was rejected. Safe for use by several threads.
 		 */
 		public enum Reason implements Label {
 
 			/**
-			 * The caller's key is not known, or does not belong to the named group.
+			 * The caller's key is unknown or does not belong to the given group.
 			 */
 			UNAUTHORIZED,
 
 			/**
-			 * The request cannot be read.
+			 * The request is malformed.
 			 */
 			MALFORMED,
 
 			/**
-			 * The body or the headers are larger than allowed.
+			 * The body or the headers exceed their size limit.
 			 */
 			TOO_LARGE,
 
 			/**
-			 * No such model, service or program.
+			 * The model, service or program does not exist.
 			 */
 			UNKNOWN_TARGET,
 
 			/**
-			 * The number is not the next one of the program.
+			 * The call number is not the next one of the program.
 			 */
 			OUT_OF_ORDER,
 
 			/**
-			 * The history that the caller sent differs from the one held.
+			 * The history sent by the caller differs from the recorded one.
 			 */
 			HISTORY_MISMATCH,
 
 			/**
-			 * The idempotency key came with another body before.
+			 * The idempotency key was used with a different body.
 			 */
 			KEY_REUSED,
 
 			/**
-			 * The program has ended, or met one of its limits.
+			 * The program has ended or reached one of its limits.
 			 */
 			PROGRAM_ENDED,
 
 			/**
-			 * The group's budget is used.
+			 * The budget of the group is exhausted.
 			 */
 			BUDGET_EXHAUSTED,
 
@@ -243,7 +244,7 @@
 			QUEUE_FULL,
 
 			/**
-			 * The group is over its share while the site is overloaded.
+			 * The group exceeds its share while the site is overloaded.
 			 */
 			SHED,
 
@@ -253,27 +254,27 @@
 			DEADLINE,
 
 			/**
-			 * No upstream can take the call.
+			 * No upstream can accept the call.
 			 */
 			NO_UPSTREAM,
 
 			/**
-			 * The log service is unavailable, and the call may not run without it.
+			 * The log service is unavailable, and the call requires it.
 			 */
 			LOG_UNAVAILABLE,
 
 			/**
-			 * An earlier attempt may have run.
+			 * An earlier attempt may have been executed.
 			 */
 			OUTCOME_UNKNOWN,
 
 			/**
-			 * The request crashed as many upstreams as it may.
+			 * The request reached the limit of upstream crashes.
 			 */
 			STOPPED_AFTER_CRASHES,
 
 			/**
-			 * The process waits for its first configuration.
+			 * The process has no configuration yet.
 			 */
 			NOT_CONFIGURED,
 
@@ -287,16 +288,16 @@
 	}
 
 	/**
-	 * The number of calls that wait in a queue.
+	 * The number of calls in a queue.
 	 *
-	 * @param kind which queue
+	 * @param kind the queue
 	 * @param length the number of calls
 	 */
 	record QueueLength(Kind kind, long length) implements Measurement {
 
 		/**
 		 * Creates a measurement.
-		 * @param kind which queue
+		 * @param kind the queue
 		 * @param length the number of calls
 		 * @throws IllegalArgumentException if the length is negative
 		 */
@@ -306,22 +307,22 @@
 		}
 
 		/**
-		 * Where calls wait. Safe for use by several threads.
+		 * The queue in which calls wait. Safe for use by several threads.
 		 */
 		public enum Kind implements Label {
 
 			/**
-			 * At the entry, for a sidecar.
+			 * At the entry, waiting for a sidecar.
 			 */
 			ENTRY,
 
 			/**
-			 * At the sidecar, for its upstream.
+			 * At the sidecar, waiting for its upstream.
 			 */
 			SIDECAR,
 
 			/**
-			 * For an earlier call of the same program.
+			 * Waiting for an earlier call of the same program.
 			 */
 			PROGRAM
 
@@ -330,7 +331,7 @@
 	}
 
 	/**
-	 * The engine memory that is held for programs.
+	 * The engine memory that is reserved for programs.
 	 *
 	 * @param tokens the number of tokens whose KV cache is held
 	 */
@@ -348,7 +349,7 @@
 	}
 
 	/**
-	 * How much of its budget a group has used in the present period.
+	 * The part of its budget that a group has used in the current period.
 	 *
 	 * @param group the group
 	 * @param used the tokens used or reserved
@@ -372,11 +373,11 @@
 	}
 
 	/**
-	 * How full a queue, map or cache is.
+	 * The size of a queue, map or cache.
 	 *
 	 * @param name the collection
 	 * @param size the number of its elements
-	 * @param bound the most elements it may have
+	 * @param bound its capacity
 	 */
 	record CollectionSize(CollectionName name, long size, long bound) implements Measurement {
 
@@ -384,7 +385,7 @@
 		 * Creates a measurement.
 		 * @param name the collection
 		 * @param size the number of its elements
-		 * @param bound the most elements it may have
+		 * @param bound its capacity
 		 * @throws IllegalArgumentException if a number is negative
 		 */
 		public CollectionSize {
@@ -398,16 +399,16 @@
 	/**
 	 * An append to the log has ended.
 	 *
-	 * @param outcome what is known of its effect
-	 * @param duration the time from its sending to its answer, or to giving up
+	 * @param outcome whether the record was appended
+	 * @param duration the time from the request to its response or timeout
 	 */
 	record LogAppend(Outcome outcome, Duration duration) implements Measurement {
 
 		/**
 		 * Creates a measurement.
-		 * @param outcome what is known of its effect
-		 * @param duration the time from its sending to its answer, or to giving up
-		 * @throws IllegalArgumentException if the time is negative
+		 * @param outcome whether the record was appended
+		 * @param duration the time from the request to its response or timeout
+		 * @throws IllegalArgumentException if the duration is negative
 		 */
 		public LogAppend {
 			Objects.requireNonNull(outcome, "outcome");
@@ -415,22 +416,22 @@
 		}
 
 		/**
-		 * What is known of an append's effect. Safe for use by several threads.
+		 * Whether an append took effect. Safe for use by several threads.
 		 */
 		public enum Outcome implements Label {
 
 			/**
-			 * The record has an offset.
+			 * The record was appended at an offset.
 			 */
 			APPENDED,
 
 			/**
-			 * The log service refused the record.
+			 * The log service rejected the record.
 			 */
 			REFUSED,
 
 			/**
-			 * The answer is lost.
+			 * The response is lost.
 			 */
 			UNKNOWN
 
@@ -443,7 +444,7 @@
 	 *
 	 * @param route the name of the route
 	 * @param outcome how it ended
-	 * @param latency the time from the reading of the request to the end of its answer
+	 * @param latency the time from the receipt of the request to the end of its response
 	 * @param firstEvent the time to the first event of a stream; empty if there was none
 	 */
 	record RouteRequestEnded(String route, Outcome outcome, Duration latency,
@@ -453,11 +454,11 @@
 		 * Creates a measurement.
 		 * @param route the name of the route
 		 * @param outcome how it ended
-		 * @param latency the time from the reading of the request to the end of its
-		 * answer
+		 * @param latency the time from the receipt of the request to the end of its
+		 * response
 		 * @param firstEvent the time to the first event of a stream; empty if there was
 		 * none
-		 * @throws IllegalArgumentException if a time is negative
+		 * @throws IllegalArgumentException if a duration is negative
 		 */
 		public RouteRequestEnded {
 			Objects.requireNonNull(route, "route");
@@ -472,22 +473,22 @@
 		public enum Outcome implements Label {
 
 			/**
-			 * With an upstream's whole answer.
+			 * With the complete response of an upstream.
 			 */
 			ANSWERED,
 
 			/**
-			 * With an answer of the relay's own.
+			 * With a rejection by the relay.
 			 */
 			REFUSED,
 
 			/**
-			 * With a stream that was broken off.
+			 * With an aborted stream.
 			 */
 			BROKEN_OFF,
 
 			/**
-			 * With a caller that left.
+			 * With the disconnection of the caller.
 			 */
 			CALLER_LEFT
 
@@ -496,19 +497,19 @@
 	}
 
 	/**
-	 * The links of this process to its peers of one kind.
+	 * The connections of this process to its peers of one role.
 	 *
-	 * @param kind the kind of the peers
-	 * @param up the number of links that are up
-	 * @param known the number of peers that should be linked
+	 * @param kind the role of the peers
+	 * @param up the number of established connections
+	 * @param known the number of known peers
 	 */
 	record LinkState(Kind kind, long up, long known) implements Measurement {
 
 		/**
 		 * Creates a measurement.
-		 * @param kind the kind of the peers
-		 * @param up the number of links that are up
-		 * @param known the number of peers that should be linked
+		 * @param kind the role of the peers
+		 * @param up the number of established connections
+		 * @param known the number of known peers
 		 * @throws IllegalArgumentException if a number is negative
 		 */
 		public LinkState {
@@ -533,7 +534,7 @@
 			RELAY,
 
 			/**
-			 * Processes beside upstreams.
+			 * Sidecar processes of upstreams.
 			 */
 			SIDECAR
 
@@ -542,20 +543,19 @@
 	}
 
 	/**
-	 * Retries since the measurement before.
+	 * Retries since the previous measurement.
 	 *
-	 * @param operation what was tried again
-	 * @param attempts the number of further attempts that were made
-	 * @param denied the number of further attempts that the retry budget did not allow
+	 * @param operation the retried operation
+	 * @param attempts the number of retries
+	 * @param denied the number of retries denied by the retry budget
 	 */
 	record Retries(Operation operation, long attempts, long denied) implements Measurement {
 
 		/**
 		 * Creates a measurement.
-		 * @param operation what was tried again
-		 * @param attempts the number of further attempts that were made
-		 * @param denied the number of further attempts that the retry budget did not
-		 * allow
+		 * @param operation the retried operation
+		 * @param attempts the number of retries
+		 * @param denied the number of retries denied by the retry budget
 		 * @throws IllegalArgumentException if a number is negative
 		 */
 		public Retries {
@@ -565,7 +565,7 @@
 		}
 
 		/**
-		 * What is tried again. Safe for use by several threads.
+		 * The retried operation. Safe for use by several threads.
 		 */
 		public enum Operation implements Label {
 
@@ -575,7 +575,8 @@
 			CALL,
 
 			/**
-			 * A second copy of a repeatable call, sent before the first has answered.
+			 * A hedged request: a second copy of a repeatable call, sent before the first
+			 * has responded.
 			 */
 			HEDGE,
 
@@ -594,16 +595,16 @@
 	}
 
 	/**
-	 * A timer of a relay has run.
+	 * A timer of a relay has fired.
 	 *
-	 * @param late by how much it ran later than planned
+	 * @param late the delay past its due time
 	 */
 	record TimerRan(Duration late) implements Measurement {
 
 		/**
 		 * Creates a measurement.
-		 * @param late by how much it ran later than planned
-		 * @throws IllegalArgumentException if the time is negative
+		 * @param late the delay past its due time
+		 * @throws IllegalArgumentException if the duration is negative
 		 */
 		public TimerRan {
 			requireNotNegative(late, "late");
@@ -612,7 +613,7 @@
 	}
 
 	/**
-	 * A relay no longer keeps entries that waited for the store.
+	 * A relay dropped entries that were queued for the store.
 	 *
 	 * @param entries the number of entries
 	 */
@@ -630,19 +631,20 @@
 	}
 
 	/**
-	 * What a relay has sent or taken since the measurement before.
+	 * Data that a relay has sent or received since the previous measurement.
 	 *
-	 * @param kind which way it went
+	 * @param kind the direction
 	 * @param bytes the number of bytes
-	 * @param messages the number of messages on links, or of records of the store
+	 * @param messages the number of messages on connections, or of records in the store
 	 */
 	record RelayTraffic(Kind kind, long bytes, long messages) implements Measurement {
 
 		/**
 		 * Creates a measurement.
-		 * @param kind which way it went
+		 * @param kind the direction
 		 * @param bytes the number of bytes
-		 * @param messages the number of messages on links, or of records of the store
+		 * @param messages the number of messages on connections, or of records in the
+		 * store
 		 * @throws IllegalArgumentException if a number is negative
 		 */
 		public RelayTraffic {
@@ -652,7 +654,7 @@
 		}
 
 		/**
-		 * Which way it went. Safe for use by several threads.
+		 * The direction of traffic. Safe for use by several threads.
 		 */
 		public enum Kind implements Label {
 
@@ -681,7 +683,7 @@
 	}
 
 	/**
-	 * The log has shown entries whose request and kind it had shown before.
+	 * Entries read from the log whose request and kind were read before.
 	 *
 	 * @param kind the kind of the entries
 	 * @param entries the number of entries
@@ -705,19 +707,19 @@
 		public enum Kind implements Label {
 
 			/**
-			 * A turn's reservation, which also stands there twice if the turn contended
-			 * or was sent again.
+			 * The reservation of a turn; also duplicated if the turn was decided through
+			 * the log or retried.
 			 */
 			RESERVED,
 
 			/**
-			 * A turn's end, which is written once and copied otherwise.
+			 * The settlement of a turn; duplicated only if another relay appended a copy.
 			 */
 			SETTLED,
 
 			/**
-			 * An upstream that broke off, which also stands there twice if a second one
-			 * did.
+			 * The failure of an upstream during a request; also duplicated if a second
+			 * upstream failed during it.
 			 */
 			BLAMED
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/measurement/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/measurement/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What is measured, as values that reducers emit.
+ * Measurements, as values that reducers emit.
  */
 package io.lentilslip.core.measurement;
