--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitReply.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitReply.java
@@ -5,24 +5,23 @@
 import java.util.List;
 
 /**
- * Immutable answer to a {@link PermitRequest}.
+ * Immutable reply to a {@link PermitRequest}.
  *
  * @param team the name of the team
- * @param requestId the number of the request
- * @param permits the permits for programs under way, those ahead of need included
- * @param admissions of each program that began, whether it is admitted, with one permit
- * @param retryAfter after what time the team's quota has room again
+ * @param requestId the id of the request
+ * @param permits the permits for active programs, including prefetched ones
+ * @param admissions whether each new program is admitted, which includes one permit
+ * @param retryAfter the time after which a rejected request can be retried
  */
 public record PermitReply(String team, long requestId, int permits, List<Boolean> admissions, Duration retryAfter) {
 
 	/**
-	 * Creates an answer.
+	 * Creates a reply.
 	 * @param team the name of the team
-	 * @param requestId the number of the request
-	 * @param permits the permits for programs under way, those ahead of need included
-	 * @param admissions of each program that began, whether it is admitted, with one
-	 * permit
-	 * @param retryAfter after what time the team's quota has room again
+	 * @param requestId the id of the request
+	 * @param permits the permits for active programs, including prefetched ones
+	 * @param admissions whether each new program is admitted, which includes one permit
+	 * @param retryAfter the time after which a rejected request can be retried
 	 */
 	public PermitReply {
 		admissions = List.copyOf(admissions);
@@ -37,8 +36,8 @@
 	}
 
 	/**
-	 * Returns how many permits it has in all.
-	 * @return the number
+	 * Returns the total number of granted permits.
+	 * @return the total of permits for active and new programs
 	 */
 	public int total() {
 		return this.permits + (int) this.admissions.stream().filter(Boolean::booleanValue).count();
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitRequest.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitRequest.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * Immutable request of a relay for permits of a team, to the relay that counts for it.
- * Programs are named by digests.
+ * Immutable request of a relay to the coordinator of a team for permits. Programs are
+ * identified by digests.
  *
  * @param team the name of the team
- * @param requestId distinguishes the answer from others of the same relay
- * @param quota the quota of the team, as far as the relay that asks knows
- * @param required the permits for requests that wait and whose programs are under way
- * @param prefetch the permits that are asked for beyond that
- * @param expired permits of earlier answers that ended unspent
- * @param activePrograms the programs of these requests, as far as they have one
- * @param newPrograms the programs that wait to be admitted, one for each permit
+ * @param requestId identifies the reply among those to the same relay
+ * @param quota the quota of the team in the route table of the requesting relay
+ * @param required the permits for waiting requests of active programs
+ * @param prefetch the additional permits to prefetch
+ * @param expired the permits of earlier replies that expired unused
+ * @param activePrograms the active programs of the waiting requests that have one
+ * @param newPrograms the programs waiting for admission, one entry for each waiting
+ * request
  */
 public record PermitRequest(String team, long requestId, Quota quota, int required, int prefetch, int expired,
 		List<Integer> activePrograms, List<Integer> newPrograms) {
@@ -21,13 +22,14 @@
 	/**
 	 * Creates a request for permits.
 	 * @param team the name of the team
-	 * @param requestId distinguishes the answer from others of the same relay
-	 * @param quota the quota of the team, as far as the relay that asks knows
-	 * @param required the permits for requests that wait and whose programs are under way
-	 * @param prefetch the permits that are asked for beyond that
-	 * @param expired permits of earlier answers that ended unspent
-	 * @param activePrograms the programs of these requests, as far as they have one
-	 * @param newPrograms the programs that wait to be admitted, one for each permit
+	 * @param requestId identifies the reply among those to the same relay
+	 * @param quota the quota of the team in the route table of the requesting relay
+	 * @param required the permits for waiting requests of active programs
+	 * @param prefetch the additional permits to prefetch
+	 * @param expired the permits of earlier replies that expired unused
+	 * @param activePrograms the active programs of the waiting requests that have one
+	 * @param newPrograms the programs waiting for admission, one entry for each waiting
+	 * request
 	 */
 	public PermitRequest {
 		activePrograms = List.copyOf(activePrograms);
@@ -35,17 +37,17 @@
 	}
 
 	/**
-	 * Returns a request for nothing, whose answer shows that the other relay lives.
-	 * @param requestId distinguishes the answer from others of the same relay
+	 * Returns a request for no permits, whose reply shows that the coordinator is alive.
+	 * @param requestId identifies the reply among those to the same relay
 	 * @return the request
 	 */
-	public static PermitRequest probe(long number) {
-		return new PermitRequest("", number, new Quota(1, 0), 0, 0, 0, List.of(), List.of());
+	public static PermitRequest probe(long requestId) {
+		return new PermitRequest("", requestId, new Quota(1, 0), 0, 0, 0, List.of(), List.of());
 	}
 
 	/**
-	 * Returns whether nothing is asked for.
-	 * @return whether it is so
+	 * Returns whether this is a liveness probe.
+	 * @return whether no permits are requested
 	 */
 	public boolean isProbe() {
 		return this.team.isEmpty();
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/Permits.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/Permits.java
@@ -7,133 +7,134 @@
 import java.util.Map;
 
 /**
- * The permits of one team that a relay was granted and has not spent, and the programs of
- * the team that it knows to be admitted. Permits end: one that is spent late counts in
- * another window than the one that granted it. Used by one thread.
+ * Unused permits of one team at one relay, and the team's programs that are known to be
+ * admitted. Permits expire, because a permit that is used late counts in a later window
+ * than the one it was granted in. Not thread-safe.
  */
 public final class Permits {
 
 	/**
-	 * How long a permit that was granted ahead of need may be spent.
+	 * The time for which a granted permit is valid.
 	 */
-	static final Duration LIFE = Duration.ofMillis(1000);
+	static final Duration EXPIRY = Duration.ofMillis(1000);
 
 	/**
-	 * How many permits are asked for ahead of need where the team came here lately.
+	 * The number of permits to prefetch if the team recently sent requests to this relay.
 	 */
-	private static final int AHEAD = 2;
+	private static final int PREFETCH = 2;
 
 	/**
-	 * For how long a team counts as coming here.
+	 * The time for which a request of a team counts as recent.
 	 */
-	private static final long LATELY_MS = 1000;
+	private static final long RECENT_USE_MS = 1000;
 
-	private static final int PROGRAMS = 512;
+	private static final int MAX_PROGRAMS = 512;
 
-	private final Deque<Long> ends = new ArrayDeque<>();
+	private final Deque<Long> expiries = new ArrayDeque<>();
 
-	private final Map<Integer, Boolean> programs = new LinkedHashMap<>(16, 0.75f, true) {
+	private final Map<Integer, Boolean> admittedPrograms = new LinkedHashMap<>(16, 0.75f, true) {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Integer, Boolean> eldest) {
-			return size() > PROGRAMS;
+			return size() > MAX_PROGRAMS;
 		}
 	};
 
-	private long usedAt = Long.MIN_VALUE / 2;
+	private long lastUsedAt = Long.MIN_VALUE / 2;
 
 	private String grantor = "";
 
-	private int unspent;
+	private int expiredUnused;
 
 	/**
-	 * Takes permits.
-	 * @param from the relay that granted them
-	 * @param permits how many
-	 * @param now milliseconds of a steady clock
+	 * Adds permits.
+	 * @param from the relay that granted the permits
+	 * @param permits the number of permits
+	 * @param now milliseconds of a monotonic clock
 	 */
 	public void add(String from, int permits, long now) {
 		if (!from.equals(this.grantor)) {
-			this.unspent = 0;
+			this.expiredUnused = 0;
 			this.grantor = from;
 		}
 		for (int i = 0; i < permits; i++) {
-			this.ends.addLast(now + LIFE.toMillis());
+			this.expiries.addLast(now + EXPIRY.toMillis());
 		}
 	}
 
 	/**
-	 * Spends a permit if there is one.
-	 * @param now milliseconds of a steady clock
-	 * @return whether there was
+	 * Acquires a permit if one is available.
+	 * @param now milliseconds of a monotonic clock
+	 * @return whether a permit was acquired
 	 */
-	public boolean spend(long now) {
-		end(now);
-		return this.ends.pollFirst() != null;
+	public boolean tryAcquire(long now) {
+		expire(now);
+		return this.expiries.pollFirst() != null;
 	}
 
-	private void end(long now) {
-		while (!this.ends.isEmpty() && this.ends.peekFirst() <= now) {
-			this.ends.pollFirst();
-			this.unspent++;
+	private void expire(long now) {
+		while (!this.expiries.isEmpty() && this.expiries.peekFirst() <= now) {
+			this.expiries.pollFirst();
+			this.expiredUnused++;
 		}
 	}
 
 	/**
-	 * Puts back a permit with which nothing was run.
-	 * @param now milliseconds of a steady clock
+	 * Releases a permit whose request was not sent.
+	 * @param now milliseconds of a monotonic clock
 	 */
-	public void putBack(long now) {
-		this.ends.addLast(now + LIFE.toMillis());
+	public void release(long now) {
+		this.expiries.addLast(now + EXPIRY.toMillis());
 	}
 
 	/**
-	 * Returns how many permits of a relay ended unspent since this was last asked, and
-	 * begins to count anew.
+	 * Returns the number of permits of a relay that expired unused since the last call,
+	 * and resets the count.
 	 * @param from the relay
-	 * @param now milliseconds of a steady clock
-	 * @return the number; none for a relay that did not grant them
+	 * @param now milliseconds of a monotonic clock
+	 * @return the number; zero if another relay granted the permits
 	 */
-	public int returned(String from, long now) {
-		end(now);
-		int ended = from.equals(this.grantor) ? this.unspent : 0;
-		this.unspent = 0;
-		return ended;
+	public int takeExpired(String from, long now) {
+		expire(now);
+		int expired = from.equals(this.grantor) ? this.expiredUnused : 0;
+		this.expiredUnused = 0;
+		return expired;
 	}
 
 	/**
-	 * Returns how many permits to ask for ahead of need, and takes that the team came.
-	 * @param now milliseconds of a steady clock
+	 * Returns the number of permits to prefetch, and records that the team sent a
+	 * request.
+	 * @param now milliseconds of a monotonic clock
 	 * @return the number
 	 */
-	public int ahead(long now) {
-		boolean lately = now - this.usedAt < LATELY_MS;
-		this.usedAt = now;
-		return lately ? AHEAD : 0;
+	public int prefetch(long now) {
+		boolean recentlyUsed = now - this.lastUsedAt < RECENT_USE_MS;
+		this.lastUsedAt = now;
+		return recentlyUsed ? PREFETCH : 0;
 	}
 
 	/**
 	 * Returns whether a program is known to be admitted.
-	 * @param program its digest
-	 * @return whether it is
+	 * @param program the digest of the program
+	 * @return whether the program is admitted
 	 */
-	public boolean underWay(int program) {
-		return this.programs.get(program) != null;
+	public boolean isAdmitted(int program) {
+		return this.admittedPrograms.get(program) != null;
 	}
 
 	/**
-	 * Takes that a program is admitted.
-	 * @param program its digest
+	 * Records that a program is admitted.
+	 * @param program the digest of the program
 	 */
-	public void admit(int program) {
-		this.programs.put(program, true);
+	public void markAdmitted(int program) {
+		this.admittedPrograms.put(program, true);
 	}
 
 	/**
-	 * Forgets the permits, which may be older than their end.
+	 * Discards all permits, which may have expired while the process was paused.
 	 */
 	public void clear() {
-		this.ends.clear();
-		this.unspent = 0;
+		this.expiries.clear();
+		this.expiredUnused = 0;
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/Quota.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/Quota.java
@@ -1,17 +1,17 @@
 package io.lentilslip.core.quota;
 
 /**
- * Immutable limit on the requests that a team may have run over all relays.
+ * Immutable limit on the request rate of a team across all relays.
  *
- * @param ratePerSecond the requests a second that may be run on end; positive
- * @param burst the requests that may be run beyond that at once; not negative
+ * @param ratePerSecond the sustained rate in requests per second; positive
+ * @param burst the requests that may exceed the rate at once; not negative
  */
 public record Quota(double ratePerSecond, double burst) {
 
 	/**
 	 * Creates a quota.
-	 * @param ratePerSecond the requests a second that may be run on end; positive
-	 * @param burst the requests that may be run beyond that at once; not negative
+	 * @param ratePerSecond the sustained rate in requests per second; positive
+	 * @param burst the requests that may exceed the rate at once; not negative
 	 * @throws IllegalArgumentException if the rate is not positive or the burst is
 	 * negative
 	 */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/QuotaTolerance.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/QuotaTolerance.java
@@ -3,41 +3,42 @@
 import java.time.Duration;
 
 /**
- * Immutable bound on how far a quota may be passed: in any span of the window no more
- * requests than (rate x window + burst) x (1 + over) + slack are run.
+ * Immutable bound on how far a quota may be exceeded: any sliding window admits at most
+ * (rate x window + burst) x (1 + overshoot) + slack requests.
  *
  * @param window the length of the sliding window
- * @param overshoot the share by which a limit may be passed
- * @param slack the requests by which a limit may be passed besides
+ * @param overshoot the fraction by which a limit may be exceeded
+ * @param slack the requests by which a limit may be exceeded in addition
  */
 public record QuotaTolerance(Duration window, double overshoot, double slack) {
 
 	/**
-	 * The part of the slack by which the bucket that counts for a team is larger than the
-	 * burst of its quota.
+	 * The fraction of the slack by which a team's bucket is larger than the burst of its
+	 * quota.
 	 */
-	private static final double CAPACITY_PART = 0.5;
+	private static final double CAPACITY_FRACTION = 0.5;
 
 	/**
-	 * The part of the slack that permits granted ahead of need may take.
+	 * The fraction of the slack available to prefetched permits.
 	 */
-	private static final double AHEAD_PART = 0.25;
+	private static final double PREFETCH_SLACK_FRACTION = 0.25;
 
 	/**
-	 * The part of the share over the limit that permits granted ahead of need may take.
+	 * The fraction of the overshoot available to prefetched permits.
 	 */
-	private static final double AHEAD_OVER_PART = 0.8;
+	private static final double PREFETCH_OVERSHOOT_FRACTION = 0.8;
 
 	/**
-	 * The part of the slack with which a relay begins to count for a team. Two such
-	 * beginnings fit in a window beside what the relay before has granted.
+	 * The fraction of the slack that a new coordinator has as its initial permits. One
+	 * window has room for two changes of the coordinator besides the permits of the
+	 * previous one.
 	 */
-	private static final double BEGINNING_PART = 0.125;
+	private static final double INITIAL_FRACTION = 0.125;
 
-	private static final double MILLISECONDS_OF_SECOND = 1000;
+	private static final double MILLIS_PER_SECOND = 1000;
 
 	/**
-	 * Returns the tolerance of a site that sets none.
+	 * Returns the default tolerance.
 	 * @return the tolerance
 	 */
 	public static QuotaTolerance standard() {
@@ -45,43 +46,44 @@
 	}
 
 	/**
-	 * Returns how many permits may be left unspent at once.
+	 * Returns the capacity of a bucket.
 	 * @param quota the quota
 	 * @return the permits of a full bucket
 	 */
 	double capacity(Quota quota) {
-		return Math.max(1, quota.burst() + CAPACITY_PART * this.slack);
+		return Math.max(1, quota.burst() + CAPACITY_FRACTION * this.slack);
 	}
 
 	/**
-	 * Returns how many permits that were granted ahead of need may be outstanding.
+	 * Returns the maximum number of outstanding prefetched permits.
 	 * @param quota the quota
-	 * @return the permits over all relays
+	 * @return the permits at all relays
 	 */
 	double maxPrefetched(Quota quota) {
-		return AHEAD_PART * this.slack + AHEAD_OVER_PART * this.overshoot * limit(quota);
+		return PREFETCH_SLACK_FRACTION * this.slack
+				+ PREFETCH_OVERSHOOT_FRACTION * this.overshoot * nominalWindowLimit(quota);
 	}
 
 	/**
-	 * Returns how many permits a relay has that begins to count for a team. What was
-	 * granted before, it can't know.
+	 * Returns the initial permits of a new coordinator, which doesn't know how many the
+	 * previous one has granted.
 	 * @return the permits
 	 */
 	double initialPermits() {
-		return Math.max(1, BEGINNING_PART * this.slack);
+		return Math.max(1, INITIAL_FRACTION * this.slack);
 	}
 
-	private double limit(Quota quota) {
-		return quota.ratePerSecond() * this.window.toMillis() / MILLISECONDS_OF_SECOND + quota.burst();
+	private double nominalWindowLimit(Quota quota) {
+		return quota.ratePerSecond() * this.window.toMillis() / MILLIS_PER_SECOND + quota.burst();
 	}
 
 	/**
-	 * Returns how many requests any window may run.
+	 * Returns the maximum number of requests in any window.
 	 * @param quota the quota
-	 * @return the requests
+	 * @return the maximum
 	 */
-	public double bound(Quota quota) {
-		return limit(quota) * (1 + this.overshoot) + this.slack;
+	public double windowLimit(Quota quota) {
+		return nominalWindowLimit(quota) * (1 + this.overshoot) + this.slack;
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBucket.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBucket.java
@@ -8,56 +8,55 @@
 import java.util.Map;
 
 /**
- * The permits of one team at the relay that counts for it: a token bucket, and the
- * programs that were admitted. A program that is under way is preferred to one that
- * begins: a team beyond its quota is served by some programs whole, not by parts of all.
- * Permits that are granted ahead of need are bounded, since a window may see them spent
- * beside all that it grants itself. Used by one thread.
+ * Token bucket of one team at its coordinator, with the programs that were admitted.
+ * Active programs have priority over new ones, so that a team over its quota completes
+ * some programs instead of parts of all. Prefetched permits are bounded, because they can
+ * be used in a later window in addition to the permits granted in it. Not thread-safe.
  */
 final class TeamBucket {
 
 	/**
-	 * How long a program counts as under way after its last request.
+	 * The time for which a program is active after its last request.
 	 */
-	private static final long ACTIVE_MS = 1000;
+	private static final long ACTIVE_TIMEOUT_MS = 1000;
 
 	/**
-	 * How long a program is taken to have run when it asks for the first time.
+	 * The runtime that is assumed for a program at its first request.
 	 */
-	private static final long FIRST_MS = 500;
+	private static final long INITIAL_RUNTIME_MS = 500;
 
 	/**
-	 * The time in which what is left in the bucket may be spent by programs under way.
+	 * The time in which active programs may use up the level of the bucket.
 	 */
-	private static final double SPENDING_SECONDS = 3;
+	private static final double LEVEL_SPEND_SECONDS = 3;
 
 	/**
-	 * The most programs that are remembered.
+	 * The maximum number of remembered programs.
 	 */
-	private static final int PROGRAMS = 1024;
+	private static final int MAX_PROGRAMS = 1024;
 
 	/**
-	 * The shortest time after which a caller is asked to come back.
+	 * The minimum retry delay given to callers.
 	 */
-	private static final long SHORTEST_WAIT_MS = 100;
+	private static final long MIN_RETRY_AFTER_MS = 100;
 
 	/**
-	 * The longest time after which a caller is asked to come back.
+	 * The maximum retry delay given to callers.
 	 */
-	private static final long LONGEST_WAIT_MS = 5000;
+	private static final long MAX_RETRY_AFTER_MS = 5000;
 
-	private static final double MILLISECONDS_OF_SECOND = 1000;
+	private static final double MILLIS_PER_SECOND = 1000;
 
 	private final QuotaTolerance tolerance;
 
-	private final Map<Integer, Progress> programs = new LinkedHashMap<>(16, 0.75f, true) {
+	private final Map<Integer, ProgramUsage> programs = new LinkedHashMap<>(16, 0.75f, true) {
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<Integer, Progress> eldest) {
-			return size() > PROGRAMS;
+		protected boolean removeEldestEntry(Map.Entry<Integer, ProgramUsage> eldest) {
+			return size() > MAX_PROGRAMS;
 		}
 	};
 
-	private final Deque<Ahead> ahead = new ArrayDeque<>();
+	private final Deque<PrefetchedPermits> prefetched = new ArrayDeque<>();
 
 	private Quota quota;
 
@@ -65,7 +64,7 @@
 
 	private double outstanding;
 
-	private double promised;
+	private double expectedRetries;
 
 	private long updatedAt;
 
@@ -77,56 +76,56 @@
 	}
 
 	/**
-	 * Grants permits as far as there are any.
-	 * @param current the quota in force
-	 * @param ask what is asked for
-	 * @param now milliseconds of a steady clock
-	 * @return what is granted
+	 * Grants as many of the requested permits as are available.
+	 * @param current the active quota
+	 * @param request the requested permits
+	 * @param now milliseconds of a monotonic clock
+	 * @return the granted permits
 	 */
-	PermitReply grant(Quota current, PermitRequest ask, long now) {
+	PermitReply grant(Quota current, PermitRequest request, long now) {
 		refill(current, now);
-		giveBack(ask.expired());
+		refund(request.expired());
 		int granted = 0;
-		for (int program : ask.activePrograms()) {
-			progress(program, now).lastAt = now;
+		for (int program : request.activePrograms()) {
+			usage(program, now).lastSeenAt = now;
 		}
-		while (granted < ask.required() && take()) {
+		while (granted < request.required() && tryAcquire()) {
 			granted++;
 		}
-		count(ask.activePrograms(), granted);
-		boolean[] admitted = new boolean[ask.newPrograms().size()];
+		recordGranted(request.activePrograms(), granted);
+		boolean[] admitted = new boolean[request.newPrograms().size()];
 		for (int i = 0; i < admitted.length; i++) {
-			admitted[i] = admit(ask.newPrograms().get(i), now);
+			admitted[i] = admit(request.newPrograms().get(i), now);
 		}
-		int more = (granted == ask.required()) ? grantAhead(ask.prefetch(), now) : 0;
-		return new PermitReply(ask.team(), ask.requestId(), granted + more, PermitReply.admissions(admitted),
+		int extra = (granted == request.required()) ? grantPrefetch(request.prefetch(), now) : 0;
+		return new PermitReply(request.team(), request.requestId(), granted + extra, PermitReply.admissions(admitted),
 				retryAfter(now));
 	}
 
-	private void giveBack(int permits) {
+	private void refund(int permits) {
 		this.level = Math.min(this.tolerance.capacity(this.quota), this.level + permits);
 	}
 
 	/**
-	 * Returns when the team last asked.
-	 * @return milliseconds of a steady clock
+	 * Returns the time of the team's last request for permits.
+	 * @return milliseconds of a monotonic clock
 	 */
-	long usedAt() {
+	long lastUsedAt() {
 		return this.updatedAt;
 	}
 
 	private void refill(Quota current, long now) {
 		this.quota = current;
-		double added = current.ratePerSecond() * Math.max(0, now - this.updatedAt) / MILLISECONDS_OF_SECOND;
+		double added = current.ratePerSecond() * Math.max(0, now - this.updatedAt) / MILLIS_PER_SECOND;
 		this.level = Math.min(this.tolerance.capacity(current), this.level + added);
-		this.promised = Math.max(0, this.promised - added);
+		this.expectedRetries = Math.max(0, this.expectedRetries - added);
 		this.updatedAt = now;
-		while (!this.ahead.isEmpty() && this.ahead.peekFirst().until() <= now) {
-			this.outstanding -= this.ahead.pollFirst().permits();
+		while (!this.prefetched.isEmpty() && this.prefetched.peekFirst().expiresAt() <= now) {
+			this.outstanding -= this.prefetched.pollFirst().permits();
 		}
 	}
 
-	private boolean take() {
+	private boolean tryAcquire() {
 		if (this.level < 1) {
 			return false;
 		}
@@ -135,103 +134,104 @@
 	}
 
 	private boolean admit(int program, long now) {
-		if (!this.programs.containsKey(program) && !leavesRoom(now)) {
+		if (!this.programs.containsKey(program) && !hasCapacityForNewProgram(now)) {
 			return false;
 		}
-		if (!take()) {
+		if (!tryAcquire()) {
 			return false;
 		}
-		progress(program, now).granted++;
+		usage(program, now).granted++;
 		return true;
 	}
 
-	// The programs under way go on at about the rate that they had so far.
-	private boolean leavesRoom(long now) {
+	// Assumes that active programs continue at their average rate so far.
+	private boolean hasCapacityForNewProgram(long now) {
 		int active = 0;
 		double granted = 0;
 		double elapsed = 0;
-		for (Progress next : this.programs.values()) {
-			if (now - next.lastAt <= ACTIVE_MS) {
+		for (ProgramUsage next : this.programs.values()) {
+			if (now - next.lastSeenAt <= ACTIVE_TIMEOUT_MS) {
 				active++;
 				granted += next.granted;
-				elapsed += now - next.firstAt + FIRST_MS;
+				elapsed += now - next.firstSeenAt + INITIAL_RUNTIME_MS;
 			}
 		}
 		if (active == 0) {
 			return true;
 		}
-		double each = granted * MILLISECONDS_OF_SECOND / elapsed;
-		return active * each < this.quota.ratePerSecond() + this.level / SPENDING_SECONDS;
+		double each = granted * MILLIS_PER_SECOND / elapsed;
+		return active * each < this.quota.ratePerSecond() + this.level / LEVEL_SPEND_SECONDS;
 	}
 
-	private Progress progress(int program, long now) {
-		Progress progress = this.programs.computeIfAbsent(program, (key) -> new Progress(now));
-		progress.lastAt = now;
-		return progress;
+	private ProgramUsage usage(int program, long now) {
+		ProgramUsage usage = this.programs.computeIfAbsent(program, (key) -> new ProgramUsage(now));
+		usage.lastSeenAt = now;
+		return usage;
 	}
 
-	private void count(Iterable<Integer> underWay, int granted) {
-		Iterator<Integer> next = underWay.iterator();
+	private void recordGranted(Iterable<Integer> activePrograms, int granted) {
+		Iterator<Integer> next = activePrograms.iterator();
 		for (int i = 0; i < granted && next.hasNext(); i++) {
-			Progress progress = this.programs.get(next.next());
-			if (progress != null) {
-				progress.granted++;
+			ProgramUsage usage = this.programs.get(next.next());
+			if (usage != null) {
+				usage.granted++;
 			}
 		}
 	}
 
-	private int grantAhead(int wanted, long now) {
+	private int grantPrefetch(int wanted, long now) {
 		double spare = Math.min(this.level - this.tolerance.capacity(this.quota) / 2,
 				this.tolerance.maxPrefetched(this.quota) - this.outstanding);
 		int granted = (int) Math.max(0, Math.min(wanted, spare));
 		if (granted > 0) {
 			this.level -= granted;
 			this.outstanding += granted;
-			this.ahead.addLast(new Ahead(granted, now + Permits.LIFE.toMillis()));
+			this.prefetched.addLast(new PrefetchedPermits(granted, now + Permits.EXPIRY.toMillis()));
 		}
 		return granted;
 	}
 
-	// Each caller that is refused is sent behind those that were refused before it.
+	// Spreads retries: each rejected caller is scheduled after those rejected before it.
 	private Duration retryAfter(long now) {
-		double missing = Math.max(0, 1 - this.level) + this.promised;
-		long wait = Math.round(missing / this.quota.ratePerSecond() * MILLISECONDS_OF_SECOND);
-		return Duration.ofMillis(Math.clamp(wait, SHORTEST_WAIT_MS, LONGEST_WAIT_MS));
+		double missing = Math.max(0, 1 - this.level) + this.expectedRetries;
+		long wait = Math.round(missing / this.quota.ratePerSecond() * MILLIS_PER_SECOND);
+		return Duration.ofMillis(Math.clamp(wait, MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS));
 	}
 
 	/**
-	 * Counts a caller that is refused and sent behind those before it.
+	 * Records a rejected caller, which is expected to retry.
 	 */
-	void refused() {
-		this.promised = Math.min(this.promised + 1,
-				this.quota.ratePerSecond() * LONGEST_WAIT_MS / MILLISECONDS_OF_SECOND);
+	void recordRefusal() {
+		this.expectedRetries = Math.min(this.expectedRetries + 1,
+				this.quota.ratePerSecond() * MAX_RETRY_AFTER_MS / MILLIS_PER_SECOND);
 	}
 
 	/**
-	 * What a program was granted. Used by one thread.
+	 * Permits granted to a program. Not thread-safe.
 	 */
-	private static final class Progress {
+	private static final class ProgramUsage {
 
-		private final long firstAt;
+		private final long firstSeenAt;
 
-		private long lastAt;
+		private long lastSeenAt;
 
 		private int granted;
 
-		Progress(long now) {
-			this.firstAt = now;
-			this.lastAt = now;
+		ProgramUsage(long now) {
+			this.firstSeenAt = now;
+			this.lastSeenAt = now;
 		}
 
 	}
 
 	/**
-	 * Permits that were granted ahead of need. Immutable.
+	 * Immutable count of prefetched permits with their expiry.
 	 *
-	 * @param permits how many
-	 * @param until when they end, in milliseconds of a steady clock
+	 * @param permits the number of permits
+	 * @param expiresAt the time at which they expire, in milliseconds of a monotonic
+	 * clock
 	 */
-	private record Ahead(int permits, long until) {
+	private record PrefetchedPermits(int permits, long expiresAt) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBuckets.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBuckets.java
@@ -5,127 +5,126 @@
 import java.util.Map;
 
 /**
- * The permits of the teams that one relay counts for. What another relay granted before
- * is not known here, so a team that is new has few permits at first, and what its rate
- * has added since the relays last changed. A relay that stands in for another one may be
- * mistaken about its loss: it grants a small part of the rate until it has seen the loss
- * itself. Bounded: the team that asked longest ago is forgotten first. Used by one
- * thread.
+ * Token buckets of the teams that one relay coordinates. Grants of other coordinators are
+ * unknown here, so a new bucket has only the initial permits and those accrued since the
+ * last membership change. A failover coordinator that has not yet detected the failure of
+ * the primary itself grants only a small fraction of the rate. Bounded: the least
+ * recently used team is evicted first. Not thread-safe.
  */
 public final class TeamBuckets {
 
 	/**
-	 * The most teams that are counted for.
+	 * The maximum number of buckets.
 	 */
-	private static final int TEAMS = 4096;
+	private static final int MAX_TEAMS = 4096;
 
 	/**
-	 * After what time without a request a relay that stood in for another one takes that
-	 * it has ended.
+	 * The idle time after which a failover coordinator discards a bucket.
 	 */
-	private static final Duration STAND_IN_END = Duration.ofSeconds(1);
+	private static final Duration FAILOVER_IDLE_TIMEOUT = Duration.ofSeconds(1);
 
 	/**
-	 * The part of the share over the limit that a relay grants that stands in for one
-	 * that may live.
+	 * The fraction of the overshoot that an unconfirmed failover coordinator grants.
 	 */
-	private static final double DOUBTFUL_PART = 0.5;
+	private static final double UNCONFIRMED_RATE_FRACTION = 0.5;
 
-	private static final double MILLISECONDS_OF_SECOND = 1000;
+	private static final double MILLIS_PER_SECOND = 1000;
 
 	private final QuotaTolerance tolerance;
 
-	private final Map<String, Counted> buckets = new LinkedHashMap<>(64, 0.75f, true) {
+	private final Map<String, RoleBucket> buckets = new LinkedHashMap<>(64, 0.75f, true) {
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<String, Counted> eldest) {
-			return size() > TEAMS;
+		protected boolean removeEldestEntry(Map.Entry<String, RoleBucket> eldest) {
+			return size() > MAX_TEAMS;
 		}
 	};
 
-	private long changedAt;
+	private long membershipChangedAt;
 
 	/**
-	 * Creates buckets for no team yet.
-	 * @param tolerance how far quotas may be passed
+	 * Creates an empty set of buckets.
+	 * @param tolerance the bound on exceeding quotas
 	 */
 	public TeamBuckets(QuotaTolerance tolerance) {
 		this.tolerance = tolerance;
 	}
 
 	/**
-	 * Grants permits as far as there are any.
+	 * Grants as many of the requested permits as are available.
 	 * @param quota the quota of the team
-	 * @param ask what is asked for
-	 * @param standing in which standing this relay counts for the team
-	 * @param now milliseconds of a steady clock
-	 * @return what is granted
+	 * @param request the requested permits
+	 * @param role the role of this relay for the team
+	 * @param now milliseconds of a monotonic clock
+	 * @return the granted permits
 	 */
-	public PermitReply grant(Quota quota, PermitRequest ask, Standing standing, long now) {
-		boolean first = standing == Standing.FIRST;
-		Counted counted = this.buckets.get(ask.team());
-		boolean ended = counted != null && !first && now - counted.bucket().usedAt() > STAND_IN_END.toMillis();
-		if (counted == null || counted.first() != first || ended) {
-			double added = first ? quota.ratePerSecond() * (now - this.changedAt) / MILLISECONDS_OF_SECOND : 0;
-			counted = new Counted(first,
+	public PermitReply grant(Quota quota, PermitRequest request, Role role, long now) {
+		boolean primary = role == Role.PRIMARY;
+		RoleBucket current = this.buckets.get(request.team());
+		boolean expired = current != null && !primary
+				&& now - current.bucket().lastUsedAt() > FAILOVER_IDLE_TIMEOUT.toMillis();
+		if (current == null || current.primary() != primary || expired) {
+			double added = primary ? quota.ratePerSecond() * (now - this.membershipChangedAt) / MILLIS_PER_SECOND : 0;
+			current = new RoleBucket(primary,
 					new TeamBucket(this.tolerance, quota, this.tolerance.initialPermits() + added, now));
-			this.buckets.put(ask.team(), counted);
+			this.buckets.put(request.team(), current);
 		}
-		Quota granted = (standing == Standing.DOUBTFUL)
-				? new Quota(quota.ratePerSecond() * this.tolerance.overshoot() * DOUBTFUL_PART, quota.burst()) : quota;
-		PermitReply reply = counted.bucket().grant(granted, ask, now);
-		int asked = ask.required() + ask.newPrograms().size();
-		for (int refused = reply.total(); refused < asked; refused++) {
-			counted.bucket().refused();
+		Quota effective = (role == Role.UNCONFIRMED_FAILOVER) ? new Quota(
+				quota.ratePerSecond() * this.tolerance.overshoot() * UNCONFIRMED_RATE_FRACTION, quota.burst()) : quota;
+		PermitReply reply = current.bucket().grant(effective, request, now);
+		int requested = request.required() + request.newPrograms().size();
+		for (int refused = reply.total(); refused < requested; refused++) {
+			current.bucket().recordRefusal();
 		}
 		return reply;
 	}
 
 	/**
-	 * Takes that the relays have changed.
-	 * @param now milliseconds of a steady clock
+	 * Records a change of the membership.
+	 * @param now milliseconds of a monotonic clock
 	 */
-	public void relaysChanged(long now) {
-		this.changedAt = now;
+	public void membershipUpdated(long now) {
+		this.membershipChangedAt = now;
 	}
 
 	/**
-	 * Forgets all that was counted: others have counted meanwhile.
-	 * @param now milliseconds of a steady clock
+	 * Discards all buckets, after other relays may have coordinated the teams.
+	 * @param now milliseconds of a monotonic clock
 	 */
-	public void forget(long now) {
-		this.changedAt = now;
+	public void reset(long now) {
+		this.membershipChangedAt = now;
 		this.buckets.clear();
 	}
 
 	/**
-	 * In which standing a relay counts for a team. Safe for use by several threads.
+	 * Role of a relay for a team. Safe for use by several threads.
 	 */
-	public enum Standing {
+	public enum Role {
 
 		/**
-		 * It is the first of the team's relays.
+		 * The relay is the first coordinator of the team.
 		 */
-		FIRST,
+		PRIMARY,
 
 		/**
-		 * It has seen that the relays before it don't answer.
+		 * The relay has itself detected that the preceding coordinators don't respond.
 		 */
-		STAND_IN,
+		FAILOVER,
 
 		/**
-		 * Another relay says that those before it don't answer.
+		 * Only another relay has reported that the preceding coordinators don't respond.
 		 */
-		DOUBTFUL
+		UNCONFIRMED_FAILOVER
 
 	}
 
 	/**
-	 * The bucket of a team. Immutable but for the bucket.
+	 * Bucket of a team, with the role in which it was created. Immutable except for the
+	 * bucket.
 	 *
-	 * @param first whether this relay was the first of the team's relays
+	 * @param primary whether the bucket was created as the first coordinator
 	 * @param bucket the bucket
 	 */
-	private record Counted(boolean first, TeamBucket bucket) {
+	private record RoleBucket(boolean primary, TeamBucket bucket) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Request quotas of teams over all relays. One relay counts for each team and grants
- * permits; the others spend what they were granted. Decides from events and times alone,
- * and must never read a clock, wait or do I/O.
+ * Request quotas of teams across all relays. Each team has one coordinating relay that
+ * grants permits, which the other relays spend. Decisions depend on events and times
+ * alone; this package must never read a clock, block or perform I/O.
  */
 package io.lentilslip.core.quota;
