--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/KeyDigest.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/KeyDigest.java
@@ -6,18 +6,18 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Immutable digest of an API key. The key itself stays at the edge: what is looked up,
- * compared or printed is its digest, so that the time of a look-up says nothing of keys.
+ * Immutable digest of an API key. Only the digest is looked up, compared or printed, so
+ * that the duration of a lookup reveals nothing about keys.
  *
- * @param first the first 8 of the digest's bytes
- * @param second the next 8
- * @param third the next 8
- * @param fourth the last 8
+ * @param first bytes 0 to 7 of the digest
+ * @param second bytes 8 to 15
+ * @param third bytes 16 to 23
+ * @param fourth bytes 24 to 31
  */
 public record KeyDigest(long first, long second, long third, long fourth) {
 
 	/**
-	 * Creates the digest of a key.
+	 * Returns the SHA-256 digest of a key.
 	 * @param key the key
 	 * @return its digest
 	 */
@@ -28,7 +28,7 @@
 			return new KeyDigest(digest.getLong(), digest.getLong(), digest.getLong(), digest.getLong());
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("every Java platform has SHA-256", ex);
+			throw new IllegalStateException("SHA-256 is not available", ex);
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/PoisonRequests.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/PoisonRequests.java
@@ -5,31 +5,31 @@
 import java.util.Set;
 
 /**
- * Which requests upstreams broke off on. A request that did so on several lives of
- * upstreams is held to be the cause: it is not sent again, while requests beside it, each
- * with another content, go on. Bounded: the oldest are forgotten. Used by one thread.
+ * Tracks requests on which upstreams failed. A request that failed on several
+ * incarnations is treated as the cause and not sent again; other requests that were in
+ * flight at the same time are not affected. Bounded: the oldest requests are evicted
+ * first. Not thread-safe.
  */
 final class PoisonRequests {
 
 	/**
-	 * The broken lives after which a request is stopped: what the users' rules name as
-	 * the bound.
+	 * The number of failed incarnations after which a request is no longer sent.
 	 */
-	static final int LIMIT = 3;
+	static final int MAX_FAILED_INCARNATIONS = 3;
 
-	private static final int BOUND = 4096;
+	private static final int MAX_REQUESTS = 4096;
 
-	private final LinkedHashMap<Long, Set<String>> lives = new LinkedHashMap<>();
+	private final LinkedHashMap<Long, Set<String>> failedIncarnations = new LinkedHashMap<>();
 
 	void recordFailure(long digest, String upstream) {
-		this.lives.computeIfAbsent(digest, (key) -> new HashSet<>()).add(upstream);
-		if (this.lives.size() > BOUND) {
-			this.lives.pollFirstEntry();
+		this.failedIncarnations.computeIfAbsent(digest, (key) -> new HashSet<>()).add(upstream);
+		if (this.failedIncarnations.size() > MAX_REQUESTS) {
+			this.failedIncarnations.pollFirstEntry();
 		}
 	}
 
 	boolean isPoison(long digest) {
-		return this.lives.getOrDefault(digest, Set.of()).size() >= LIMIT;
+		return this.failedIncarnations.getOrDefault(digest, Set.of()).size() >= MAX_FAILED_INCARNATIONS;
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -14,41 +14,41 @@
 import io.lentilslip.core.quota.Permits;
 import io.lentilslip.core.quota.Quota;
 import io.lentilslip.core.quota.TeamBuckets;
-import io.lentilslip.core.quota.TeamBuckets.Standing;
+import io.lentilslip.core.quota.TeamBuckets.Role;
 import io.lentilslip.core.relay.Exchange.Phase;
 import io.lentilslip.core.relay.RelayEvent.TimerKind;
 
 /**
- * Whether a team's quota holds a request. One relay counts for each team, the first of
- * three that rendezvous hashing gives it; the others ask it for permits, many at once
- * where many wait, and the next of the three where it does not answer. A request that
- * finds a permit at hand waits for nothing. A program that is under way is not sent away
- * at once when the quota is spent: it waits for the next permits as long as its caller
- * loses nothing by that. Used by one thread.
+ * Admits requests within the quotas of their teams. Each team has three coordinators,
+ * selected by rendezvous hashing. The first one grants permits; the next one takes over
+ * if it does not respond. Relays request permits in batches, and a request with an
+ * available permit is admitted immediately. If the quota is exhausted, requests of active
+ * programs are held for a fraction of the latency target before they are rejected. Not
+ * thread-safe.
  */
 final class QuotaRules {
 
 	/**
-	 * How long a relay that counts for a team may take to answer before the next one is
-	 * asked.
+	 * The time after which a coordinator that has not replied is passed over for the
+	 * next.
 	 */
-	private static final Duration ANSWER_WAIT = Duration.ofMillis(60);
+	private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(60);
 
 	/**
-	 * The part of a route's target for which a request of a program under way waits for
-	 * permits before its caller is asked to come back.
+	 * The fraction of a route's latency target for which a request of an active program
+	 * is held before it is rejected.
 	 */
-	private static final int HOLD_PART = 4;
+	private static final int HOLD_TIMEOUT_DIVISOR = 4;
 
 	/**
-	 * How long a relay that did not answer counts as gone.
+	 * The time for which a relay that did not reply is suspected to have failed.
 	 */
-	private static final Duration SUSPECTED = Duration.ofSeconds(2);
+	private static final Duration SUSPICION_TIMEOUT = Duration.ofSeconds(2);
 
 	/**
-	 * The most teams whose permits are remembered.
+	 * The maximum number of teams with permits at this relay.
 	 */
-	private static final int TEAMS = 4096;
+	private static final int MAX_TEAMS = 4096;
 
 	private final RelayState state;
 
@@ -61,21 +61,21 @@
 	private final Map<String, TeamQueue> queues = new LinkedHashMap<>(64, 0.75f, true) {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, TeamQueue> eldest) {
-			return size() > TEAMS && eldest.getValue().waiting.isEmpty();
+			return size() > MAX_TEAMS && eldest.getValue().waiting.isEmpty();
 		}
 	};
 
-	private final Map<String, Long> suspects = new HashMap<>();
+	private final Map<String, Long> suspectedAt = new HashMap<>();
 
-	private final Map<String, Long> probes = new HashMap<>();
+	private final Map<String, Long> probedAt = new HashMap<>();
 
-	private long lastNumber;
+	private long lastRequestId;
 
 	/**
-	 * Creates rules that count nothing yet.
-	 * @param state what the relay knows
-	 * @param ends how exchanges end
-	 * @param admitted takes each exchange that had to wait and is admitted
+	 * Creates rules without permits.
+	 * @param state the state of the relay
+	 * @param ends ends exchanges
+	 * @param admitted receives each exchange that is admitted after waiting
 	 */
 	QuotaRules(RelayState state, ExchangeCompletion ends, Consumer<Exchange> admitted) {
 		this.state = state;
@@ -85,9 +85,10 @@
 	}
 
 	/**
-	 * Admits a request if a permit of its team is at hand, and asks for one otherwise.
+	 * Admits a request if a permit of its team is available, and requests one otherwise.
 	 * @param exchange the exchange
-	 * @return whether it is admitted now; otherwise it is later, or refused
+	 * @return whether it is admitted immediately; otherwise it is admitted or rejected
+	 * later
 	 */
 	boolean admit(Exchange exchange) {
 		Optional<Team> team = exchange.team().filter((known) -> known.quota().isPresent());
@@ -99,66 +100,67 @@
 			return false;
 		}
 		TeamQueue queue = this.queues.computeIfAbsent(team.get().name(), TeamQueue::new);
-		// Permits are granted ahead of need only while the quota has room for programs
-		// that begin.
-		if (queue.permits.spend(this.state.now)) {
-			exchange.head().program().ifPresent((program) -> queue.permits.admit(program.hashCode()));
+		// Permits are prefetched only while the quota has capacity for new
+		// programs, so this program can be admitted.
+		if (queue.permits.tryAcquire(this.state.now)) {
+			exchange.head().program().ifPresent((program) -> queue.permits.markAdmitted(program.hashCode()));
 			exchange.markPermitted();
 			return true;
 		}
 		exchange.transitionTo(Phase.WAITING_FOR_PERMIT);
 		queue.waiting.put(exchange.number(), exchange);
-		this.state.startTimer(exchange, ANSWER_WAIT, TimerKind.PERMIT);
-		askIfFree(queue);
+		this.state.startTimer(exchange, RESPONSE_TIMEOUT, TimerKind.PERMIT);
+		requestPermitsIfIdle(queue);
 		return false;
 	}
 
-	private static boolean underWay(TeamQueue queue, Exchange exchange) {
+	private static boolean isActive(TeamQueue queue, Exchange exchange) {
 		Optional<String> program = exchange.head().program();
-		return program.isEmpty() || queue.permits.underWay(program.get().hashCode());
+		return program.isEmpty() || queue.permits.isAdmitted(program.get().hashCode());
 	}
 
-	private void askIfFree(TeamQueue queue) {
+	private void requestPermitsIfIdle(TeamQueue queue) {
 		if (queue.pending.isEmpty() && !queue.waiting.isEmpty()) {
-			ask(queue, 0);
+			requestPermits(queue, 0);
 		}
 	}
 
-	private void ask(TeamQueue queue, int rank) {
-		List<String> counting = counting(queue.team);
-		if (rank >= counting.size()) {
+	private void requestPermits(TeamQueue queue, int rank) {
+		List<String> coordinators = coordinators(queue.team);
+		if (rank >= coordinators.size()) {
 			queue.pending = Optional.empty();
 			for (Exchange exchange : List.copyOf(queue.waiting.values())) {
 				refuse(queue, exchange, Refusal.QUOTA_UNKNOWN, RelaySettings.RETRY_AFTER);
 			}
 			return;
 		}
-		String target = counting.get(rank);
-		if (rank + 1 < counting.size() && suspected(target)) {
-			ask(queue, rank + 1);
+		String target = coordinators.get(rank);
+		if (rank + 1 < coordinators.size() && isSuspected(target)) {
+			requestPermits(queue, rank + 1);
 			return;
 		}
-		List<Exchange> going = new ArrayList<>();
-		List<Exchange> beginning = new ArrayList<>();
+		List<Exchange> active = new ArrayList<>();
+		List<Exchange> starting = new ArrayList<>();
 		for (Exchange exchange : queue.waiting.values()) {
-			(underWay(queue, exchange) ? going : beginning).add(exchange);
+			(isActive(queue, exchange) ? active : starting).add(exchange);
 		}
 		Optional<Quota> quota = quota(queue.team);
 		if (quota.isEmpty()) {
-			unlimited(queue);
+			admitAll(queue);
 			return;
 		}
-		this.lastNumber++;
-		PermitRequest ask = new PermitRequest(queue.team, this.lastNumber, quota.get(), going.size(),
-				queue.permits.ahead(this.state.now), queue.permits.returned(target, this.state.now), programs(going),
-				programs(beginning));
-		queue.pending = Optional.of(new Pending(this.lastNumber, target, rank, this.state.now, going, beginning));
+		this.lastRequestId++;
+		PermitRequest request = new PermitRequest(queue.team, this.lastRequestId, quota.get(), active.size(),
+				queue.permits.prefetch(this.state.now), queue.permits.takeExpired(target, this.state.now),
+				programs(active), programs(starting));
+		queue.pending = Optional
+			.of(new PendingRequest(this.lastRequestId, target, rank, this.state.now, active, starting));
 		if (target.equals(this.state.name)) {
-			probe(counting);
-			replied(target, this.buckets.grant(quota.get(), ask, standing(counting), this.state.now));
+			probe(coordinators);
+			applyReply(target, this.buckets.grant(quota.get(), request, role(coordinators), this.state.now));
 			return;
 		}
-		this.state.emit(new RelayEffect.RequestPermits(target, ask));
+		this.state.emit(new RelayEffect.RequestPermits(target, request));
 	}
 
 	private static List<Integer> programs(List<Exchange> exchanges) {
@@ -168,8 +170,8 @@
 			.toList();
 	}
 
-	// The quota was lifted, or the team removed, while its requests waited.
-	private void unlimited(TeamQueue queue) {
+	// The quota or the team was removed while requests were waiting.
+	private void admitAll(TeamQueue queue) {
 		queue.pending = Optional.empty();
 		List<Exchange> all = List.copyOf(queue.waiting.values());
 		queue.waiting.clear();
@@ -182,7 +184,7 @@
 		this.admitted.accept(exchange);
 	}
 
-	private List<String> counting(String team) {
+	private List<String> coordinators(String team) {
 		return this.state.keepers.known() ? this.state.keepers.of(team) : List.of(this.state.name);
 	}
 
@@ -192,145 +194,145 @@
 			.flatMap(Team::quota);
 	}
 
-	private boolean suspected(String relay) {
-		return this.state.now - this.suspects.getOrDefault(relay, RelayState.NEVER) < SUSPECTED.toMillis();
+	private boolean isSuspected(String relay) {
+		return this.state.now - this.suspectedAt.getOrDefault(relay, RelayState.NEVER) < SUSPICION_TIMEOUT.toMillis();
 	}
 
-	private Standing standing(List<String> counting) {
-		for (String relay : counting) {
+	private Role role(List<String> coordinators) {
+		for (String relay : coordinators) {
 			if (relay.equals(this.state.name)) {
 				break;
 			}
-			if (!suspected(relay)) {
-				return Standing.DOUBTFUL;
+			if (!isSuspected(relay)) {
+				return Role.UNCONFIRMED_FAILOVER;
 			}
 		}
-		return counting.getFirst().equals(this.state.name) ? Standing.FIRST : Standing.STAND_IN;
+		return coordinators.getFirst().equals(this.state.name) ? Role.PRIMARY : Role.FAILOVER;
 	}
 
 	/**
-	 * Takes another relay's request for permits.
-	 * @param permitsRequested the request
+	 * Handles a permit request of another relay.
+	 * @param event the request
 	 */
-	void permitsRequested(RelayEvent.PermitsRequested asked) {
-		PermitRequest ask = asked.request();
-		if (ask.isProbe()) {
-			this.state.emit(new RelayEffect.GrantPermits(asked.peer(),
-					new PermitReply(ask.team(), ask.requestId(), 0, List.of(), Duration.ZERO)));
+	void permitsRequested(RelayEvent.PermitsRequested event) {
+		PermitRequest request = event.request();
+		if (request.isProbe()) {
+			this.state.emit(new RelayEffect.GrantPermits(event.peer(),
+					new PermitReply(request.team(), request.requestId(), 0, List.of(), Duration.ZERO)));
 			return;
 		}
-		List<String> counting = counting(ask.team());
-		if (!counting.contains(this.state.name)) {
+		List<String> coordinators = coordinators(request.team());
+		if (!coordinators.contains(this.state.name)) {
 			return;
 		}
-		probe(counting);
-		Quota quota = quota(ask.team()).orElse(ask.quota());
-		PermitReply reply = this.buckets.grant(quota, ask, standing(counting), this.state.now);
-		this.state.emit(new RelayEffect.GrantPermits(asked.peer(), reply));
+		probe(coordinators);
+		Quota quota = quota(request.team()).orElse(request.quota());
+		PermitReply reply = this.buckets.grant(quota, request, role(coordinators), this.state.now);
+		this.state.emit(new RelayEffect.GrantPermits(event.peer(), reply));
 	}
 
-	// A relay that is asked in place of another one looks for itself whether that one
-	// answers.
-	private void probe(List<String> counting) {
-		for (String relay : counting) {
+	// Checks the liveness of the preceding coordinators before taking over from them.
+	private void probe(List<String> coordinators) {
+		for (String relay : coordinators) {
 			if (relay.equals(this.state.name)) {
 				return;
 			}
-			Long since = this.probes.get(relay);
-			if (since == null) {
-				this.probes.put(relay, this.state.now);
-				this.lastNumber++;
-				this.state.emit(new RelayEffect.RequestPermits(relay, PermitRequest.probe(this.lastNumber)));
+			Long sentAt = this.probedAt.get(relay);
+			if (sentAt == null) {
+				this.probedAt.put(relay, this.state.now);
+				this.lastRequestId++;
+				this.state.emit(new RelayEffect.RequestPermits(relay, PermitRequest.probe(this.lastRequestId)));
 			}
-			else if (this.state.now - since > ANSWER_WAIT.toMillis()) {
-				this.probes.remove(relay);
-				this.suspects.put(relay, this.state.now);
+			else if (this.state.now - sentAt > RESPONSE_TIMEOUT.toMillis()) {
+				this.probedAt.remove(relay);
+				this.suspectedAt.put(relay, this.state.now);
 			}
 		}
 	}
 
 	/**
-	 * Takes the answer of the relay that counts for a team.
-	 * @param permitsGranted the answer
+	 * Handles a reply of a coordinator.
+	 * @param event the reply
 	 */
-	void permitsGranted(RelayEvent.PermitsGranted granted) {
-		this.suspects.remove(granted.peer());
-		this.probes.remove(granted.peer());
-		replied(granted.peer(), granted.reply());
+	void permitsGranted(RelayEvent.PermitsGranted event) {
+		this.suspectedAt.remove(event.peer());
+		this.probedAt.remove(event.peer());
+		applyReply(event.peer(), event.reply());
 	}
 
-	private void replied(String peer, PermitReply reply) {
+	private void applyReply(String peer, PermitReply reply) {
 		TeamQueue queue = this.queues.get(reply.team());
 		if (queue == null) {
 			return;
 		}
-		if (queue.pending.isEmpty() || queue.pending.get().number() != reply.requestId()) {
+		if (queue.pending.isEmpty() || queue.pending.get().requestId() != reply.requestId()) {
 			queue.permits.add(peer, reply.total(), this.state.now);
 			return;
 		}
-		Pending answered = queue.pending.get();
+		PendingRequest answered = queue.pending.get();
 		queue.pending = Optional.empty();
 		queue.permits.add(peer, reply.permits(), this.state.now);
-		for (int i = 0; i < Math.min(answered.beginning().size(), reply.admissions().size()); i++) {
-			began(queue, answered.beginning().get(i), peer, reply.admissions().get(i), reply.retryAfter());
+		for (int i = 0; i < Math.min(answered.starting().size(), reply.admissions().size()); i++) {
+			resolveNewProgram(queue, answered.starting().get(i), peer, reply.admissions().get(i), reply.retryAfter());
 		}
-		for (Exchange exchange : answered.going()) {
+		for (Exchange exchange : answered.active()) {
 			if (queue.waiting.containsKey(exchange.number())) {
-				wentOn(queue, exchange, reply.retryAfter());
+				resolveActiveProgram(queue, exchange, reply.retryAfter());
 			}
 		}
-		askIfWaitingAnew(queue, answered);
+		requestPermitsForArrivals(queue, answered);
 	}
 
-	private void began(TeamQueue queue, Exchange exchange, String peer, boolean held, Duration wait) {
-		if (held) {
-			queue.permits.admit(exchange.head().program().orElseThrow().hashCode());
+	private void resolveNewProgram(TeamQueue queue, Exchange exchange, String peer, boolean admitted,
+			Duration retryAfter) {
+		if (admitted) {
+			queue.permits.markAdmitted(exchange.head().program().orElseThrow().hashCode());
 		}
 		if (!queue.waiting.containsKey(exchange.number())) {
-			queue.permits.add(peer, held ? 1 : 0, this.state.now);
+			queue.permits.add(peer, admitted ? 1 : 0, this.state.now);
 			return;
 		}
-		if (!held) {
-			refuse(queue, exchange, Refusal.QUOTA_SPENT, wait);
+		if (!admitted) {
+			refuse(queue, exchange, Refusal.QUOTA_SPENT, retryAfter);
 			return;
 		}
 		queue.waiting.remove(exchange.number());
 		admitted(exchange);
 	}
 
-	private void wentOn(TeamQueue queue, Exchange exchange, Duration wait) {
-		if (queue.permits.spend(this.state.now)) {
+	private void resolveActiveProgram(TeamQueue queue, Exchange exchange, Duration retryAfter) {
+		if (queue.permits.tryAcquire(this.state.now)) {
 			queue.waiting.remove(exchange.number());
 			admitted(exchange);
 			return;
 		}
-		long held = this.state.now - exchange.request().now();
-		long most = exchange.route().latencyTarget().toMillis() / HOLD_PART;
-		if (held + ANSWER_WAIT.toMillis() / 2 > most) {
-			refuse(queue, exchange, Refusal.QUOTA_SPENT, wait);
+		long heldMillis = this.state.now - exchange.request().now();
+		long maxHoldMillis = exchange.route().latencyTarget().toMillis() / HOLD_TIMEOUT_DIVISOR;
+		if (heldMillis + RESPONSE_TIMEOUT.toMillis() / 2 > maxHoldMillis) {
+			refuse(queue, exchange, Refusal.QUOTA_SPENT, retryAfter);
 		}
 	}
 
-	// Requests that the answer was too short for ask again at their reminders; those that
-	// came meanwhile have not asked yet.
-	private void askIfWaitingAnew(TeamQueue queue, Pending answered) {
+	// Requests that the reply had no permits for retry on their timers; only those that
+	// arrived after the request was sent need a new one.
+	private void requestPermitsForArrivals(TeamQueue queue, PendingRequest answered) {
 		for (Exchange exchange : queue.waiting.values()) {
-			if (!answered.going().contains(exchange) && !answered.beginning().contains(exchange)) {
-				askIfFree(queue);
+			if (!answered.active().contains(exchange) && !answered.starting().contains(exchange)) {
+				requestPermitsIfIdle(queue);
 				return;
 			}
 		}
 	}
 
-	private void refuse(TeamQueue queue, Exchange exchange, Refusal refusal, Duration wait) {
+	private void refuse(TeamQueue queue, Exchange exchange, Refusal refusal, Duration retryAfter) {
 		queue.waiting.remove(exchange.number());
-		this.state.report(RelayNotices.quotaRefused(exchange, refusal, counting(queue.team).getFirst(),
-				queue.waiting.size(), wait, this.state));
-		this.ends.refuse(exchange, refusal, Optional.of(wait));
+		this.state.report(RelayNotices.quotaRefused(exchange, refusal, coordinators(queue.team).getFirst(),
+				queue.waiting.size(), retryAfter, this.state));
+		this.ends.refuse(exchange, refusal, Optional.of(retryAfter));
 	}
 
 	/**
-	 * Looks at a request that has waited for a permit.
+	 * Handles the permit timer of an exchange.
 	 * @param exchange the exchange
 	 */
 	void timerFired(Exchange exchange) {
@@ -338,21 +340,21 @@
 			return;
 		}
 		TeamQueue queue = this.queues.get(exchange.team().orElseThrow().name());
-		this.state.startTimer(exchange, ANSWER_WAIT, TimerKind.PERMIT);
+		this.state.startTimer(exchange, RESPONSE_TIMEOUT, TimerKind.PERMIT);
 		if (queue.pending.isEmpty()) {
-			askIfFree(queue);
+			requestPermitsIfIdle(queue);
 			return;
 		}
-		Pending pending = queue.pending.get();
-		if (this.state.now - pending.sentAt() >= ANSWER_WAIT.toMillis()) {
-			this.suspects.put(pending.peer(), this.state.now);
-			ask(queue, pending.rank() + 1);
+		PendingRequest pending = queue.pending.get();
+		if (this.state.now - pending.sentAt() >= RESPONSE_TIMEOUT.toMillis()) {
+			this.suspectedAt.put(pending.peer(), this.state.now);
+			requestPermits(queue, pending.rank() + 1);
 		}
 	}
 
 	/**
-	 * Takes that an exchange has ended: its permit is free again if nothing was run with
-	 * it.
+	 * Handles the end of an exchange, and releases its permit if the request was never
+	 * sent.
 	 * @param exchange the exchange
 	 */
 	void exchangeEnded(Exchange exchange) {
@@ -363,28 +365,28 @@
 		queue.waiting.remove(exchange.number());
 		boolean sent = exchange.phase() == Phase.RUNNING || exchange.phase() == Phase.STORING;
 		if (exchange.permitted() && !sent) {
-			queue.permits.putBack(this.state.now);
+			queue.permits.release(this.state.now);
 		}
 	}
 
 	/**
-	 * Takes that the relays have changed, and with them who counts for which team.
+	 * Handles a membership change, which may change the coordinators of teams.
 	 */
 	void membershipUpdated() {
-		this.buckets.relaysChanged(this.state.now);
+		this.buckets.membershipUpdated(this.state.now);
 	}
 
 	/**
-	 * Takes that this relay did not run for a while: others have counted for its teams,
-	 * and its permits have ended.
+	 * Handles a pause of the process, during which other relays may have coordinated its
+	 * teams and its permits may have expired.
 	 */
 	void processResumed() {
-		this.buckets.forget(this.state.now);
+		this.buckets.reset(this.state.now);
 		this.queues.values().forEach((queue) -> queue.permits.clear());
 	}
 
 	/**
-	 * What this relay has and waits for of one team. Used by one thread.
+	 * Permits and waiting requests of one team. Not thread-safe.
 	 */
 	private static final class TeamQueue {
 
@@ -394,7 +396,7 @@
 
 		private final Map<Long, Exchange> waiting = new LinkedHashMap<>();
 
-		private Optional<Pending> pending = Optional.empty();
+		private Optional<PendingRequest> pending = Optional.empty();
 
 		TeamQueue(String team) {
 			this.team = team;
@@ -403,17 +405,17 @@
 	}
 
 	/**
-	 * A request for permits that is not answered yet. Immutable.
+	 * Immutable permit request without a reply yet.
 	 *
-	 * @param number its number
-	 * @param peer the relay that is asked
-	 * @param rank its rank among those that may count for the team
-	 * @param sentAt when it was sent, in milliseconds of a steady clock
-	 * @param going the exchanges that it is for whose programs are under way
-	 * @param beginning the exchanges that it is for whose programs begin
+	 * @param requestId its id
+	 * @param peer the coordinator that it was sent to
+	 * @param rank the rank of that coordinator
+	 * @param sentAt the time at which it was sent, in milliseconds of a monotonic clock
+	 * @param active the exchanges of active programs that it covers
+	 * @param starting the exchanges of new programs that it covers
 	 */
-	private record Pending(long number, String peer, int rank, long sentAt, List<Exchange> going,
-			List<Exchange> beginning) {
+	private record PendingRequest(long requestId, String peer, int rank, long sentAt, List<Exchange> active,
+			List<Exchange> starting) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
@@ -13,8 +13,8 @@
 import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
- * The notices of a relay, each with the fields that lead from a request to what was
- * decided about it. Stateless.
+ * Creates the notices of a relay, with the fields that explain each decision about a
+ * request. Stateless.
  */
 final class RelayNotices {
 
@@ -39,13 +39,13 @@
 	}
 
 	/**
-	 * Tells of a record that names no upstream to use.
+	 * Reports an invalid upstream record.
 	 * @param key the key of the record
-	 * @param problem why
+	 * @param error the reason
 	 * @return the notice
 	 */
-	static Notice upstreamInvalid(String key, UpstreamRecordError problem) {
-		return notice(NoticeCode.UPSTREAM_UNUSABLE, field(FieldName.UPSTREAM, key), field(FieldName.REASON, problem));
+	static Notice upstreamInvalid(String key, UpstreamRecordError error) {
+		return notice(NoticeCode.UPSTREAM_UNUSABLE, field(FieldName.UPSTREAM, key), field(FieldName.REASON, error));
 	}
 
 	static Notice upstreamRemoved(String upstream) {
@@ -53,22 +53,23 @@
 	}
 
 	/**
-	 * Tells who decided whether a budget holds a turn.
+	 * Reports how it was decided whether a turn fits its budget.
 	 * @param exchange the exchange
-	 * @param by who did
-	 * @param answers how many other relays had answered
-	 * @param held whether the budget holds the turn
-	 * @param state what the relay knows
+	 * @param by what decided
+	 * @param responses the number of other relays that had responded
+	 * @param admitted whether the turn was admitted
+	 * @param state the state of the relay
 	 * @return the notice
 	 */
-	static Notice turnDecided(Exchange exchange, BudgetRules.Decider by, int answers, boolean held, RelayState state) {
+	static Notice turnDecided(Exchange exchange, BudgetRules.Decider by, int responses, boolean admitted,
+			RelayState state) {
 		return notice(NoticeCode.TURN_DECIDED, request(exchange), program(exchange), field(FieldName.REASON, by),
-				field(FieldName.COUNT, answers), field(FieldName.VERDICT, held ? "HELD" : "NOT_HELD"),
+				field(FieldName.COUNT, responses), field(FieldName.VERDICT, admitted ? "HELD" : "NOT_HELD"),
 				tokens(exchange, state), budget(exchange), elapsed(exchange, state.now));
 	}
 
-	static Notice syncCompleted(int told) {
-		return notice(NoticeCode.RELAY_COMPLETE, field(FieldName.COUNT, told));
+	static Notice syncCompleted(int peers) {
+		return notice(NoticeCode.RELAY_COMPLETE, field(FieldName.COUNT, peers));
 	}
 
 	static Notice logCaughtUp(RelayEvent.CaughtUp event) {
@@ -80,12 +81,12 @@
 		return notice(NoticeCode.ENTRIES_ADOPTED, field(FieldName.COUNT, entries));
 	}
 
-	static Notice processResumed(Duration slept) {
-		return notice(NoticeCode.RELAY_WOKEN, field(FieldName.MILLISECONDS, slept.toMillis()));
+	static Notice processResumed(Duration pause) {
+		return notice(NoticeCode.RELAY_WOKEN, field(FieldName.MILLISECONDS, pause.toMillis()));
 	}
 
-	static Notice connectivityChanged(RelayEvent.Connectivity reach) {
-		return notice(NoticeCode.REACH_CHANGED, field(FieldName.REASON, reach));
+	static Notice connectivityChanged(RelayEvent.Connectivity connectivity) {
+		return notice(NoticeCode.REACH_CHANGED, field(FieldName.REASON, connectivity));
 	}
 
 	static Notice attemptFailed(Exchange exchange, RelayEvent.FailureCause cause, long now) {
@@ -99,25 +100,25 @@
 	}
 
 	/**
-	 * Tells where a request goes, out of what.
+	 * Reports to which upstream a request was sent, and the alternatives.
 	 * @param exchange the exchange, already sent
-	 * @param weighed the candidates, the chosen one first
-	 * @param state what the relay knows
+	 * @param ranked the ranked upstreams, the selected one first
+	 * @param state the state of the relay
 	 * @return the notice
 	 */
-	static Notice requestPlaced(Exchange exchange, List<RankedUpstream> weighed, RelayState state) {
-		String candidates = weighed.stream().map((next) -> describe(next, state.now)).collect(Collectors.joining("; "));
+	static Notice requestPlaced(Exchange exchange, List<RankedUpstream> ranked, RelayState state) {
+		String candidates = ranked.stream().map((next) -> describe(next, state.now)).collect(Collectors.joining("; "));
 		return notice(NoticeCode.REQUEST_PLACED, request(exchange), program(exchange), upstream(exchange),
 				attempt(exchange), field(FieldName.VERSION, state.table.map(RouteTable::version).orElse(0L)),
 				field(FieldName.CANDIDATES, candidates), elapsed(exchange, state.now), tokens(exchange, state),
 				budget(exchange));
 	}
 
-	private static String describe(RankedUpstream weighed, long now) {
-		UpstreamState known = weighed.state();
-		String age = known.reportAge(now).stream().mapToObj(Long::toString).findFirst().orElse(NONE);
-		return known.upstream().id() + " cost=" + Math.round(weighed.costMillis()) + " load=" + weighed.load()
-				+ " unread=" + weighed.uncachedTokens() + " age=" + age;
+	private static String describe(RankedUpstream ranked, long now) {
+		UpstreamState state = ranked.state();
+		String age = state.reportAge(now).stream().mapToObj(Long::toString).findFirst().orElse(NONE);
+		return state.upstream().id() + " cost=" + Math.round(ranked.costMillis()) + " load=" + ranked.load()
+				+ " unread=" + ranked.uncachedTokens() + " age=" + age;
 	}
 
 	static Notice misdirected(Exchange exchange, long now) {
@@ -141,16 +142,16 @@
 	}
 
 	/**
-	 * Returns why a quota refuses a request.
+	 * Reports a request rejected by a quota.
 	 * @param exchange the exchange
 	 * @param refusal the reason
-	 * @param counting the relay that counts for the team
-	 * @param waiting how many requests of the team wait at this relay
-	 * @param retryAfter when the caller is asked to come back
-	 * @param state what the relay knows
+	 * @param coordinator the coordinator of the team
+	 * @param waiting the number of requests of the team that wait at this relay
+	 * @param retryAfter the retry delay given to the caller
+	 * @param state the state of the relay
 	 * @return the notice
 	 */
-	static Notice quotaRefused(Exchange exchange, Refusal refusal, String counting, int waiting, Duration retryAfter,
+	static Notice quotaRefused(Exchange exchange, Refusal refusal, String coordinator, int waiting, Duration retryAfter,
 			RelayState state) {
 		String limit = exchange.team()
 			.flatMap(Team::quota)
@@ -160,7 +161,7 @@
 				field(FieldName.GROUP, exchange.team().map(Team::name).orElse(NONE)), field(FieldName.REASON, refusal),
 				field(FieldName.LIMIT, limit),
 				field(FieldName.VERSION, state.table.map(RouteTable::version).orElse(0L)),
-				field(FieldName.ADDRESS, counting), field(FieldName.COUNT, waiting),
+				field(FieldName.ADDRESS, coordinator), field(FieldName.COUNT, waiting),
 				field(FieldName.MILLISECONDS, retryAfter.toMillis()));
 	}
 
@@ -200,7 +201,7 @@
 		return field(FieldName.COUNT, exchange.eventCount());
 	}
 
-	// What the relay believes to be spent or held back of the budget that follows.
+	// The tokens of the budget that are used or reserved, as known to this relay.
 	private static NoticeField tokens(Exchange exchange, RelayState state) {
 		return field(FieldName.TOKENS,
 				exchange.head().turn().map((turn) -> state.tokens.taken(turn.program())).orElse(0L));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ReportedErrors.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ReportedErrors.java
@@ -3,37 +3,37 @@
 import java.util.LinkedHashSet;
 
 /**
- * Which records were told to be unusable. Another writer may repeat one as often as it
- * likes; told each time, it would drown the log. Bounded: of more records than it holds,
- * the oldest may be told again. Used by one thread.
+ * Errors in upstream records that were already reported. A writer may repeat an invalid
+ * record at any rate, which would flood the log. Bounded: the oldest errors are evicted
+ * first and may be reported again. Not thread-safe.
  */
 final class ReportedErrors {
 
-	private static final int BOUND = 1024;
+	private static final int MAX_ERRORS = 1024;
 
-	private final LinkedHashSet<Told> told = new LinkedHashSet<>();
+	private final LinkedHashSet<ReportedError> reported = new LinkedHashSet<>();
 
 	/**
-	 * Notes a problem.
+	 * Marks an error as reported.
 	 * @param key the key of the record
-	 * @param problem what is wrong with it
-	 * @return whether it was not told before
+	 * @param error the error
+	 * @return whether the error was not yet marked
 	 */
-	boolean markReported(String key, UpstreamRecordError problem) {
-		boolean first = this.told.add(new Told(key, problem));
-		if (this.told.size() > BOUND) {
-			this.told.removeFirst();
+	boolean markReported(String key, UpstreamRecordError error) {
+		boolean first = this.reported.add(new ReportedError(key, error));
+		if (this.reported.size() > MAX_ERRORS) {
+			this.reported.removeFirst();
 		}
 		return first;
 	}
 
 	/**
-	 * A problem of a record. Immutable.
+	 * Immutable error in a record.
 	 *
 	 * @param key the key of the record
-	 * @param problem what is wrong with it
+	 * @param error the error
 	 */
-	private record Told(String key, UpstreamRecordError problem) {
+	private record ReportedError(String key, UpstreamRecordError error) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Route.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Route.java
@@ -4,58 +4,61 @@
 import java.util.List;
 
 /**
- * Where requests for a host and a path prefix go, and what may be done with them.
- * Immutable and safe for use by several threads.
+ * Immutable route: the services and the policy for requests to a host and a path prefix.
+ * Safe for use by several threads.
  *
- * @param name the name, as operators see it
- * @param host the host that callers name
- * @param prefix the prefix of the path; begins and ends with a slash
- * @param repeatability what may be repeated
- * @param timeout the longest time that a request is kept waiting
- * @param latencyTarget the time within which an answer is on time
- * @param maxAttempts the most upstreams that one request is sent to
- * @param priority the rank; 0 is the highest
- * @param resumable whether a stream may go on at another upstream
- * @param storesTurns whether turns carry new input only and the relay holds the rest
- * @param retention how long turns are kept, and programs remembered
- * @param affinity whether an upstream that handled an object lately handles it faster
- * @param anonymousAllowed whether callers need no API key
- * @param services the services that share the route's requests
+ * @param name the name, as shown to operators
+ * @param host the host in the request
+ * @param prefix the path prefix; starts and ends with a slash
+ * @param repeatability how far requests may be repeated
+ * @param timeout the request timeout
+ * @param latencyTarget the time within which a response is on time
+ * @param maxAttempts the maximum number of attempts for one request
+ * @param priority the priority; 0 is the highest
+ * @param resumable whether a stream can be resumed at another upstream
+ * @param storesTurns whether the relay stores turns, so that requests contain only new
+ * input
+ * @param retention how long turns and the usage of programs are retained
+ * @param affinity whether requests with the same affinity key prefer the same upstream
+ * @param anonymousAllowed whether callers without an API key are allowed
+ * @param services the services to which requests are distributed
  */
 public record Route(String name, String host, String prefix, Repeatability repeatability, Duration timeout,
 		Duration latencyTarget, int maxAttempts, int priority, boolean resumable, boolean storesTurns,
 		Duration retention, boolean affinity, boolean anonymousAllowed, List<WeightedService> services) {
 
 	/**
-	 * By how many targets a stream may be silent: well above what engines show under full
-	 * load, well below the seconds after which callers give up.
+	 * The idle timeout of a stream in multiples of the latency target: above the pauses
+	 * of engines under full load, below the timeouts of callers.
 	 */
 	private static final int STREAM_PATIENCE = 5;
 
 	/**
 	 * Creates a route.
-	 * @param name the name, as operators see it
-	 * @param host the host that callers name
-	 * @param prefix the prefix of the path; begins and ends with a slash
-	 * @param repeatability what may be repeated
-	 * @param timeout the longest time that a request is kept waiting
-	 * @param latencyTarget the time within which an answer is on time
-	 * @param maxAttempts the most upstreams that one request is sent to
-	 * @param priority the rank; 0 is the highest
-	 * @param resumable whether a stream may go on at another upstream
-	 * @param storesTurns whether turns carry new input only and the relay holds the rest
-	 * @param retention how long turns are kept, and programs remembered
-	 * @param affinity whether an upstream that handled an object lately handles it faster
-	 * @param anonymousAllowed whether callers need no API key
-	 * @param services the services that share the route's requests
+	 * @param name the name, as shown to operators
+	 * @param host the host in the request
+	 * @param prefix the path prefix; starts and ends with a slash
+	 * @param repeatability how far requests may be repeated
+	 * @param timeout the request timeout
+	 * @param latencyTarget the time within which a response is on time
+	 * @param maxAttempts the maximum number of attempts for one request
+	 * @param priority the priority; 0 is the highest
+	 * @param resumable whether a stream can be resumed at another upstream
+	 * @param storesTurns whether the relay stores turns, so that requests contain only
+	 * new input
+	 * @param retention how long turns and the usage of programs are retained
+	 * @param affinity whether requests with the same affinity key prefer the same
+	 * upstream
+	 * @param anonymousAllowed whether callers without an API key are allowed
+	 * @param services the services to which requests are distributed
 	 */
 	public Route {
 		services = List.copyOf(services);
 	}
 
 	/**
-	 * Returns whether a request that may have run can be sent again.
-	 * @return whether it can
+	 * Returns whether a request that may have been executed can be retried.
+	 * @return whether it can be retried
 	 */
 	public boolean repeatable() {
 		return this.repeatability == Repeatability.IDEMPOTENT
@@ -63,10 +66,11 @@
 	}
 
 	/**
-	 * Returns how long an upstream may be silent before a request that may run twice goes
-	 * to another one. A plain answer that is not there at its target is late already. An
-	 * engine is silent while it reads a long prompt or waits for a place.
-	 * @return the time
+	 * Returns the idle timeout after which a repeatable request moves to another
+	 * upstream. A plain response is late once it misses the latency target. A stream has
+	 * a longer timeout, because engines are idle during prefill and while a request is
+	 * queued.
+	 * @return the idle timeout
 	 */
 	public Duration idleTimeout() {
 		return (this.repeatability == Repeatability.STREAM) ? this.latencyTarget.multipliedBy(STREAM_PATIENCE)
@@ -74,10 +78,10 @@
 	}
 
 	/**
-	 * A service with its part of a route's requests. Immutable.
+	 * Immutable service with its share of the requests of a route.
 	 *
 	 * @param service the name of the service
-	 * @param weight the part, relative to the other weights of the route
+	 * @param weight the share, relative to the other weights of the route
 	 */
 	public record WeightedService(String service, double weight) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RouteTable.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RouteTable.java
@@ -6,25 +6,25 @@
 import java.util.Optional;
 
 /**
- * The routes, services and limits that are in force together. Immutable and safe for use
- * by several threads.
+ * Immutable configuration of routes, services, limits and teams that is activated as a
+ * whole. Safe for use by several threads.
  *
- * @param version the version; of two tables the one with the higher version is newer
+ * @param version the version; increases with each table
  * @param routes the routes
  * @param services the services by name
- * @param limits what callers may send
- * @param teams the teams; empty if callers are not distinguished
+ * @param limits the limits on requests
+ * @param teams the teams; empty if callers are not authenticated
  */
 public record RouteTable(long version, List<Route> routes, Map<String, Service> services, Limits limits,
 		Optional<Teams> teams) {
 
 	/**
 	 * Creates a table.
-	 * @param version the version; of two tables the one with the higher version is newer
+	 * @param version the version; increases with each table
 	 * @param routes the routes
 	 * @param services the services by name
-	 * @param limits what callers may send
-	 * @param teams the teams; empty if callers are not distinguished
+	 * @param limits the limits on requests
+	 * @param teams the teams; empty if callers are not authenticated
 	 */
 	public RouteTable {
 		routes = List.copyOf(routes);
@@ -32,10 +32,10 @@
 	}
 
 	/**
-	 * Finds the route with the longest prefix that begins the path.
+	 * Finds the route with the longest matching path prefix.
 	 * @param host the host, without a port
 	 * @param path the path, without a query
-	 * @return the route, or empty if none fits
+	 * @return the route, or empty if none matches
 	 */
 	public Optional<Route> find(String host, String path) {
 		Optional<Route> best = Optional.empty();
@@ -51,11 +51,11 @@
 	}
 
 	/**
-	 * Finds out who sends a request.
-	 * @param route the route of the request; empty if none fits
-	 * @param key the digest of its API key; empty if it has none or none that can be read
-	 * @return the caller, or empty if the request needs a key and has none that a team
-	 * holds
+	 * Identifies the caller of a request.
+	 * @param route the route of the request; empty if none matches
+	 * @param key the digest of its API key; empty if it has no well-formed key
+	 * @return the caller, or empty if the route requires a key and the request has none
+	 * of a known team
 	 */
 	Optional<CallerIdentity> identify(Optional<Route> route, Optional<KeyDigest> key) {
 		if (this.teams.isEmpty()) {
@@ -67,40 +67,40 @@
 	}
 
 	/**
-	 * A service that upstreams offer. Immutable.
+	 * Immutable service that upstreams provide.
 	 *
 	 * @param name the name
-	 * @param connections the most connections that one upstream takes from all callers
-	 * @param engine what its upstreams can do if they are model engines
+	 * @param maxConnections the maximum number of connections that one upstream accepts
+	 * @param engine the capacity of its upstreams if they are model engines
 	 */
 	public record Service(String name, int maxConnections, Optional<Engine> engine) {
 
 	}
 
 	/**
-	 * What a model engine can do. Immutable.
+	 * Immutable capacity of a model engine.
 	 *
-	 * @param slots the requests that run at once
-	 * @param memory the tokens that its memory holds
-	 * @param tokensPerEvent the tokens that one event of a stream counts as
+	 * @param slots the maximum number of concurrent requests
+	 * @param cacheTokens the capacity of its KV cache in tokens
+	 * @param tokensPerEvent the number of tokens that one stream event counts as
 	 */
 	public record Engine(int slots, long cacheTokens, int tokensPerEvent) {
 
 	}
 
 	/**
-	 * What callers may send. Immutable.
+	 * Immutable limits on requests.
 	 *
-	 * @param headerBytes the most bytes of a request's line and headers
-	 * @param bodyBytes the most bytes of a body
-	 * @param headerTimeout the longest time that a head may take to arrive
-	 * @param idleTimeout the longest time that a connection may stay idle
+	 * @param maxHeaderBytes the maximum bytes of the request line and headers
+	 * @param maxBodyBytes the maximum bytes of a body
+	 * @param headerTimeout the time within which the request head has to arrive
+	 * @param idleTimeout the time after which an idle connection is closed
 	 */
 	public record Limits(int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
 
 		/**
-		 * What holds until the first table is known: generous enough to refuse nothing
-		 * that a table would allow, small enough to bound memory.
+		 * Returns the limits until the first table is read: permissive enough for any
+		 * table, but with bounded memory.
 		 * @return the limits
 		 */
 		public static Limits defaults() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RouteTableError.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RouteTableError.java
@@ -1,18 +1,18 @@
 package io.lentilslip.core.relay;
 
 /**
- * Why a table that operators wrote can't be in force. The table before stays in force as
- * a whole. Safe for use by several threads.
+ * Reason why a route table is invalid. The previous table stays active as a whole. Safe
+ * for use by several threads.
  */
 public enum RouteTableError {
 
 	/**
-	 * The bytes are no table.
+	 * The value can't be decoded.
 	 */
 	UNREADABLE,
 
 	/**
-	 * A team has no name, or one that no header can carry.
+	 * A team has no name, or a name that is invalid in a header.
 	 */
 	TEAM_NAME,
 
@@ -22,22 +22,22 @@
 	TEAM_TWICE,
 
 	/**
-	 * A team's keys are no list of texts.
+	 * The keys of a team are not a list of strings.
 	 */
 	TEAM_KEYS,
 
 	/**
-	 * Two teams hold the same key.
+	 * Two teams have the same key.
 	 */
 	KEY_SHARED,
 
 	/**
-	 * A team's rate, burst or priority is no number, or a negative one.
+	 * The rate, burst or priority of a team is not a number, or is negative.
 	 */
 	TEAM_NUMBER,
 
 	/**
-	 * There are more teams than a relay takes.
+	 * The number of teams exceeds the limit.
 	 */
 	TOO_MANY_TEAMS
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
@@ -10,8 +10,8 @@
 import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
- * What a relay makes of the site's state: routes, upstreams, and whether it can serve.
- * Used by one thread.
+ * Maintains a relay's view of the site: routes, upstreams, peers and readiness. Not
+ * thread-safe.
  */
 final class SiteRules {
 
@@ -19,9 +19,9 @@
 
 	private final BudgetRules budgets;
 
-	private final Set<String> complete = new HashSet<>();
+	private final Set<String> syncedPeers = new HashSet<>();
 
-	private final ReportedErrors problems = new ReportedErrors();
+	private final ReportedErrors reportedErrors = new ReportedErrors();
 
 	SiteRules(RelayState state, BudgetRules budgets) {
 		this.state = state;
@@ -30,25 +30,24 @@
 
 	void updateReadiness() {
 		if (!this.state.ledgerComplete && this.state.caughtUp) {
-			lookWhetherComplete();
+			checkSynced();
 		}
-		boolean now = this.state.table.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
+		boolean ready = this.state.table.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
 				&& this.state.membershipKnown() && this.state.reach != Connectivity.NOTHING
 				&& this.state.textEndOffset >= 0;
-		if (now != this.state.ready) {
-			this.state.ready = now;
-			this.state.emit(new RelayEffect.ReportReadiness(now));
+		if (ready != this.state.ready) {
+			this.state.ready = ready;
+			this.state.emit(new RelayEffect.ReportReadiness(ready));
 		}
 	}
 
-	// Programs are remembered for as long as their routes say: after that time nothing is
-	// asked for any more that was given before this relay's start. Where the log had just
-	// been written to, all relays were lost without an outage before, and all that they
-	// gave stands in it.
-	private void lookWhetherComplete() {
+	// Completes the ledger without a quorum of peers. If the log was written to shortly
+	// before the start, there was no outage and the log has all reservations. Otherwise
+	// earlier reservations are irrelevant after the longest retention of a route.
+	private void checkSynced() {
 		long waited = this.state.now - this.state.caughtUpAt;
 		if (this.state.logWasRecent && waited > RelaySettings.SYNC_TIMEOUT.toMillis()) {
-			complete();
+			markLedgerComplete();
 			return;
 		}
 		Duration longest = this.state.table.stream()
@@ -57,46 +56,46 @@
 			.max(Duration::compareTo)
 			.orElse(Duration.ZERO);
 		if (waited > longest.toMillis()) {
-			complete();
+			markLedgerComplete();
 		}
 	}
 
-	void routeTableUpdated(RouteTable read) {
-		if (this.state.table.isPresent() && this.state.table.get().version() >= read.version()) {
+	void routeTableUpdated(RouteTable table) {
+		if (this.state.table.isPresent() && this.state.table.get().version() >= table.version()) {
 			return;
 		}
-		this.state.table = Optional.of(read);
-		this.state.emit(new RelayEffect.ApplyLimits(read.limits()));
-		this.state.report(RelayNotices.routesAccepted(read));
+		this.state.table = Optional.of(table);
+		this.state.emit(new RelayEffect.ApplyLimits(table.limits()));
+		this.state.report(RelayNotices.routesAccepted(table));
 	}
 
 	void upstreamUpdated(Upstream upstream) {
-		Optional<Upstream> before = this.state.upstreams.find(upstream.id()).map(UpstreamState::upstream);
+		Optional<Upstream> previous = this.state.upstreams.find(upstream.id()).map(UpstreamState::upstream);
 		if (!this.state.upstreams.put(upstream)) {
-			tellUnusable(upstream.id(), UpstreamRecordError.EARLIER_LIFE);
+			reportInvalid(upstream.id(), UpstreamRecordError.EARLIER_LIFE);
 			return;
 		}
-		if (!before.equals(Optional.of(upstream))) {
+		if (!previous.equals(Optional.of(upstream))) {
 			this.state.report(RelayNotices.upstreamListed(upstream));
 		}
 	}
 
 	/**
-	 * Takes that a record names no upstream to use: an upstream that it named before is
-	 * used no more, and all others hold.
+	 * Handles an invalid upstream record: removes the upstream of the same key, if there
+	 * is one. Other upstreams are not affected.
 	 * @param key the key of the record
-	 * @param problem why
+	 * @param error the reason
 	 */
-	void upstreamInvalid(String key, UpstreamRecordError problem) {
-		tellUnusable(key, problem);
+	void upstreamInvalid(String key, UpstreamRecordError error) {
+		reportInvalid(key, error);
 		if (this.state.upstreams.find(key).isPresent()) {
 			upstreamRemoved(key);
 		}
 	}
 
-	private void tellUnusable(String key, UpstreamRecordError problem) {
-		if (this.problems.markReported(key, problem)) {
-			this.state.report(RelayNotices.upstreamInvalid(key, problem));
+	private void reportInvalid(String key, UpstreamRecordError error) {
+		if (this.reportedErrors.markReported(key, error)) {
+			this.state.report(RelayNotices.upstreamInvalid(key, error));
 		}
 	}
 
@@ -106,13 +105,13 @@
 	}
 
 	/**
-	 * Takes that the relay did not run for a while. What others gave to programs
-	 * meanwhile is not known here; decided on old beliefs, a turn that came during the
-	 * sleep could pass its budget. So turns wait until the log was read once more.
-	 * @param slept for how long
+	 * Handles a pause of the process. Reservations of other relays during the pause are
+	 * unknown, so a turn could exceed its budget. Turns wait until the relay has caught
+	 * up with the log again.
+	 * @param pause the length of the pause
 	 */
-	void processResumed(Duration slept) {
-		this.state.report(RelayNotices.processResumed(slept));
+	void processResumed(Duration pause) {
+		this.state.report(RelayNotices.processResumed(pause));
 		if (this.state.caughtUp) {
 			this.state.stale = true;
 			this.state.emit(new RelayEffect.CatchUp());
@@ -120,8 +119,8 @@
 	}
 
 	/**
-	 * Takes that another relay is linked, and tells it what it may not have heard while
-	 * it was not.
+	 * Handles a new connection to another relay, and sends it the uncommitted entries
+	 * that it may have missed.
 	 * @param peer the other relay
 	 */
 	void peerConnected(String peer) {
@@ -130,7 +129,7 @@
 	}
 
 	/**
-	 * Tells another relay what is known here beyond the log of programs that it keeps.
+	 * Sends another relay the uncommitted entries of the programs that it replicates.
 	 * @param peer the other relay
 	 */
 	void sendSync(String peer) {
@@ -146,7 +145,7 @@
 	}
 
 	/**
-	 * Takes that the link to another relay is lost.
+	 * Handles the loss of the connection to another relay.
 	 * @param peer the other relay
 	 */
 	void peerDisconnected(String peer) {
@@ -154,37 +153,37 @@
 	}
 
 	/**
-	 * Takes that another relay, which misses nothing, has told all that it knows beyond
-	 * the log. What was given without the log is known to a majority, of which this relay
-	 * may have been one before it started again; among so many others at least one other
-	 * member of it is.
+	 * Handles a completed sync from another relay whose ledger is complete. Uncommitted
+	 * reservations are known to a majority of the relays, which may have included this
+	 * relay before its restart. A quorum of other relays contains at least one other
+	 * member of that majority.
 	 * @param peer the other relay
-	 * @param others how many other relays are known
+	 * @param otherRelays the number of other known relays
 	 */
-	void syncReceived(String peer, int others) {
-		this.complete.add(peer);
-		boolean enough = this.complete.size() >= (others + 2) / 2;
-		if (enough) {
-			complete();
+	void syncReceived(String peer, int otherRelays) {
+		this.syncedPeers.add(peer);
+		boolean quorum = this.syncedPeers.size() >= (otherRelays + 2) / 2;
+		if (quorum) {
+			markLedgerComplete();
 		}
 	}
 
-	private void complete() {
+	private void markLedgerComplete() {
 		if (!this.state.ledgerComplete) {
 			this.state.ledgerComplete = true;
-			this.state.report(RelayNotices.syncCompleted(this.complete.size()));
+			this.state.report(RelayNotices.syncCompleted(this.syncedPeers.size()));
 		}
 	}
 
 	/**
-	 * Takes what the relay reaches. Of turns that wait for their place in a log that is
-	 * out of reach the other relays are asked at once.
-	 * @param reach what it reaches
+	 * Handles a change of connectivity. If the log is unreachable, the other relays are
+	 * asked immediately about turns that wait for a decision through the log.
+	 * @param connectivity the new connectivity
 	 */
-	void connectivityChanged(Connectivity reach) {
-		this.state.reach = reach;
-		this.state.report(RelayNotices.connectivityChanged(reach));
-		if (reach != Connectivity.LOG) {
+	void connectivityChanged(Connectivity connectivity) {
+		this.state.reach = connectivity;
+		this.state.report(RelayNotices.connectivityChanged(connectivity));
+		if (connectivity != Connectivity.LOG) {
 			List.copyOf(this.state.contending.values())
 				.forEach((number) -> this.budgets.orderDue(this.state.exchanges.get(number)));
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Teams.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Teams.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * Immutable view of the teams of a configuration by their API keys.
+ * Immutable view of the teams of a configuration, by their API keys.
  */
 public final class Teams {
 
@@ -14,7 +14,7 @@
 	private final Map<String, Team> byName;
 
 	/**
-	 * Creates teams.
+	 * Creates a view of teams.
 	 * @param byKey the teams by the digests of their keys
 	 */
 	public Teams(Map<KeyDigest, Team> byKey) {
@@ -25,25 +25,25 @@
 	}
 
 	/**
-	 * Finds the team that holds a key.
+	 * Finds the team of a key.
 	 * @param key the digest of the key
-	 * @return the team, or empty if none holds it
+	 * @return the team, or empty if the key is unknown
 	 */
 	public Optional<Team> findByKey(KeyDigest key) {
 		return Optional.ofNullable(this.byKey.get(key));
 	}
 
 	/**
-	 * Finds a team that holds a key.
+	 * Finds a team by name, among those with at least one key.
 	 * @param name the name of the team
-	 * @return the team, or empty if none of that name holds a key
+	 * @return the team, or empty if there is none
 	 */
 	public Optional<Team> findByName(String name) {
 		return Optional.ofNullable(this.byName.get(name));
 	}
 
 	/**
-	 * Returns how many teams hold keys.
+	 * Returns the number of teams with at least one key.
 	 * @return the number
 	 */
 	public int size() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
@@ -7,34 +7,32 @@
 import io.lentilslip.core.relay.RelayEvent.TimerKind;
 
 /**
- * How long an upstream may be silent before a request that may run twice leaves it, by
- * what its route says and by what answers take at this relay. Bounded: the routes that
- * were longest without an answer are forgotten. Used by one thread.
+ * Adaptive idle timeout after which a repeatable request moves to another upstream.
+ * Derived from the timeout of the route and the response latencies observed by this
+ * relay. Bounded: the least recently used route is evicted first. Not thread-safe.
  */
 final class UpstreamIdleTimeout {
 
 	/**
-	 * By how much a look may be late. A timer that is later shows that this relay did not
-	 * run: the answer may lie unread in its socket, and sent again the request would add
-	 * to the load that made the relay late. The next look comes after the relay has had
-	 * as long to read as it was late; once for each attempt, since a relay may always be
-	 * late.
+	 * The timer delay above which this relay is assumed to have been paused. The response
+	 * may then be unread in the socket, and a retry would add load to an overloaded
+	 * relay. The check is postponed by the delay, at most once per attempt.
 	 */
-	private static final long ON_TIME_MS = 20;
+	private static final long MAX_TIMER_DELAY_MS = 20;
 
 	/**
-	 * By how many times the patience of its route an upstream is waited for at most.
+	 * The maximum timeout in multiples of the idle timeout of the route.
 	 */
-	private static final int MOST = 4;
+	private static final int MAX_TIMEOUT_FACTOR = 4;
 
-	private static final int ROUTES = 4096;
+	private static final int MAX_ROUTES = 4096;
 
 	private final RelayState state;
 
-	private final Map<String, Waits> waits = new LinkedHashMap<>(64, 0.75f, true) {
+	private final Map<String, LatencyEstimator> latencies = new LinkedHashMap<>(64, 0.75f, true) {
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<String, Waits> eldest) {
-			return size() > ROUTES;
+		protected boolean removeEldestEntry(Map.Entry<String, LatencyEstimator> eldest) {
+			return size() > MAX_ROUTES;
 		}
 	};
 
@@ -43,91 +41,91 @@
 	}
 
 	/**
-	 * Takes that an upstream gave its first sign after a request was sent to it.
-	 * @param exchange the exchange, before it takes the sign
+	 * Records the latency of the first response data for a request.
+	 * @param exchange the exchange, before the response data is applied to it
 	 */
 	void recordFirstResponse(Exchange exchange) {
-		this.waits.computeIfAbsent(exchange.route().name(), (name) -> new Waits())
-			.took(this.state.now - exchange.lastActivityAt());
+		this.latencies.computeIfAbsent(exchange.route().name(), (name) -> new LatencyEstimator())
+			.record(this.state.now - exchange.lastActivityAt());
 	}
 
 	/**
-	 * Looks whether an upstream has been silent for too long, and looks again later if it
-	 * has not.
+	 * Checks whether the idle timeout of an exchange has expired, and schedules another
+	 * check if it has not.
 	 * @param exchange the exchange
-	 * @return whether it has
+	 * @return whether it has expired
 	 */
 	boolean hasExpired(Exchange exchange) {
-		long patience = patience(exchange.route());
-		long left = exchange.lastActivityAt() + patience - this.state.now;
-		long late = this.state.now - exchange.nextSilenceCheck();
-		if (left > 0) {
-			lookAgain(exchange, left);
+		long timeout = timeoutMillis(exchange.route());
+		long remaining = exchange.lastActivityAt() + timeout - this.state.now;
+		long timerDelay = this.state.now - exchange.nextSilenceCheck();
+		if (remaining > 0) {
+			schedule(exchange, remaining);
 			return false;
 		}
-		if (late > ON_TIME_MS && exchange.grantGrace()) {
-			lookAgain(exchange, Math.min(late, patience));
+		if (timerDelay > MAX_TIMER_DELAY_MS && exchange.grantGrace()) {
+			schedule(exchange, Math.min(timerDelay, timeout));
 			return false;
 		}
 		return true;
 	}
 
 	/**
-	 * Looks at the upstream of an exchange when its patience is over.
+	 * Starts the idle timeout of an exchange.
 	 * @param exchange the exchange
 	 */
 	void start(Exchange exchange) {
-		lookAgain(exchange, patience(exchange.route()));
+		schedule(exchange, timeoutMillis(exchange.route()));
 	}
 
-	private void lookAgain(Exchange exchange, long delay) {
+	private void schedule(Exchange exchange, long delay) {
 		exchange.nextSilenceCheck(this.state.now + delay);
 		this.state.startTimer(exchange, Duration.ofMillis(delay), TimerKind.UPSTREAM_IDLE);
 	}
 
-	private long patience(Route route) {
-		long least = route.idleTimeout().toMillis();
-		Waits known = this.waits.get(route.name());
-		return (known != null) ? Math.clamp(known.longest(), least, MOST * least) : least;
+	private long timeoutMillis(Route route) {
+		long min = route.idleTimeout().toMillis();
+		LatencyEstimator latency = this.latencies.get(route.name());
+		return (latency != null) ? Math.clamp(latency.upperBound(), min, MAX_TIMEOUT_FACTOR * min) : min;
 	}
 
 	/**
-	 * What answers of one route took lately, in the middle and around it: the estimate by
-	 * which TCP decides that a segment is lost (RFC 6298). Used by one thread.
+	 * Smoothed mean and deviation of the response latency of one route, as in TCP's
+	 * retransmission timeout (RFC 6298). Not thread-safe.
 	 */
-	private static final class Waits {
+	private static final class LatencyEstimator {
 
-		private static final double MIDDLE_GAIN = 1.0 / 8;
+		private static final double MEAN_GAIN = 1.0 / 8;
 
-		private static final double SPREAD_GAIN = 1.0 / 4;
+		private static final double DEVIATION_GAIN = 1.0 / 4;
 
-		private static final int SPREADS = 4;
+		private static final int DEVIATION_FACTOR = 4;
 
 		/**
-		 * The answers after which the estimate counts: the first ones say little of the
-		 * spread.
+		 * The number of samples before the estimate is used, since the deviation is
+		 * unreliable before that.
 		 */
-		private static final int ENOUGH = 8;
+		private static final int MIN_SAMPLES = 8;
 
-		private int answers;
+		private int samples;
 
-		private double middle;
+		private double mean;
 
-		private double spread;
+		private double deviation;
 
-		void took(long milliseconds) {
-			this.answers++;
-			if (this.answers == 1) {
-				this.middle = milliseconds;
-				this.spread = milliseconds / 2.0;
+		void record(long milliseconds) {
+			this.samples++;
+			if (this.samples == 1) {
+				this.mean = milliseconds;
+				this.deviation = milliseconds / 2.0;
 				return;
 			}
-			this.spread += SPREAD_GAIN * (Math.abs(milliseconds - this.middle) - this.spread);
-			this.middle += MIDDLE_GAIN * (milliseconds - this.middle);
+			this.deviation += DEVIATION_GAIN * (Math.abs(milliseconds - this.mean) - this.deviation);
+			this.mean += MEAN_GAIN * (milliseconds - this.mean);
 		}
 
-		long longest() {
-			return (this.answers < ENOUGH) ? 0 : Math.round(this.middle + SPREADS * this.spread);
+		long upperBound() {
+			return (this.samples < MIN_SAMPLES) ? 0 : Math.round(this.mean + DEVIATION_FACTOR * this.deviation);
 		}
 
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamRecordError.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamRecordError.java
@@ -1,38 +1,38 @@
 package io.lentilslip.core.relay;
 
 /**
- * Why a record of the list of upstreams names none that can be used. Safe for use by
- * several threads.
+ * Reason why a record in the list of upstreams is invalid. Safe for use by several
+ * threads.
  */
 public enum UpstreamRecordError {
 
 	/**
-	 * The bytes are no value, or too many.
+	 * The value can't be decoded, or is too large.
 	 */
 	UNREADABLE,
 
 	/**
-	 * A field is missing or of another type.
+	 * A field is missing or has the wrong type.
 	 */
 	FIELD,
 
 	/**
-	 * The address names no IP number and port.
+	 * The address is not an IP address with a port.
 	 */
 	ADDRESS,
 
 	/**
-	 * The state is not one that is known.
+	 * The state is unknown.
 	 */
 	STATE,
 
 	/**
-	 * The number of places is none that an upstream can have.
+	 * The number of slots is out of range.
 	 */
 	SLOTS,
 
 	/**
-	 * Its life began before the one that is known, or it does not say when.
+	 * The record is of an earlier incarnation than the known one, or has no start time.
 	 */
 	EARLIER_LIFE
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamSelector.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamSelector.java
@@ -12,71 +12,71 @@
 import io.lentilslip.core.relay.Upstreams.UpstreamState;
 
 /**
- * Chooses the upstream that is expected to be done with a request first: by what it has
- * to read of the prompt, by what it runs, and by its distance. Immutable and safe for use
- * by several threads as far as its random generator is.
+ * Selects the upstream with the lowest expected latency, based on the uncached part of
+ * the prompt, the load, and the availability zone. Immutable, and as thread-safe as its
+ * random generator.
  *
  * @param zone the availability zone of this relay
- * @param random breaks ties, so that relays with the same beliefs spread out
+ * @param random breaks ties, so that relays with the same view select different upstreams
  */
 record UpstreamSelector(String zone, RandomGenerator random) {
 
 	/**
-	 * The prompt tokens that an engine reads in a millisecond, of the order that the
-	 * users' engines show.
+	 * The prefill throughput of an engine in prompt tokens per millisecond.
 	 */
-	private static final double TOKENS_PER_MS = 147;
+	private static final double PREFILL_TOKENS_PER_MS = 147;
 
 	/**
-	 * Milliseconds by which one more request slows an engine's others and itself: each of
-	 * some 250 steps becomes about 0.04 ms longer, for it and for a neighbour.
+	 * The milliseconds by which one additional request slows down an engine, over all
+	 * decoding steps of a request.
 	 */
-	private static final double MS_PER_RUN = 15;
+	private static final double COST_PER_RUNNING_REQUEST_MS = 15;
 
 	/**
-	 * Milliseconds that a request waits at a plain service when all places are taken,
-	 * spread over the places.
+	 * The milliseconds that a request waits at a plain service with all slots in use;
+	 * proportional to the fraction of slots in use.
 	 */
-	private static final double MS_AT_FULL_SERVICE = 100;
+	private static final double COST_OF_FULL_SERVICE_MS = 100;
 
 	/**
-	 * Milliseconds for which an upstream that the object of a request leads to is
-	 * preferred: less than one more request makes at a service of up to ten places, so
-	 * that an object does not queue behind others there for the sake of being known.
+	 * The milliseconds by which the affinity target is preferred. At most the cost of one
+	 * request at a service of up to ten slots, so that affinity does not cause queueing
+	 * there.
 	 */
-	private static final double MS_OF_KNOWN_OBJECT = 10;
+	private static final double AFFINITY_BONUS_MS = 10;
 
 	/**
-	 * Milliseconds that another zone costs there and back.
+	 * The additional round-trip time to another availability zone in milliseconds.
 	 */
-	private static final double MS_OF_OTHER_ZONE = 3;
+	private static final double CROSS_ZONE_COST_MS = 3;
 
 	/**
-	 * A penalty above every sum of the others: an upstream that has just failed is used
-	 * only if all have.
+	 * A penalty that exceeds the sum of all other costs, so that an ejected upstream is
+	 * used only if all are ejected.
 	 */
-	private static final double MS_OF_AVOIDED = 1_000_000;
+	private static final double EJECTED_COST_MS = 1_000_000;
 
 	/**
-	 * How many of the best candidates are kept, for those who ask why.
+	 * The number of ranked candidates that are kept for the event log.
 	 */
-	private static final int KEPT = 3;
+	private static final int MAX_RANKED = 3;
 
 	/**
-	 * How many upstreams one request chooses from, drawn at random (the power of a few
-	 * choices). Beliefs about load are some hundred milliseconds old: relays that all
-	 * chose the best of many would all choose the same one until word of it comes round.
+	 * The number of upstreams sampled for one request (power of d choices). Load reports
+	 * are delayed, so relays that always selected the global minimum would all select the
+	 * same upstream until the next report.
 	 */
-	private static final int DRAWN = 5;
+	private static final int SAMPLE_SIZE = 5;
 
 	/**
-	 * Weighs upstreams.
+	 * Ranks upstreams by cost.
 	 * @param candidates the upstreams
-	 * @param excluded the ids of those that are not to be chosen
+	 * @param excluded the ids of upstreams that must not be selected
 	 * @param prompt the prompt
-	 * @param engine whether they are engines
-	 * @param now when
-	 * @return the best ones, the best first; empty if there is none to choose
+	 * @param engine whether the upstreams are model engines
+	 * @param now the current time
+	 * @return the upstreams with the lowest cost, in ascending order; empty if there are
+	 * none
 	 */
 	List<RankedUpstream> rank(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt,
 			boolean engine, long now) {
@@ -84,107 +84,109 @@
 	}
 
 	/**
-	 * Weighs upstreams for a request about an object.
+	 * Ranks upstreams by cost for a request with an affinity key.
 	 * @param candidates the upstreams
-	 * @param excluded the ids of those that are not to be chosen
+	 * @param excluded the ids of upstreams that must not be selected
 	 * @param prompt the prompt
-	 * @param engine whether they are engines
-	 * @param object the object, if an upstream that knows it is faster
-	 * @param now when
-	 * @return the best ones, the best first; empty if there is none to choose
+	 * @param engine whether the upstreams are model engines
+	 * @param affinityKey the affinity key, if the route uses affinity
+	 * @param now the current time
+	 * @return the upstreams with the lowest cost, in ascending order; empty if there are
+	 * none
 	 */
 	List<RankedUpstream> rank(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt,
-			boolean engine, Optional<String> object, long now) {
-		Optional<UpstreamState> home = object.flatMap((name) -> home(candidates, name));
-		List<RankedUpstream> best = new ArrayList<>(KEPT + 1);
-		for (UpstreamState candidate : draw(candidates, excluded, prompt, home, now)) {
-			insert(best, rank(candidate, prompt, engine, home.isPresent() && home.get() == candidate, now));
+			boolean engine, Optional<String> affinityKey, long now) {
+		Optional<UpstreamState> target = affinityKey.flatMap((name) -> affinityTarget(candidates, name));
+		List<RankedUpstream> best = new ArrayList<>(MAX_RANKED + 1);
+		for (UpstreamState candidate : sample(candidates, excluded, prompt, target, now)) {
+			insert(best, score(candidate, prompt, engine, target.isPresent() && target.get() == candidate, now));
 		}
 		return best;
 	}
 
-	private Set<UpstreamState> draw(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt,
-			Optional<UpstreamState> home, long now) {
-		List<UpstreamState> allowed = new ArrayList<>(candidates.size());
+	private Set<UpstreamState> sample(List<UpstreamState> candidates, Set<String> excluded, List<PromptPart> prompt,
+			Optional<UpstreamState> target, long now) {
+		List<UpstreamState> eligible = new ArrayList<>(candidates.size());
 		for (UpstreamState candidate : candidates) {
 			if (!excluded.contains(candidate.upstream().id())) {
-				allowed.add(candidate);
+				eligible.add(candidate);
 			}
 		}
-		List<UpstreamState> well = allowed.stream().filter((candidate) -> !candidate.isEjected(now)).toList();
-		List<UpstreamState> from = well.isEmpty() ? allowed : well;
-		if (from.size() <= DRAWN) {
-			return new LinkedHashSet<>(allowed);
+		List<UpstreamState> healthy = eligible.stream().filter((candidate) -> !candidate.isEjected(now)).toList();
+		List<UpstreamState> pool = healthy.isEmpty() ? eligible : healthy;
+		if (pool.size() <= SAMPLE_SIZE) {
+			return new LinkedHashSet<>(eligible);
 		}
-		Set<UpstreamState> drawn = new LinkedHashSet<>();
-		while (drawn.size() < DRAWN) {
-			drawn.add(from.get(this.random.nextInt(from.size())));
+		Set<UpstreamState> sampled = new LinkedHashSet<>();
+		while (sampled.size() < SAMPLE_SIZE) {
+			sampled.add(pool.get(this.random.nextInt(pool.size())));
 		}
-		// The upstreams that know most of the prompt may be worth a queue.
-		from.stream()
+		// The upstream with the most cached tokens may be the best one despite its load.
+		pool.stream()
 			.min(Comparator.<UpstreamState>comparingLong((candidate) -> candidate.uncachedTokens(prompt))
 				.thenComparingInt((candidate) -> candidate.load(now)))
-			.ifPresent(drawn::add);
-		home.filter(from::contains).ifPresent(drawn::add);
-		return drawn;
+			.ifPresent(sampled::add);
+		target.filter(pool::contains).ifPresent(sampled::add);
+		return sampled;
 	}
 
-	// All relays come to the same upstream without telling each other. An upstream that
-	// comes or goes moves only the objects that lead to it.
-	private static Optional<UpstreamState> home(List<UpstreamState> candidates, String object) {
-		Optional<UpstreamState> home = Optional.empty();
+	// Rendezvous hashing: all relays select the same upstream without coordination, and
+	// a membership change moves only the keys of the affected upstream.
+	private static Optional<UpstreamState> affinityTarget(List<UpstreamState> candidates, String affinityKey) {
+		Optional<UpstreamState> target = Optional.empty();
 		int highest = Integer.MIN_VALUE;
 		for (UpstreamState candidate : candidates) {
-			long seed = ((long) object.hashCode() << Integer.SIZE) ^ candidate.upstream().incarnationId().hashCode();
+			long seed = ((long) affinityKey.hashCode() << Integer.SIZE)
+					^ candidate.upstream().incarnationId().hashCode();
 			int score = new SplittableRandom(seed).nextInt();
-			if (home.isEmpty() || score > highest) {
-				home = Optional.of(candidate);
+			if (target.isEmpty() || score > highest) {
+				target = Optional.of(candidate);
 				highest = score;
 			}
 		}
-		return home;
+		return target;
 	}
 
 	private static void insert(List<RankedUpstream> best, RankedUpstream next) {
-		int place = best.size();
-		while (place > 0 && best.get(place - 1).costMillis() > next.costMillis()) {
-			place--;
+		int index = best.size();
+		while (index > 0 && best.get(index - 1).costMillis() > next.costMillis()) {
+			index--;
 		}
-		if (place < KEPT) {
-			best.add(place, next);
+		if (index < MAX_RANKED) {
+			best.add(index, next);
 		}
-		if (best.size() > KEPT) {
+		if (best.size() > MAX_RANKED) {
 			best.removeLast();
 		}
 	}
 
-	private RankedUpstream rank(UpstreamState candidate, List<PromptPart> prompt, boolean engine, boolean home,
+	private RankedUpstream score(UpstreamState candidate, List<PromptPart> prompt, boolean engine, boolean target,
 			long now) {
 		int load = candidate.load(now);
-		long unread = candidate.uncachedTokens(prompt);
+		long uncached = candidate.uncachedTokens(prompt);
 		double cost = this.random.nextDouble();
-		cost += engine ? engineCost(candidate, load, unread) : (MS_AT_FULL_SERVICE * load / candidate.slots());
-		cost += candidate.upstream().zone().equals(this.zone) ? 0 : MS_OF_OTHER_ZONE;
-		cost -= home ? MS_OF_KNOWN_OBJECT : 0;
-		cost += candidate.isEjected(now) ? MS_OF_AVOIDED : 0;
-		return new RankedUpstream(candidate, load, unread, cost);
+		cost += engine ? engineCost(candidate, load, uncached) : (COST_OF_FULL_SERVICE_MS * load / candidate.slots());
+		cost += candidate.upstream().zone().equals(this.zone) ? 0 : CROSS_ZONE_COST_MS;
+		cost -= target ? AFFINITY_BONUS_MS : 0;
+		cost += candidate.isEjected(now) ? EJECTED_COST_MS : 0;
+		return new RankedUpstream(candidate, load, uncached, cost);
 	}
 
-	// While an engine reads a prompt, all that runs there waits: what is read again costs
-	// each of them as much as the request itself. Counted for the request alone, a
-	// program would leave the engine that knows it for one that seems a little less busy.
-	private static double engineCost(UpstreamState candidate, int load, long unread) {
-		int runs = Math.min(load, candidate.slots());
-		return unread / TOKENS_PER_MS * (1 + runs) + MS_PER_RUN * load;
+	// Prefill blocks all running requests of an engine, so its cost is multiplied by
+	// their number. Otherwise a program would move from the engine that has its prompt
+	// cached to a slightly less loaded one.
+	private static double engineCost(UpstreamState candidate, int load, long uncached) {
+		int running = Math.min(load, candidate.slots());
+		return uncached / PREFILL_TOKENS_PER_MS * (1 + running) + COST_PER_RUNNING_REQUEST_MS * load;
 	}
 
 	/**
-	 * An upstream with what it is expected to cost, and by what. Immutable.
+	 * Immutable upstream with its expected cost and the inputs of the cost.
 	 *
-	 * @param candidate the upstream
-	 * @param load the requests that it is believed to run
-	 * @param unread the tokens of the prompt that it is believed not to have cached
-	 * @param cost the cost in milliseconds
+	 * @param state the state of the upstream
+	 * @param load the estimated number of requests
+	 * @param uncachedTokens the tokens of the prompt that are assumed not to be cached
+	 * @param costMillis the expected cost in milliseconds
 	 */
 	record RankedUpstream(UpstreamState state, int load, long uncachedTokens, double costMillis) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Upstreams.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Upstreams.java
@@ -11,32 +11,32 @@
 import java.util.Set;
 
 /**
- * What a relay believes of the upstreams: who is listed, what each runs, what each has in
- * its cache, and which are avoided. A wrong belief costs time, never a wrong answer. Used
- * by one thread.
+ * A relay's view of the upstreams: which are listed, and the estimated load, cache
+ * content and ejection of each. A wrong estimate costs latency, never correctness. Not
+ * thread-safe.
  */
 final class Upstreams {
 
 	/**
-	 * How long a run that nobody settled counts as load. Its relay died; callers do not
-	 * wait longer than this.
+	 * The time after which an unsettled request no longer counts as load, since its relay
+	 * has failed. Exceeds the timeouts of callers.
 	 */
 	private static final long RUN_EXPIRY_MS = 5_000;
 
 	/**
-	 * How long an upstream's own count of its load is believed: about the time in which a
-	 * plain service's queue turns over.
+	 * The time for which a load report is used: about the time in which the queue of a
+	 * plain service drains.
 	 */
 	private static final long REPORT_MAX_AGE_MS = 300;
 
 	/**
-	 * How many counts are passed on at once: enough for news of each upstream to reach
-	 * all relays within a few messages, few enough for a message to stay in one packet.
+	 * The maximum number of load reports in a message: enough to reach all relays within
+	 * a few messages, few enough to fit into one packet.
 	 */
 	private static final int MAX_SHARED_LOADS = 16;
 
 	/**
-	 * How many lives are remembered by the order of their counts.
+	 * The maximum number of incarnations ordered by their load reports.
 	 */
 	private static final int MAX_REPORTING = 4096;
 
@@ -45,8 +45,8 @@
 	private static final long MAX_EJECTION_MS = 4_000;
 
 	/**
-	 * How many requests are known to run, above what all relays of a site run at once.
-	 * Ends that never come would let them grow without it.
+	 * The maximum number of tracked requests, more than a site has in flight. Bounds
+	 * memory when the ends of requests are lost.
 	 */
 	private static final int MAX_RUNNING = 50_000;
 
@@ -59,7 +59,7 @@
 	private final Map<Integer, UpstreamState> byIncarnationHash = new HashMap<>();
 
 	/**
-	 * The upstreams that told their load, the one that did so last at the end.
+	 * The upstreams that have reported their load, the most recent report last.
 	 */
 	private final LinkedHashMap<Integer, UpstreamState> byReportTime = new LinkedHashMap<>() {
 		@Override
@@ -79,42 +79,43 @@
 	}
 
 	/**
-	 * Takes what an upstream says of itself. A new life holds and knows nothing of the
-	 * one before, so nothing that was believed of that one is kept.
+	 * Adds or updates an upstream. A new incarnation starts without cache or running
+	 * requests, so the state of the previous one is discarded.
 	 * @param upstream the upstream
-	 * @return whether it was taken: a claim of an earlier life changes nothing
+	 * @return whether the record was applied; false if it is of an earlier incarnation
 	 */
 	boolean put(Upstream upstream) {
-		UpstreamState before = this.byId.get(upstream.id());
-		if (before != null && !upstream.supersedes(before.upstream)) {
+		UpstreamState previous = this.byId.get(upstream.id());
+		if (previous != null && !upstream.supersedes(previous.upstream)) {
 			return false;
 		}
-		boolean sameLife = before != null && before.upstream.incarnationId().equals(upstream.incarnationId());
-		if (!sameLife) {
+		boolean sameIncarnation = previous != null
+				&& previous.upstream.incarnationId().equals(upstream.incarnationId());
+		if (!sameIncarnation) {
 			remove(upstream.id());
 		}
-		UpstreamState now = sameLife ? before : new UpstreamState();
-		now.upstream = upstream;
-		this.byId.put(upstream.id(), now);
-		this.byIncarnation.put(upstream.incarnationId(), now);
-		this.byIncarnationHash.put(upstream.incarnationId().hashCode(), now);
+		UpstreamState state = sameIncarnation ? previous : new UpstreamState();
+		state.upstream = upstream;
+		this.byId.put(upstream.id(), state);
+		this.byIncarnation.put(upstream.incarnationId(), state);
+		this.byIncarnationHash.put(upstream.incarnationId().hashCode(), state);
 		return true;
 	}
 
 	void remove(String id) {
-		UpstreamState gone = this.byId.remove(id);
-		if (gone != null) {
-			this.byIncarnation.remove(gone.upstream.incarnationId());
-			this.byIncarnationHash.remove(gone.upstream.incarnationId().hashCode());
-			this.byReportTime.remove(gone.upstream.incarnationId().hashCode());
+		UpstreamState removed = this.byId.remove(id);
+		if (removed != null) {
+			this.byIncarnation.remove(removed.upstream.incarnationId());
+			this.byIncarnationHash.remove(removed.upstream.incarnationId().hashCode());
+			this.byReportTime.remove(removed.upstream.incarnationId().hashCode());
 		}
 	}
 
 	/**
-	 * Notes that an upstream runs a request of another relay.
+	 * Records that an upstream runs a request of another relay.
 	 * @param request the request
 	 * @param upstream the upstream
-	 * @param now when it began
+	 * @param now the time at which it started
 	 */
 	void requestStarted(String request, UpstreamState upstream, long now) {
 		if (this.running.get(request) == upstream) {
@@ -125,10 +126,10 @@
 	}
 
 	/**
-	 * Notes that an upstream was sent a request by this relay.
+	 * Records that this relay sent a request to an upstream.
 	 * @param request the request
 	 * @param upstream the upstream
-	 * @param now when
+	 * @param now the current time
 	 */
 	void requestSent(String request, UpstreamState upstream, long now) {
 		addRun(request, upstream);
@@ -144,7 +145,7 @@
 	}
 
 	/**
-	 * Notes that a request has ended wherever it ran.
+	 * Records that a request has ended, at whichever upstream it ran.
 	 * @param request the request
 	 */
 	void requestEnded(String request) {
@@ -155,24 +156,23 @@
 	}
 
 	/**
-	 * Takes an upstream's own count of its load.
+	 * Records a load report of an upstream.
 	 * @param upstream the upstream
-	 * @param requests the requests that run or wait there
-	 * @param at when it counted
+	 * @param requests the number of running and queued requests
+	 * @param at the time of the report
 	 */
 	void loadReported(UpstreamState upstream, int requests, long at) {
-		if (upstream.reported(requests, at)) {
-			int life = upstream.upstream.incarnationId().hashCode();
-			this.byReportTime.remove(life);
-			this.byReportTime.put(life, upstream);
+		if (upstream.updateReport(requests, at)) {
+			int hash = upstream.upstream.incarnationId().hashCode();
+			this.byReportTime.remove(hash);
+			this.byReportTime.put(hash, upstream);
 		}
 	}
 
 	/**
-	 * Takes counts that another relay passes on. Older ones than are known change
-	 * nothing.
-	 * @param loads the counts
-	 * @param now when
+	 * Merges load reports shared by another relay. Outdated reports are ignored.
+	 * @param loads the reports
+	 * @param now the current time
 	 */
 	void mergeLoads(List<UpstreamLoad> loads, long now) {
 		for (UpstreamLoad load : loads) {
@@ -184,22 +184,22 @@
 	}
 
 	/**
-	 * Returns the counts of load that were heard last, to be passed on.
-	 * @param now when
-	 * @return the counts that are still believed, a bounded number
+	 * Returns the most recent load reports, to be shared with other relays.
+	 * @param now the current time
+	 * @return a bounded number of reports that have not expired
 	 */
 	List<UpstreamLoad> recentLoads(long now) {
-		List<UpstreamLoad> newest = new ArrayList<>();
+		List<UpstreamLoad> recent = new ArrayList<>();
 		for (UpstreamState next : this.byReportTime.sequencedValues().reversed()) {
 			long age = now - next.reportedAt;
-			if (newest.size() == MAX_SHARED_LOADS) {
+			if (recent.size() == MAX_SHARED_LOADS) {
 				break;
 			}
 			if (age < REPORT_MAX_AGE_MS) {
-				newest.add(new UpstreamLoad(next.upstream.incarnationId().hashCode(), next.reported, (int) age));
+				recent.add(new UpstreamLoad(next.upstream.incarnationId().hashCode(), next.reportedLoad, (int) age));
 			}
 		}
-		return newest;
+		return recent;
 	}
 
 	boolean initialized() {
@@ -211,31 +211,31 @@
 	}
 
 	/**
-	 * Returns what is believed of one life of an upstream.
-	 * @param life the name of the life
-	 * @return the belief, or empty if that life is over or not known
+	 * Finds an incarnation of an upstream.
+	 * @param incarnationId the id of the incarnation
+	 * @return its state, or empty if the incarnation is replaced or unknown
 	 */
-	Optional<UpstreamState> findIncarnation(String life) {
-		return Optional.ofNullable(this.byIncarnation.get(life));
+	Optional<UpstreamState> findIncarnation(String incarnationId) {
+		return Optional.ofNullable(this.byIncarnation.get(incarnationId));
 	}
 
 	/**
-	 * Returns the upstreams of a service that take new work.
+	 * Returns the upstreams of a service that accept new requests.
 	 * @param service the service
 	 * @return the upstreams
 	 */
 	List<UpstreamState> available(String service) {
-		List<UpstreamState> taking = new ArrayList<>();
+		List<UpstreamState> available = new ArrayList<>();
 		for (UpstreamState candidate : this.byId.values()) {
 			if (candidate.upstream.service().equals(service) && !candidate.upstream.draining()) {
-				taking.add(candidate);
+				available.add(candidate);
 			}
 		}
-		return taking;
+		return available;
 	}
 
 	/**
-	 * What is believed of one upstream. Used by one thread.
+	 * Estimated state of one upstream incarnation. Not thread-safe.
 	 */
 	static final class UpstreamState {
 
@@ -247,7 +247,7 @@
 
 		private long cachedTokens;
 
-		private int reported;
+		private int reportedLoad;
 
 		private long reportedAt = Long.MIN_VALUE / 2;
 
@@ -275,19 +275,19 @@
 			this.runs.remove(request);
 		}
 
-		private boolean reported(int requests, long at) {
+		private boolean updateReport(int requests, long at) {
 			if (at < this.reportedAt) {
 				return false;
 			}
-			this.reported = requests;
+			this.reportedLoad = requests;
 			this.reportedAt = at;
 			return true;
 		}
 
 		/**
-		 * Returns how old the upstream's own count of its load is.
-		 * @param now when
-		 * @return the age in milliseconds, or empty if it has not told any
+		 * Returns the age of the last load report.
+		 * @param now the current time
+		 * @return the age in milliseconds, or empty if there is no report
 		 */
 		OptionalLong reportAge(long now) {
 			return (this.reportedAt >= 0) ? OptionalLong.of(now - this.reportedAt) : OptionalLong.empty();
@@ -308,35 +308,35 @@
 		}
 
 		/**
-		 * Returns how many requests are believed to run or wait there: what the upstream
-		 * counted last, with what this relay has sent since, and for want of a fresh
-		 * count what this relay and the log know of.
-		 * @param now when
-		 * @return the number
+		 * Estimates the number of running and queued requests: the last load report plus
+		 * the requests that this relay has sent since, or without a recent report the
+		 * requests known from this relay and the log.
+		 * @param now the current time
+		 * @return the estimate
 		 */
 		int load(long now) {
 			this.runs.values().removeIf((run) -> now - run.startedAt() > RUN_EXPIRY_MS);
 			if (now - this.reportedAt >= REPORT_MAX_AGE_MS) {
 				return this.runs.size();
 			}
-			int own = 0;
-			int since = 0;
+			int local = 0;
+			int sentSinceReport = 0;
 			for (Run run : this.runs.values()) {
-				own += run.local() ? 1 : 0;
-				since += (run.local() && run.startedAt() > this.reportedAt) ? 1 : 0;
+				local += run.local() ? 1 : 0;
+				sentSinceReport += (run.local() && run.startedAt() > this.reportedAt) ? 1 : 0;
 			}
-			return Math.max(own, this.reported + since);
+			return Math.max(local, this.reportedLoad + sentSinceReport);
 		}
 
 		/**
-		 * Notes that the parts of a prompt are now in the upstream's cache.
+		 * Records that the parts of a prompt are in the cache of the upstream.
 		 * @param prompt the parts, in order
-		 * @param capacity the tokens that the cache holds
+		 * @param capacity the capacity of the cache in tokens
 		 */
 		void addToCache(List<PromptPart> prompt, long capacity) {
 			for (PromptPart part : prompt) {
-				Integer before = this.cache.put(part.id(), part.tokens());
-				this.cachedTokens += part.tokens() - ((before != null) ? before : 0);
+				Integer previous = this.cache.put(part.id(), part.tokens());
+				this.cachedTokens += part.tokens() - ((previous != null) ? previous : 0);
 			}
 			while (this.cachedTokens > capacity && !this.cache.isEmpty()) {
 				this.cachedTokens -= this.cache.pollFirstEntry().getValue();
@@ -344,10 +344,10 @@
 		}
 
 		/**
-		 * Returns how many tokens of a prompt have to be read. A part counts as cached
-		 * only if all parts before it are.
+		 * Returns the number of tokens of a prompt that have to be prefilled. A part
+		 * counts as cached only if all preceding parts are.
 		 * @param prompt the parts, in order
-		 * @return the tokens
+		 * @return the number of tokens
 		 */
 		long uncachedTokens(List<PromptPart> prompt) {
 			long tokens = 0;
@@ -360,10 +360,10 @@
 		}
 
 		/**
-		 * A request that runs. Immutable.
+		 * Immutable record of a running request.
 		 *
-		 * @param since when it began
-		 * @param own whether this relay sent it
+		 * @param startedAt the time at which it started
+		 * @param local whether this relay sent it
 		 */
 		private record Run(long startedAt, boolean local) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The relay: decides how requests that callers address to routes reach upstreams, are
- * repeated, refused, recorded and ended.
+ * Decisions of a relay: how requests to routes are sent to upstreams, retried, rejected,
+ * recorded and completed.
  */
 package io.lentilslip.core.relay;
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/PoisonRequestsTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/PoisonRequestsTests.java
@@ -6,33 +6,33 @@
 
 class PoisonRequestsTests {
 
-	private final PoisonRequests blames = new PoisonRequests();
+	private final PoisonRequests poisonRequests = new PoisonRequests();
 
 	@Test
-	void requestIsStoppedAfterThreeLives() {
-		this.blames.recordFailure(1, "a");
-		this.blames.recordFailure(1, "b");
-		assertThat(this.blames.isPoison(1)).isFalse();
-		this.blames.recordFailure(1, "c");
-		assertThat(this.blames.isPoison(1)).isTrue();
+	void requestIsPoisonAfterThreeFailedIncarnations() {
+		this.poisonRequests.recordFailure(1, "a");
+		this.poisonRequests.recordFailure(1, "b");
+		assertThat(this.poisonRequests.isPoison(1)).isFalse();
+		this.poisonRequests.recordFailure(1, "c");
+		assertThat(this.poisonRequests.isPoison(1)).isTrue();
 	}
 
-	// One life of an upstream breaks off once; the same news comes over a link and by the
-	// log. Counted twice, an innocent request would be stopped.
+	// The failure of one incarnation is reported by a peer and by the log. Counting it
+	// twice would block a harmless request.
 	@Test
-	void oneLifeCountsOnce() {
+	void incarnationCountsOnce() {
 		for (int i = 0; i < 5; i++) {
-			this.blames.recordFailure(1, "a");
+			this.poisonRequests.recordFailure(1, "a");
 		}
-		assertThat(this.blames.isPoison(1)).isFalse();
+		assertThat(this.poisonRequests.isPoison(1)).isFalse();
 	}
 
 	@Test
-	void otherRequestsAreNotStopped() {
-		this.blames.recordFailure(1, "a");
-		this.blames.recordFailure(1, "b");
-		this.blames.recordFailure(1, "c");
-		assertThat(this.blames.isPoison(2)).isFalse();
+	void otherRequestsAreNotPoison() {
+		this.poisonRequests.recordFailure(1, "a");
+		this.poisonRequests.recordFailure(1, "b");
+		this.poisonRequests.recordFailure(1, "c");
+		assertThat(this.poisonRequests.isPoison(2)).isFalse();
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaProperties.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaProperties.java
@@ -14,16 +14,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Quotas that relays count together while they are killed, freeze and start again.
+ * Quotas across relays that are killed, paused and restarted.
  */
 class QuotaProperties {
 
 	private static final String TEAM = "team";
 
-	// A team sends several times its quota while relays that count for it are lost, and
-	// each begins to count anew.
+	// Guards against exceeding the quota when coordinators fail and new ones start with
+	// initial permits.
 	@Property(tries = 200, seed = "4731")
-	void noWindowRunsMoreThanTheQuotaAllows(@ForAll @IntRange(min = 1, max = 12) int relays,
+	void noWindowExceedsTheQuota(@ForAll @IntRange(min = 1, max = 12) int relays,
 			@ForAll @IntRange(min = 1, max = 60) int rate, @ForAll long seed) {
 		Random random = new Random(seed);
 		Quota quota = new Quota(rate, random.nextInt(rate + 1));
@@ -36,51 +36,49 @@
 				site.kill(random.nextInt(relays), after, time);
 			}
 			else {
-				site.freeze(random.nextInt(relays), after, time);
+				site.pause(random.nextInt(relays), after, time);
 			}
 		}
 		site.run(Duration.ofSeconds(20));
-		assertThat((double) site.mostInWindow(TEAM)).isLessThanOrEqualTo(QuotaSite.TOLERANCE.bound(quota));
-		assertThat(site.ran(TEAM)).hasSizeGreaterThan(rate * 5);
+		assertThat((double) site.maxInWindow(TEAM)).isLessThanOrEqualTo(QuotaSite.TOLERANCE.windowLimit(quota));
+		assertThat(site.completed(TEAM)).hasSizeGreaterThan(rate * 5);
 	}
 
-	// Teams of a request or two a second over thirty relays: a part for each relay is
-	// less than one request.
+	// Guards against splitting a quota between relays: each share would be less than one
+	// request.
 	@Property(tries = 50, seed = "4732")
-	void smallTeamWithinItsQuotaIsNotRefused(@ForAll long seed) {
+	void smallTeamWithinItsQuotaIsNotRejected(@ForAll long seed) {
 		Random random = new Random(seed);
 		QuotaSite site = QuotaSite.of(30, Map.of(TEAM, new Quota(2, 2)), random);
 		load(site, random, 1.25, 30);
 		site.run(Duration.ofSeconds(35));
-		assertThat(site.refused(TEAM)).isEmpty();
+		assertThat(site.rejected(TEAM)).isEmpty();
 	}
 
 	@Property(tries = 20, seed = "4733")
-	void largeTeamWithinItsQuotaIsNotRefused(@ForAll long seed) {
+	void largeTeamWithinItsQuotaIsNotRejected(@ForAll long seed) {
 		Random random = new Random(seed);
 		QuotaSite site = QuotaSite.of(30, Map.of(TEAM, new Quota(160, 160)), random);
 		load(site, random, 100, 20);
 		site.run(Duration.ofSeconds(25));
-		assertThat(site.refused(TEAM)).isEmpty();
+		assertThat(site.rejected(TEAM)).isEmpty();
 	}
 
-	// Each relay would take part in each decision: what a request costs must not grow
-	// with their number.
+	// Guards against decisions that involve every relay.
 	@Test
-	void messagesOfARequestDoNotGrowWithTheNumberOfRelays() {
+	void messagesPerRequestDoNotGrowWithTheNumberOfRelays() {
 		for (int relays : new int[] { 7, 30, 300 }) {
 			Random random = new Random(relays);
 			QuotaSite site = QuotaSite.of(relays, Map.of(TEAM, new Quota(100, 100)), random);
 			load(site, random, 50, 20);
 			site.run(Duration.ofSeconds(25));
-			assertThat(site.messages()).isLessThanOrEqualTo(2 * site.asked());
+			assertThat(site.messages()).isLessThanOrEqualTo(2 * site.requests());
 		}
 	}
 
-	// A team that sends five times its quota is served by programs that end, not by
-	// single requests of all.
+	// A team at five times its quota completes some programs, instead of parts of all.
 	@Test
-	void programsOfATeamBeyondItsQuotaAreServedWhole() {
+	void teamOverItsQuotaCompletesPrograms() {
 		Random random = new Random(5);
 		QuotaSite site = QuotaSite.of(30, Map.of(TEAM, new Quota(30, 30)), random);
 		int requests = 15;
@@ -90,7 +88,7 @@
 					Duration.ofMillis(random.nextInt(20_000)));
 		}
 		site.run(Duration.ofSeconds(30));
-		assertThat(site.whole(requests)).isGreaterThan(programs / 8);
+		assertThat(site.completedPrograms(requests)).isGreaterThan(programs / 8);
 	}
 
 	private static void load(QuotaSite site, Random random, double perSecond, int seconds) {
@@ -101,9 +99,9 @@
 	}
 
 	@Test
-	void teamWithoutAQuotaAsksNobody() {
+	void teamWithoutAQuotaSendsNoPermitRequests() {
 		QuotaSite site = QuotaSite.of(7, Map.of("other", new Quota(1, 1)), new Random(1));
-		assertThat(List.of(site.messages(), site.asked())).containsOnly(0L);
+		assertThat(List.of(site.messages(), site.requests())).containsOnly(0L);
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
@@ -17,7 +17,7 @@
 
 class QuotaRulesTests {
 
-	private static final Duration LATER = Duration.ofMillis(700);
+	private static final Duration RETRY_AFTER = Duration.ofMillis(700);
 
 	private final RelayFixture relay = RelayFixture.ready();
 
@@ -32,29 +32,29 @@
 		this.relay.all.clear();
 	}
 
-	// Two requests of one program wait, and the permit of the second one goes to a
-	// program that was turned away.
+	// Guards against assigning the admission of one program to another if two requests
+	// of a program wait.
 	@Test
-	void eachProgramThatBeginsGetsItsOwnAnswer() {
-		ask("r1", "p");
-		PermitRequest first = requested().getFirst();
-		ask("r2", "q");
-		ask("r3", "q");
-		ask("r4", "s");
+	void eachNewProgramIsAdmittedSeparately() {
+		sendRequest("r1", "p");
+		PermitRequest first = permitRequests().getFirst();
+		sendRequest("r2", "q");
+		sendRequest("r3", "q");
+		sendRequest("r4", "s");
 		grant(first, 0, true);
-		PermitRequest second = requested().getLast();
+		PermitRequest second = permitRequests().getLast();
 		assertThat(second.newPrograms()).hasSize(3);
 		List<RelayEffect> granted = grant(second, 0, true, true, false);
 		assertThat(RelayFixture.ofType(granted, RelayEffect.SendRequest.class)).hasSize(2);
 		assertThat(RelayFixture.ofType(granted, RelayEffect.Refuse.class)).singleElement()
-			.isEqualTo(new RelayEffect.Refuse(this.relay.exchange(), Refusal.QUOTA_SPENT, Optional.of(LATER)));
+			.isEqualTo(new RelayEffect.Refuse(this.relay.exchange(), Refusal.QUOTA_SPENT, Optional.of(RETRY_AFTER)));
 	}
 
-	// The relay that counts for the team is lost: requests wait for it until their
-	// callers leave.
+	// Guards against requests that wait for a failed coordinator until their callers
+	// disconnect.
 	@Test
-	void nextRelayIsAskedWhereTheFirstDoesNotAnswer() {
-		ask("r1", "p");
+	void nextCoordinatorIsAskedIfTheFirstDoesNotReply() {
+		sendRequest("r1", "p");
 		this.relay.advance(60);
 		this.relay.fireTimer(TimerKind.PERMIT);
 		assertThat(RelayFixture.ofType(this.relay.all, RelayEffect.RequestPermits.class))
@@ -70,25 +70,25 @@
 			.isEqualTo(Refusal.QUOTA_UNKNOWN);
 	}
 
-	// No upstream takes a request, and its team pays for it all the same.
+	// Guards against charging a team for a request that was not sent.
 	@Test
-	void permitOfARequestThatWasNotSentIsSpentOnTheNext() {
+	void permitOfARequestThatWasNotSentIsReused() {
 		this.relay.handle(new RelayEvent.UpstreamsReplaced(this.relay.now(), List.of()));
-		ask("r1", "p");
-		grant(requested().getFirst(), 0, true);
+		sendRequest("r1", "p");
+		grant(permitRequests().getFirst(), 0, true);
 		this.relay.handle(new RelayEvent.UpstreamsReplaced(this.relay.now(),
 				List.of(RelayFixture.upstream("s1", RelayFixture.SHOP))));
-		assertThat(RelayFixture.ofType(ask("r2", "p"), RelayEffect.SendRequest.class)).hasSize(1);
-		assertThat(requested()).hasSize(1);
+		assertThat(RelayFixture.ofType(sendRequest("r2", "p"), RelayEffect.SendRequest.class)).hasSize(1);
+		assertThat(permitRequests()).hasSize(1);
 	}
 
-	private List<RelayEffect> ask(String id, String program) {
+	private List<RelayEffect> sendRequest(String id, String program) {
 		return this.relay.sendRequest(new RequestHead(id, "host", "/look/x", Optional.of(Duration.ofSeconds(3)),
 				Optional.empty(), List.of(), 0, OptionalLong.empty(), Optional.empty(),
 				new RequestHead.Origin(Optional.of(program), Optional.of(KeyDigest.of("key")))), "body");
 	}
 
-	private List<PermitRequest> requested() {
+	private List<PermitRequest> permitRequests() {
 		return RelayFixture.ofType(this.relay.all, RelayEffect.RequestPermits.class)
 			.stream()
 			.map(RelayEffect.RequestPermits::request)
@@ -98,7 +98,7 @@
 	private List<RelayEffect> grant(PermitRequest request, int permits, Boolean... admitted) {
 		String peer = RelayFixture.ofType(this.relay.all, RelayEffect.RequestPermits.class).getFirst().peer();
 		return this.relay.handle(new RelayEvent.PermitsGranted(this.relay.now(), peer,
-				new PermitReply("red", request.requestId(), permits, List.of(admitted), LATER)));
+				new PermitReply("red", request.requestId(), permits, List.of(admitted), RETRY_AFTER)));
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaSite.java
@@ -15,29 +15,29 @@
 import io.lentilslip.core.quota.QuotaTolerance;
 
 /**
- * Relays that count quotas together, in virtual time: messages take a while, relays are
- * killed, freeze and start again. Requests run as soon as they are sent. Used by one
- * thread.
+ * Simulates relays that enforce quotas, in virtual time: messages are delayed, and relays
+ * are killed, paused and restarted. Requests complete as soon as they are sent. Not
+ * thread-safe.
  */
 final class QuotaSite {
 
 	static final QuotaTolerance TOLERANCE = QuotaTolerance.standard();
 
-	private static final long NEAR_MS = 1;
+	private static final long MIN_LATENCY_MS = 1;
 
-	private static final int FAR_MS = 6;
+	private static final int LATENCY_JITTER_MS = 6;
 
 	private static final long START_MS = 1000;
 
-	private final PriorityQueue<Step> steps = new PriorityQueue<>();
+	private final PriorityQueue<Step> schedule = new PriorityQueue<>();
 
-	private final List<Life> lives = new ArrayList<>();
+	private final List<RelayInstance> relays = new ArrayList<>();
 
-	private final Map<String, List<Long>> ran = new HashMap<>();
+	private final Map<String, List<Long>> completed = new HashMap<>();
 
-	private final Map<String, List<Long>> refused = new HashMap<>();
+	private final Map<String, List<Long>> rejected = new HashMap<>();
 
-	private final Map<String, Integer> ranOfProgram = new HashMap<>();
+	private final Map<String, Integer> completedByProgram = new HashMap<>();
 
 	private final Map<Long, Program> programs = new HashMap<>();
 
@@ -47,15 +47,15 @@
 
 	private long now = START_MS;
 
-	private long order;
+	private long sequence;
 
 	private long exchanges;
 
 	private long messages;
 
-	private long waited;
+	private long delayed;
 
-	private long asked;
+	private long requests;
 
 	private QuotaSite(int count, Map<String, Quota> quotas, Random random) {
 		this.random = random;
@@ -65,7 +65,7 @@
 		RouteTable plain = RelayFixture.table();
 		this.table = new RouteTable(1, plain.routes(), plain.services(), plain.limits(), Optional.of(new Teams(teams)));
 		for (int i = 0; i < count; i++) {
-			this.lives.add(null);
+			this.relays.add(null);
 		}
 		for (int i = 0; i < count; i++) {
 			start(i);
@@ -74,7 +74,7 @@
 
 	static QuotaSite of(int count, Map<String, Quota> quotas, Random random) {
 		QuotaSite site = new QuotaSite(count, quotas, random);
-		// Relays start well before their callers.
+		// Relays start before the first request.
 		site.run(Duration.ofSeconds(19));
 		return site;
 	}
@@ -83,123 +83,123 @@
 		return this.messages;
 	}
 
-	long asked() {
-		return this.asked;
+	long requests() {
+		return this.requests;
 	}
 
 	/**
-	 * Returns how many requests could not be decided at once.
+	 * Returns the number of requests that were not decided immediately.
 	 * @return the number
 	 */
-	long waited() {
-		return this.waited;
+	long delayed() {
+		return this.delayed;
 	}
 
-	List<Long> ran(String team) {
-		return this.ran.getOrDefault(team, List.of());
+	List<Long> completed(String team) {
+		return this.completed.getOrDefault(team, List.of());
 	}
 
-	List<Long> refused(String team) {
-		return this.refused.getOrDefault(team, List.of());
+	List<Long> rejected(String team) {
+		return this.rejected.getOrDefault(team, List.of());
 	}
 
 	/**
-	 * Returns how many programs ran all of their requests.
+	 * Returns the number of programs that completed all of their requests.
 	 * @param requests the requests of a program
-	 * @return the programs
+	 * @return the number of programs
 	 */
-	long whole(int requests) {
-		return this.ranOfProgram.values().stream().filter((ran) -> ran == requests).count();
+	long completedPrograms(int requests) {
+		return this.completedByProgram.values().stream().filter((completed) -> completed == requests).count();
 	}
 
 	/**
-	 * Returns the most requests of a team that ran in one window.
+	 * Returns the maximum number of requests of a team in one window.
 	 * @param team the team
-	 * @return the requests
+	 * @return the maximum
 	 */
-	int mostInWindow(String team) {
-		List<Long> times = ran(team);
-		int most = 0;
+	int maxInWindow(String team) {
+		List<Long> times = completed(team);
+		int max = 0;
 		int from = 0;
 		for (int to = 0; to < times.size(); to++) {
 			while (times.get(to) - times.get(from) > TOLERANCE.window().toMillis()) {
 				from++;
 			}
-			most = Math.max(most, to - from + 1);
+			max = Math.max(max, to - from + 1);
 		}
-		return most;
+		return max;
 	}
 
 	void request(String team, String program, Duration after) {
-		at(after, () -> {
+		scheduleAfter(after, () -> {
 			this.exchanges++;
-			ask(this.random.nextInt(this.lives.size()), team, program, this.exchanges);
+			sendRequest(this.random.nextInt(this.relays.size()), team, program, this.exchanges);
 		});
 	}
 
 	/**
-	 * Runs a program, whose requests follow each other. One that is refused comes back
-	 * when it is asked to, and ends the program when it is refused once more.
+	 * Runs a program with sequential requests. A rejected request is retried once after
+	 * its retry delay; a second rejection ends the program.
 	 * @param team the team
 	 * @param program the program
-	 * @param requests how many requests it has
-	 * @param pause the time between two of them
-	 * @param after when it begins
+	 * @param requests the number of its requests
+	 * @param pause the pause between requests
+	 * @param after the time until its start
 	 */
 	void program(String team, String program, int requests, Duration pause, Duration after) {
-		at(after, () -> next(new Program(team, program, requests, pause, 0)));
+		scheduleAfter(after, () -> sendNext(new Program(team, program, requests, pause, 0)));
 	}
 
-	private void next(Program program) {
-		if (program.left() > 0) {
+	private void sendNext(Program program) {
+		if (program.remaining() > 0) {
 			this.exchanges++;
 			this.programs.put(this.exchanges, program);
-			ask(this.random.nextInt(this.lives.size()), program.team(), program.name(), this.exchanges);
+			sendRequest(this.random.nextInt(this.relays.size()), program.team(), program.name(), this.exchanges);
 		}
 	}
 
-	private void ended(long exchange, Optional<Duration> retryAfter) {
+	private void exchangeEnded(long exchange, Optional<Duration> retryAfter) {
 		Program program = this.programs.remove(exchange);
 		if (program == null) {
 			return;
 		}
 		if (retryAfter.isEmpty()) {
-			at(program.pause(), () -> next(program.ran()));
+			scheduleAfter(program.pause(), () -> sendNext(program.afterRun()));
 		}
-		else if (program.refused() == 0) {
-			at(retryAfter.get(), () -> next(program.again()));
+		else if (program.refusals() == 0) {
+			scheduleAfter(retryAfter.get(), () -> sendNext(program.afterRefusal()));
 		}
 	}
 
 	/**
-	 * Kills a relay, and starts it again after a while.
+	 * Kills a relay and restarts it.
 	 * @param relay the relay
-	 * @param after when
-	 * @param down for how long
+	 * @param after the time until the failure
+	 * @param duration the time until the restart
 	 */
-	void kill(int relay, Duration after, Duration down) {
-		at(after, () -> this.lives.get(relay).up = false);
-		at(after.plus(down), () -> start(relay));
+	void kill(int relay, Duration after, Duration duration) {
+		scheduleAfter(after, () -> this.relays.get(relay).running = false);
+		scheduleAfter(after.plus(duration), () -> start(relay));
 	}
 
 	/**
-	 * Freezes a relay: what comes meanwhile is taken when it wakes.
+	 * Pauses a relay. Messages that arrive during the pause are handled at its end.
 	 * @param relay the relay
-	 * @param after when
-	 * @param frozen for how long
+	 * @param after the time until the pause
+	 * @param duration the length of the pause
 	 */
-	void freeze(int relay, Duration after, Duration frozen) {
-		at(after, () -> this.lives.get(relay).frozenUntil = this.now + frozen.toMillis());
-		at(after.plus(frozen), () -> {
-			Life life = this.lives.get(relay);
-			take(life, life.relay.handle(new RelayEvent.ProcessResumed(this.now, frozen)));
+	void pause(int relay, Duration after, Duration duration) {
+		scheduleAfter(after, () -> this.relays.get(relay).pausedUntil = this.now + duration.toMillis());
+		scheduleAfter(after.plus(duration), () -> {
+			RelayInstance instance = this.relays.get(relay);
+			applyEffects(instance, instance.relay.handle(new RelayEvent.ProcessResumed(this.now, duration)));
 		});
 	}
 
 	void run(Duration time) {
 		long until = this.now + time.toMillis();
-		while (!this.steps.isEmpty() && this.steps.peek().at() <= until) {
-			Step next = this.steps.poll();
+		while (!this.schedule.isEmpty() && this.schedule.peek().at() <= until) {
+			Step next = this.schedule.poll();
 			this.now = next.at();
 			next.action().run();
 		}
@@ -207,52 +207,55 @@
 	}
 
 	private void start(int index) {
-		Life life = new Life(index,
+		RelayInstance instance = new RelayInstance(index,
 				new Relay(new RelaySettings("zone-a", 100, index, 1_000_000, 1000, 1000, 0, true, TOLERANCE)));
-		this.lives.set(index, life);
+		this.relays.set(index, instance);
 		List<Member> members = new ArrayList<>();
-		for (int i = 0; i < this.lives.size(); i++) {
+		for (int i = 0; i < this.relays.size(); i++) {
 			members.add(new Member(Integer.toString(i), "zone-" + i % 4, 100));
 		}
-		life.on(new RelayEvent.ListenerStarted(this.now, Integer.toString(index)));
-		life.on(new RelayEvent.RouteTableUpdated(this.now, this.table));
-		life.on(new RelayEvent.UpstreamsReplaced(this.now, List.of(RelayFixture.upstream("s1", RelayFixture.SHOP))));
-		life.on(new RelayEvent.MembershipUpdated(this.now, members));
+		instance.handle(new RelayEvent.ListenerStarted(this.now, Integer.toString(index)));
+		instance.handle(new RelayEvent.RouteTableUpdated(this.now, this.table));
+		instance.handle(
+				new RelayEvent.UpstreamsReplaced(this.now, List.of(RelayFixture.upstream("s1", RelayFixture.SHOP))));
+		instance.handle(new RelayEvent.MembershipUpdated(this.now, members));
 	}
 
-	private void ask(int index, String team, String program, long exchange) {
-		Life life = this.lives.get(index);
-		if (!life.up) {
+	private void sendRequest(int index, String team, String program, long exchange) {
+		RelayInstance instance = this.relays.get(index);
+		if (!instance.running) {
 			return;
 		}
-		this.asked++;
+		this.requests++;
 		RequestHead head = new RequestHead("r" + exchange, "host", "/order/x", Optional.of(Duration.ofSeconds(3)),
 				Optional.empty(), List.of(), 0, OptionalLong.empty(), Optional.empty(),
 				new RequestHead.Origin(Optional.of(program), Optional.of(KeyDigest.of(team))));
-		whenRunning(life, () -> {
-			life.teams.put(exchange, List.of(team, program));
-			take(life,
-					life.relay.handle(new RelayEvent.RequestReceived(this.now, exchange, head, new byte[0], exchange)));
-			this.waited += life.teams.containsKey(exchange) ? 1 : 0;
+		runWhenResumed(instance, () -> {
+			instance.teams.put(exchange, List.of(team, program));
+			applyEffects(instance, instance.relay
+				.handle(new RelayEvent.RequestReceived(this.now, exchange, head, new byte[0], exchange)));
+			this.delayed += instance.teams.containsKey(exchange) ? 1 : 0;
 		});
 	}
 
-	private void take(Life from, List<RelayEffect> effects) {
+	private void applyEffects(RelayInstance from, List<RelayEffect> effects) {
 		for (RelayEffect effect : effects) {
 			switch (effect) {
-				case RelayEffect.RequestPermits ask -> send(from, ask.peer(),
-						(to) -> new RelayEvent.PermitsRequested(this.now, Integer.toString(from.index), ask.request()));
+				case RelayEffect.RequestPermits request ->
+					send(from, request.peer(), (to) -> new RelayEvent.PermitsRequested(this.now,
+							Integer.toString(from.index), request.request()));
 				case RelayEffect.GrantPermits grant -> send(from, grant.peer(),
 						(to) -> new RelayEvent.PermitsGranted(this.now, Integer.toString(from.index), grant.reply()));
-				case RelayEffect.StartTimer remind -> at(remind.delay(), () -> whenRunning(from, () -> take(from,
-						from.relay.handle(new RelayEvent.TimerFired(this.now, remind.exchange(), remind.timer())))));
+				case RelayEffect.StartTimer timer ->
+					scheduleAfter(timer.delay(), () -> runWhenResumed(from, () -> applyEffects(from,
+							from.relay.handle(new RelayEvent.TimerFired(this.now, timer.exchange(), timer.timer())))));
 				case RelayEffect.SendRequest send -> {
-					note(this.ran, from, send.exchange());
-					ended(send.exchange(), Optional.empty());
+					record(this.completed, from, send.exchange());
+					exchangeEnded(send.exchange(), Optional.empty());
 				}
 				case RelayEffect.Refuse refuse -> {
-					note(this.refused, from, refuse.exchange());
-					ended(refuse.exchange(), Optional.of(refuse.retryAfter().orElse(Duration.ZERO)));
+					record(this.rejected, from, refuse.exchange());
+					exchangeEnded(refuse.exchange(), Optional.of(refuse.retryAfter().orElse(Duration.ZERO)));
 				}
 				default -> {
 				}
@@ -260,48 +263,48 @@
 		}
 	}
 
-	private void note(Map<String, List<Long>> times, Life life, long exchange) {
-		List<String> origin = life.teams.remove(exchange);
+	private void record(Map<String, List<Long>> times, RelayInstance instance, long exchange) {
+		List<String> origin = instance.teams.remove(exchange);
 		if (origin != null) {
 			times.computeIfAbsent(origin.getFirst(), (key) -> new ArrayList<>()).add(this.now);
-			if (times == this.ran) {
-				this.ranOfProgram.merge(origin.getLast(), 1, Integer::sum);
+			if (times == this.completed) {
+				this.completedByProgram.merge(origin.getLast(), 1, Integer::sum);
 			}
 		}
 	}
 
-	private void send(Life from, String to, Message message) {
+	private void send(RelayInstance from, String to, Message message) {
 		this.messages++;
-		long arrives = this.now + NEAR_MS + this.random.nextInt(FAR_MS);
-		steps(arrives, () -> {
-			Life life = this.lives.get(Integer.parseInt(to));
-			whenRunning(life, () -> take(life, life.relay.handle(message.to(life))));
+		long arrives = this.now + MIN_LATENCY_MS + this.random.nextInt(LATENCY_JITTER_MS);
+		schedule(arrives, () -> {
+			RelayInstance instance = this.relays.get(Integer.parseInt(to));
+			runWhenResumed(instance, () -> applyEffects(instance, instance.relay.handle(message.to(instance))));
 		});
 	}
 
-	private void whenRunning(Life life, Runnable action) {
-		if (life.frozenUntil > this.now) {
-			steps(life.frozenUntil + 1, () -> whenRunning(life, action));
+	private void runWhenResumed(RelayInstance instance, Runnable action) {
+		if (instance.pausedUntil > this.now) {
+			schedule(instance.pausedUntil + 1, () -> runWhenResumed(instance, action));
 			return;
 		}
-		if (life.up && this.lives.get(life.index) == life) {
+		if (instance.running && this.relays.get(instance.index) == instance) {
 			action.run();
 		}
 	}
 
-	private void at(Duration after, Runnable action) {
-		steps(this.now + after.toMillis(), action);
+	private void scheduleAfter(Duration after, Runnable action) {
+		schedule(this.now + after.toMillis(), action);
 	}
 
-	private void steps(long at, Runnable action) {
-		this.order++;
-		this.steps.add(new Step(at, this.order, action));
+	private void schedule(long at, Runnable action) {
+		this.sequence++;
+		this.schedule.add(new Step(at, this.sequence, action));
 	}
 
 	/**
-	 * One life of a relay. Used by one thread.
+	 * Incarnation of a relay. Not thread-safe.
 	 */
-	private final class Life {
+	private final class RelayInstance {
 
 		private final int index;
 
@@ -309,65 +312,66 @@
 
 		private final Map<Long, List<String>> teams = new HashMap<>();
 
-		private boolean up = true;
+		private boolean running = true;
 
-		private long frozenUntil;
+		private long pausedUntil;
 
-		Life(int index, Relay relay) {
+		RelayInstance(int index, Relay relay) {
 			this.index = index;
 			this.relay = relay;
 		}
 
-		void on(RelayEvent event) {
-			take(this, this.relay.handle(event));
+		void handle(RelayEvent event) {
+			applyEffects(this, this.relay.handle(event));
 		}
 
 	}
 
 	/**
-	 * What a program has left to do. Immutable.
+	 * Immutable progress of a program.
 	 *
 	 * @param team the team
 	 * @param name the program
-	 * @param left how many requests are left
-	 * @param pause the time between two of them
-	 * @param refused how many times the next one was refused
+	 * @param remaining the number of remaining requests
+	 * @param pause the pause between requests
+	 * @param refusals the number of rejections of the next request
 	 */
-	private record Program(String team, String name, int left, Duration pause, int refused) {
+	private record Program(String team, String name, int remaining, Duration pause, int refusals) {
 
-		Program ran() {
-			return new Program(this.team, this.name, this.left - 1, this.pause, 0);
+		Program afterRun() {
+			return new Program(this.team, this.name, this.remaining - 1, this.pause, 0);
 		}
 
-		Program again() {
-			return new Program(this.team, this.name, this.left, this.pause, this.refused + 1);
+		Program afterRefusal() {
+			return new Program(this.team, this.name, this.remaining, this.pause, this.refusals + 1);
 		}
 
 	}
 
 	/**
-	 * Something that happens. Immutable.
+	 * Immutable scheduled step.
 	 *
-	 * @param at when, in milliseconds
-	 * @param order its place among those of the same time
-	 * @param action what it does
+	 * @param at the time in milliseconds
+	 * @param sequence the order among steps at the same time
+	 * @param action the action
 	 */
-	private record Step(long at, long order, Runnable action) implements Comparable<Step> {
+	private record Step(long at, long sequence, Runnable action) implements Comparable<Step> {
 
 		@Override
 		public int compareTo(Step other) {
-			return (this.at != other.at) ? Long.compare(this.at, other.at) : Long.compare(this.order, other.order);
+			return (this.at != other.at) ? Long.compare(this.at, other.at)
+					: Long.compare(this.sequence, other.sequence);
 		}
 
 	}
 
 	/**
-	 * What a relay takes when a message arrives. Used by one thread.
+	 * Creates the event for a message when it arrives. Not thread-safe.
 	 */
 	@FunctionalInterface
 	private interface Message {
 
-		RelayEvent to(Life relay);
+		RelayEvent to(RelayInstance relay);
 
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/ReportedErrorsTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ReportedErrorsTests.java
@@ -6,23 +6,23 @@
 
 class ReportedErrorsTests {
 
-	private final ReportedErrors problems = new ReportedErrors();
+	private final ReportedErrors errors = new ReportedErrors();
 
 	@Test
-	void problemOfARecordIsTheFirstOnce() {
-		assertThat(this.problems.markReported("a", UpstreamRecordError.SLOTS)).isTrue();
-		assertThat(this.problems.markReported("a", UpstreamRecordError.SLOTS)).isFalse();
-		assertThat(this.problems.markReported("a", UpstreamRecordError.STATE)).isTrue();
-		assertThat(this.problems.markReported("b", UpstreamRecordError.SLOTS)).isTrue();
+	void errorOfARecordIsMarkedOnce() {
+		assertThat(this.errors.markReported("a", UpstreamRecordError.SLOTS)).isTrue();
+		assertThat(this.errors.markReported("a", UpstreamRecordError.SLOTS)).isFalse();
+		assertThat(this.errors.markReported("a", UpstreamRecordError.STATE)).isTrue();
+		assertThat(this.errors.markReported("b", UpstreamRecordError.SLOTS)).isTrue();
 	}
 
 	@Test
-	void numberOfRememberedProblemsIsBounded() {
+	void numberOfErrorsIsBounded() {
 		for (int i = 0; i < 5000; i++) {
-			this.problems.markReported("key-" + i, UpstreamRecordError.FIELD);
+			this.errors.markReported("key-" + i, UpstreamRecordError.FIELD);
 		}
-		assertThat(this.problems.markReported("key-0", UpstreamRecordError.FIELD)).isTrue();
-		assertThat(this.problems.markReported("key-4999", UpstreamRecordError.FIELD)).isFalse();
+		assertThat(this.errors.markReported("key-0", UpstreamRecordError.FIELD)).isTrue();
+		assertThat(this.errors.markReported("key-4999", UpstreamRecordError.FIELD)).isFalse();
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RouteTableTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RouteTableTests.java
@@ -20,7 +20,7 @@
 	}
 
 	@Test
-	void hostHasToAgreeWhateverItsCase() {
+	void hostIsMatchedIgnoringCase() {
 		assertThat(this.table.find("HOST", "/a/x")).isPresent();
 		assertThat(this.table.find("other", "/a/x")).isEmpty();
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TeamTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TeamTests.java
@@ -26,63 +26,64 @@
 		this.relay.all.clear();
 	}
 
-	// A caller whose key was taken away is served on.
+	// Guards against serving a caller whose key was revoked.
 	@Test
-	void keyThatNoTeamHoldsIsRefused() {
-		assertThat(refusal(ask("r1", "look", Optional.of("key of nobody"), null))).isEqualTo(Refusal.KEY_UNKNOWN);
-		assertThat(refusal(ask("r2", "look", Optional.empty(), null))).isEqualTo(Refusal.KEY_UNKNOWN);
+	void unknownKeyIsRejected() {
+		assertThat(refusal(sendRequest("r1", "look", Optional.of("unknown key"), null))).isEqualTo(Refusal.KEY_UNKNOWN);
+		assertThat(refusal(sendRequest("r2", "look", Optional.empty(), null))).isEqualTo(Refusal.KEY_UNKNOWN);
 		assertThat(RelayFixture.ofType(this.relay.all, RelayEffect.SendRequest.class)).isEmpty();
 	}
 
 	@Test
 	void upstreamReceivesTheTeam() {
 		RelayEffect.SendRequest send = RelayFixture
-			.ofType(ask("r1", "look", Optional.of("key of red"), null), RelayEffect.SendRequest.class)
+			.ofType(sendRequest("r1", "look", Optional.of("key of red"), null), RelayEffect.SendRequest.class)
 			.getFirst();
 		assertThat(send.caller()).isInstanceOfSatisfying(CallerIdentity.OfTeam.class,
 				(of) -> assertThat(of.team().name()).isEqualTo("red"));
 	}
 
-	// One team continues another team's conversation by naming a turn of it.
+	// Guards against a team that continues the conversation of another team by its turn
+	// id.
 	@Test
 	void turnOfAnotherTeamIsNotFound() {
-		ask("t1", "chat", Optional.of("key of red"), RelayFixture.turn("p", 1000, 100, null));
+		sendRequest("t1", "chat", Optional.of("key of red"), RelayFixture.turn("p", 1000, 100, null));
 		this.relay.open(1);
 		this.relay.event(1, 1);
 		this.relay.end(1);
 		this.relay.stored("red/t1");
-		List<RelayEffect> other = ask("t2", "chat", Optional.of("key of blue"),
+		List<RelayEffect> other = sendRequest("t2", "chat", Optional.of("key of blue"),
 				RelayFixture.turn("p", 1000, 100, "t1"));
 		assertThat(RelayFixture.ofType(other, RelayEffect.SendRequest.class)).isEmpty();
-		List<RelayEffect> own = ask("t3", "chat", Optional.of("key of red"), RelayFixture.turn("p", 1000, 100, "t1"));
+		List<RelayEffect> own = sendRequest("t3", "chat", Optional.of("key of red"),
+				RelayFixture.turn("p", 1000, 100, "t1"));
 		assertThat(RelayFixture.ofType(own, RelayEffect.SendRequest.class)).hasSize(1);
 	}
 
-	// Two teams give programs the same name, and the one's turns are counted in the
-	// other's budget.
+	// Guards against charging a budget of another team for a program of the same name.
 	@Test
-	void programsOfTwoTeamsHaveBudgetsOfTheirOwn() {
+	void programsOfDifferentTeamsHaveSeparateBudgets() {
 		for (String turn : List.of("t1", "t2", "t3")) {
-			assertThat(sends("key of red", turn)).isEqualTo(1);
+			assertThat(countSent("key of red", turn)).isEqualTo(1);
 		}
-		assertThat(sends("key of red", "t4")).isZero();
-		assertThat(sends("key of blue", "t4")).isEqualTo(1);
+		assertThat(countSent("key of red", "t4")).isZero();
+		assertThat(countSent("key of blue", "t4")).isEqualTo(1);
 	}
 
-	private int sends(String key, String turn) {
+	private int countSent(String key, String turn) {
 		return RelayFixture
-			.ofType(ask(turn, "draft", Optional.of(key), RelayFixture.turn("p", 600, 100, null)),
+			.ofType(sendRequest(turn, "draft", Optional.of(key), RelayFixture.turn("p", 600, 100, null)),
 					RelayEffect.SendRequest.class)
 			.size();
 	}
 
 	@Test
-	void idThatNamesATeamIsAnIdOfTheOwnTeam() {
+	void scopedIdsOfDifferentTeamsDoNotCollide() {
 		assertThat(new Team("a/b", OptionalInt.empty(), Optional.empty()).scopedId("c"))
 			.isNotEqualTo(new Team("a", OptionalInt.empty(), Optional.empty()).scopedId("b/c"));
 	}
 
-	private List<RelayEffect> ask(String id, String route, Optional<String> key, RequestHead.Turn turn) {
+	private List<RelayEffect> sendRequest(String id, String route, Optional<String> key, RequestHead.Turn turn) {
 		RequestHead plain = RelayFixture.head(id, route, Optional.ofNullable(turn));
 		return this.relay.sendRequest(
 				new RequestHead(id, plain.host(), plain.path(), plain.callerTimeout(), plain.turn(), List.of(), 0,
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UpstreamSelectorTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UpstreamSelectorTests.java
@@ -26,57 +26,47 @@
 
 	private final Upstreams upstreams = new Upstreams();
 
-	private final UpstreamSelector choice = new UpstreamSelector("zone-a", new SplittableRandom(1));
+	private final UpstreamSelector selector = new UpstreamSelector("zone-a", new SplittableRandom(1));
 
 	@BeforeEach
-	void listTwo() {
+	void addUpstreams() {
 		this.upstreams.put(RelayFixture.upstream("a", "s"));
 		this.upstreams.put(RelayFixture.upstream("b", "s"));
 	}
 
 	@Test
-	void upstreamThatHoldsThePromptIsChosen() {
-		known("b").addToCache(PROMPT, 100_000);
-		assertThat(chosen(true)).isEqualTo("b");
+	void upstreamWithTheCachedPromptIsSelected() {
+		state("b").addToCache(PROMPT, 100_000);
+		assertThat(selected(true)).isEqualTo("b");
 	}
 
 	@Test
-	void loadedUpstreamIsLeftForAnotherThoughItHoldsThePrompt() {
-		known("b").addToCache(PROMPT, 100_000);
+	void loadedUpstreamIsNotSelectedDespiteTheCachedPrompt() {
+		state("b").addToCache(PROMPT, 100_000);
 		for (int i = 0; i < 7; i++) {
-			known("b").requestStarted("r" + i, NOW);
+			state("b").requestStarted("r" + i, NOW);
 		}
-		assertThat(chosen(true)).isEqualTo("a");
+		assertThat(selected(true)).isEqualTo("a");
 	}
 
-	// A conversation's next turn comes while all engines run some thirty requests each.
-	// The
-	// one that knows it seems a little busier than another, by a count that is some
-	// hundred
-	// milliseconds old. Sent to the other, the conversation would be read again there,
-	// and
-	// all that runs there would wait for it.
+	// Guards against moving a conversation to a slightly less loaded engine, where its
+	// prompt would have to be prefilled again.
 	@Test
-	void conversationStaysWithItsEngineWhileAnotherSeemsALittleLessBusy() {
+	void conversationStaysWithItsEngineIfAnotherIsSlightlyLessLoaded() {
 		List<PromptPart> session = List.of(new PromptPart(1, 3000), new PromptPart(2, 400));
 		Upstreams engines = engines(2);
-		UpstreamState knows = engines.find("engine-0").orElseThrow();
-		knows.addToCache(session.subList(0, 1), 1_000_000);
-		engines.loadReported(knows, 30, NOW);
+		UpstreamState withCachedPrompt = engines.find("engine-0").orElseThrow();
+		withCachedPrompt.addToCache(session.subList(0, 1), 1_000_000);
+		engines.loadReported(withCachedPrompt, 30, NOW);
 		engines.loadReported(engines.find("engine-1").orElseThrow(), 26, NOW);
-		assertThat(this.choice.rank(engines.available("s"), Set.of(), session, true, NOW).getFirst().state())
-			.isSameAs(knows);
+		assertThat(this.selector.rank(engines.available("s"), Set.of(), session, true, NOW).getFirst().state())
+			.isSameAs(withCachedPrompt);
 	}
 
-	// A burst on six engines: 60 conversations of seven turns, about thirty requests at
-	// each
-	// engine, and counts of load that are off by up to four. Each program went to
-	// whichever
-	// engine seemed least busy, and most of what engines read they or another had read
-	// before: they were slow for all, and programs were late that would have been on
-	// time.
+	// Guards against repeated prefill of conversations in a burst with inaccurate load
+	// reports.
 	@Test
-	void conversationsAreReadOnceInABurst() {
+	void conversationsArePrefilledOnceInABurst() {
 		Upstreams engines = engines(6);
 		SplittableRandom random = new SplittableRandom(7);
 		Deque<UpstreamState> running = new ArrayDeque<>();
@@ -85,28 +75,29 @@
 		for (int i = 0; i < 60; i++) {
 			conversations.add(new ArrayList<>());
 		}
-		long read = 0;
+		long prefilled = 0;
 		long input = 0;
 		for (int turn = 0; turn < 60 * 7; turn++) {
 			List<PromptPart> conversation = conversations.get(turn % 60);
 			conversation.add(new PromptPart(turn, 1000));
 			input += 1000;
 			for (UpstreamState engine : engines.available("s")) {
-				int off = random.nextInt(-4, 5);
-				engines.loadReported(engine, Math.max(0, load.getOrDefault(engine, 0) + off), NOW + turn);
+				int error = random.nextInt(-4, 5);
+				engines.loadReported(engine, Math.max(0, load.getOrDefault(engine, 0) + error), NOW + turn);
 			}
-			UpstreamState chosen = this.choice.rank(engines.available("s"), Set.of(), conversation, true, NOW + turn)
+			UpstreamState selected = this.selector
+				.rank(engines.available("s"), Set.of(), conversation, true, NOW + turn)
 				.getFirst()
 				.state();
-			read += chosen.uncachedTokens(conversation);
-			chosen.addToCache(conversation, 1_000_000);
-			load.merge(chosen, 1, Integer::sum);
-			running.add(chosen);
+			prefilled += selected.uncachedTokens(conversation);
+			selected.addToCache(conversation, 1_000_000);
+			load.merge(selected, 1, Integer::sum);
+			running.add(selected);
 			if (running.size() > 180) {
 				load.merge(running.removeFirst(), -1, Integer::sum);
 			}
 		}
-		assertThat(read).isLessThan(input * 13 / 10);
+		assertThat(prefilled).isLessThan(input * 13 / 10);
 		assertThat(load.values()).allSatisfy((requests) -> assertThat(requests).isBetween(15, 45));
 	}
 
@@ -119,89 +110,90 @@
 	}
 
 	@Test
-	void partBehindAMissingPartDoesNotCount() {
-		known("b").addToCache(List.of(PROMPT.getLast()), 100_000);
-		assertThat(known("b").uncachedTokens(PROMPT)).isEqualTo(12_400);
+	void partAfterAMissingPartIsNotCached() {
+		state("b").addToCache(List.of(PROMPT.getLast()), 100_000);
+		assertThat(state("b").uncachedTokens(PROMPT)).isEqualTo(12_400);
 	}
 
 	@Test
-	void leastRecentlyReadPartsYieldBeyondTheMemory() {
-		known("a").addToCache(PROMPT, 12_000);
-		assertThat(known("a").uncachedTokens(PROMPT)).isEqualTo(12_400);
+	void leastRecentlyUsedPartsAreEvicted() {
+		state("a").addToCache(PROMPT, 12_000);
+		assertThat(state("a").uncachedTokens(PROMPT)).isEqualTo(12_400);
 	}
 
 	@Test
-	void upstreamThatFailedIsUsedOnlyIfAllHave() {
-		known("a").recordFailure(NOW);
-		assertThat(chosen(false)).isEqualTo("b");
-		known("b").recordFailure(NOW);
-		assertThat(chosen(false)).isNotEmpty();
+	void ejectedUpstreamIsSelectedOnlyIfAllAreEjected() {
+		state("a").recordFailure(NOW);
+		assertThat(selected(false)).isEqualTo("b");
+		state("b").recordFailure(NOW);
+		assertThat(selected(false)).isNotEmpty();
 	}
 
 	@Test
-	void runsThatNobodySettlesStopCounting() {
-		known("a").requestStarted("r", NOW);
-		assertThat(known("a").load(NOW)).isEqualTo(1);
-		assertThat(known("a").load(NOW + 6_000)).isZero();
+	void unsettledRequestsExpire() {
+		state("a").requestStarted("r", NOW);
+		assertThat(state("a").load(NOW)).isEqualTo(1);
+		assertThat(state("a").load(NOW + 6_000)).isZero();
 	}
 
 	@Test
-	void excludedUpstreamsAreNotChosen() {
-		assertThat(this.choice.rank(this.upstreams.available("s"), Set.of("a", "b"), List.of(), false, NOW)).isEmpty();
+	void excludedUpstreamsAreNotSelected() {
+		assertThat(this.selector.rank(this.upstreams.available("s"), Set.of("a", "b"), List.of(), false, NOW))
+			.isEmpty();
 	}
 
 	@Test
-	void bestThreeAreKeptInOrder() {
+	void bestThreeAreReturnedInOrder() {
 		for (String id : List.of("c", "d", "e")) {
 			this.upstreams.put(RelayFixture.upstream(id, "s"));
 		}
 		for (int i = 0; i < 4; i++) {
 			for (String id : List.of("a", "b", "c", "d").subList(0, 4 - i)) {
-				known(id).requestStarted(id + i, NOW);
+				state(id).requestStarted(id + i, NOW);
 			}
 		}
-		assertThat(this.choice.rank(this.upstreams.available("s"), Set.of(), List.of(), false, NOW))
-			.extracting((weighed) -> weighed.state().upstream().id())
+		assertThat(this.selector.rank(this.upstreams.available("s"), Set.of(), List.of(), false, NOW))
+			.extracting((ranked) -> ranked.state().upstream().id())
 			.containsExactly("e", "d", "c");
 	}
 
-	// Every relay has its own random choices; requests about one object still meet at one
-	// upstream, unless it is busier than another.
+	// Relays with different random seeds select the same upstream for an affinity key,
+	// unless it is more loaded than another.
 	@Test
-	void requestsAboutOneObjectMeetAtOneUpstreamUnlessItIsBusier() {
-		Set<String> chosen = new HashSet<>();
+	void requestsWithOneAffinityKeySelectOneUpstreamUnlessItIsMoreLoaded() {
+		Set<String> selected = new HashSet<>();
 		for (int relay = 0; relay < 20; relay++) {
-			chosen.add(chosenFor("tank-7", new UpstreamSelector("zone-a", new SplittableRandom(relay))));
+			selected.add(selectedFor("tank-7", new UpstreamSelector("zone-a", new SplittableRandom(relay))));
 		}
-		assertThat(chosen).hasSize(1);
-		String home = chosen.iterator().next();
-		known(home).requestStarted("r1", NOW);
-		assertThat(chosenFor("tank-7", this.choice)).isNotEqualTo(home);
+		assertThat(selected).hasSize(1);
+		String target = selected.iterator().next();
+		state(target).requestStarted("r1", NOW);
+		assertThat(selectedFor("tank-7", this.selector)).isNotEqualTo(target);
 	}
 
 	@Test
-	void objectsSpreadOverUpstreams() {
-		Set<String> chosen = new HashSet<>();
-		for (int object = 0; object < 20; object++) {
-			chosen.add(chosenFor("tank-" + object, this.choice));
+	void affinityKeysAreSpreadOverUpstreams() {
+		Set<String> selected = new HashSet<>();
+		for (int key = 0; key < 20; key++) {
+			selected.add(selectedFor("tank-" + key, this.selector));
 		}
-		assertThat(chosen).containsExactlyInAnyOrder("a", "b");
+		assertThat(selected).containsExactlyInAnyOrder("a", "b");
 	}
 
-	private String chosenFor(String object, UpstreamSelector by) {
-		return by.rank(this.upstreams.available("s"), Set.of(), List.of(), false, Optional.of(object), NOW)
+	private String selectedFor(String affinityKey, UpstreamSelector selector) {
+		return selector.rank(this.upstreams.available("s"), Set.of(), List.of(), false, Optional.of(affinityKey), NOW)
 			.getFirst()
 			.state()
 			.upstream()
 			.id();
 	}
 
-	private UpstreamState known(String id) {
+	private UpstreamState state(String id) {
 		return this.upstreams.find(id).orElseThrow();
 	}
 
-	private String chosen(boolean engine) {
-		return this.choice.rank(this.upstreams.available("s"), Set.of(), PROMPT, engine, NOW)
+	private String selected(boolean engine) {
+		return this.selector.rank(this.upstreams.available("s"), Set.of(), PROMPT, engine, NOW)
 			.getFirst()
 			.state()
 			.upstream()
