--- a/lentilslip-core/src/main/java/io/lentilslip/core/notice/NoticeCode.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/notice/NoticeCode.java
@@ -165,8 +165,8 @@
 	 */
 	LINK_LOST(3002, Level.WARN,
 			"The connection to a peer is lost; the count is the number of calls whose outcome is unknown.",
-			"If it does not come back, check the VM and the network between the zones.", FieldName.VM, FieldName.ZONE,
-			FieldName.ADDRESS, FieldName.INCARNATION, FieldName.REASON, FieldName.COUNT),
+			"If the connection is not restored, check the VM and the network between the zones.", FieldName.VM,
+			FieldName.ZONE, FieldName.ADDRESS, FieldName.INCARNATION, FieldName.REASON, FieldName.COUNT),
 
 	/**
 	 * Written on the first indication: the VM list, an announcement, or a stop of the
@@ -208,7 +208,7 @@
 	 * Written when the connection to another relay ends.
 	 */
 	PEER_LOST(3008, Level.WARN, "The connection to another relay is lost.",
-			"If it does not come back, check the VM and the network between the zones.", FieldName.ADDRESS,
+			"If the connection is not restored, check the VM and the network between the zones.", FieldName.ADDRESS,
 			FieldName.REASON),
 
 	/**
@@ -262,7 +262,7 @@
 	 * Written when a relay that started has received the uncommitted reservations of a
 	 * majority, or when these can no longer matter.
 	 */
-	RELAY_COMPLETE(3016, Level.INFO, "A relay that started knows of all turns that may be missing from the log.",
+	RELAY_COMPLETE(3016, Level.INFO, "A started relay has received all turns that may be missing from the log.",
 			"Nothing; if it takes as long as the retention of a route, all relays had failed before.", FieldName.COUNT),
 
 	/**
@@ -556,7 +556,7 @@
 	 * Written once for each such record, which the reader skips.
 	 */
 	LOG_RECORD_UNREADABLE(7005, Level.ERROR, "A record of the log can't be decoded and is treated as empty.",
-			"Look for another writer of the stream, or for a process of an incompatible newer version.",
+			"Look for another writer to the stream, or for a process of an incompatible newer version.",
 			FieldName.STREAM, FieldName.OFFSET, FieldName.REASON),
 
 	/**
@@ -752,7 +752,7 @@
 					return range;
 				}
 			}
-			throw new IllegalArgumentException("no range holds the number " + number);
+			throw new IllegalArgumentException("no range contains the number " + number);
 		}
 
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -91,7 +91,7 @@
 	 * later
 	 */
 	boolean admit(Exchange exchange) {
-		Optional<Team> team = exchange.team().filter((known) -> known.quota().isPresent());
+		Optional<Team> team = exchange.team().filter((candidate) -> candidate.quota().isPresent());
 		if (team.isEmpty()) {
 			return true;
 		}
@@ -313,8 +313,8 @@
 		}
 	}
 
-	// Requests that the reply had no permits for retry on their timers; only those that
-	// arrived after the request was sent need a new one.
+	// Requests that received no permit retry on their timers. Only those that arrived
+	// after the permit request was sent need a new one.
 	private void requestPermitsForArrivals(TeamQueue queue, PendingRequest answered) {
 		for (Exchange exchange : queue.waiting.values()) {
 			if (!answered.active().contains(exchange) && !answered.starting().contains(exchange)) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelaySettings.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelaySettings.java
@@ -24,21 +24,21 @@
 
 	/**
 	 * The fraction of a route's latency target after which a turn without its chain is
-	 * rejected. Leaves time for another relay to respond on time, and exceeds the latency
-	 * of a log read several times.
+	 * rejected. Leaves time for another relay to respond on time, and is several times
+	 * the latency of a log read.
 	 */
 	static final int CHAIN_TIMEOUT_DIVISOR = 5;
 
 	/**
 	 * The time to wait for the replicas of a program before a turn is decided through the
-	 * log. Exceeds the round-trip time between availability zones several times.
+	 * log. Several times the round-trip time between availability zones.
 	 */
 	static final Duration REPLICA_TIMEOUT = Duration.ofMillis(30);
 
 	/**
 	 * The time to wait for a decision through the log before the other relays are asked
-	 * as well. Exceeds the normal latency of the log several times, but is a fraction of
-	 * a latency target.
+	 * as well. Several times the normal latency of the log, but a fraction of a latency
+	 * target.
 	 */
 	static final Duration LOG_DECISION_TIMEOUT = Duration.ofMillis(100);
 
@@ -102,8 +102,8 @@
 
 	/**
 	 * The time that a relay waits for its write of a stored turn before it asks other
-	 * relays to write the turn, and between further attempts. Exceeds the normal latency
-	 * of the log several times.
+	 * relays to write the turn, and between further attempts. Several times the normal
+	 * latency of the log.
 	 */
 	static final Duration TURN_WRITE_TIMEOUT = Duration.ofMillis(80);
 
@@ -115,12 +115,12 @@
 
 	/**
 	 * The jitter of the time that relays wait for an entry of another relay to appear in
-	 * the log. Exceeds the time to read what another relay has written several times.
+	 * the log. Several times the time to read what another relay has written.
 	 */
 	static final Duration ADOPTION_JITTER = Duration.ofMillis(2500);
 
 	/**
-	 * The time between reads of the log after which an outage of the log is assumed.
+	 * The gap between reads of the log above which an outage of the log is assumed.
 	 */
 	static final Duration LOG_OUTAGE_THRESHOLD = Duration.ofMillis(1500);
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Route.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Route.java
@@ -31,7 +31,7 @@
 	 * The idle timeout of a stream in multiples of the latency target: above the pauses
 	 * of engines under full load, below the timeouts of callers.
 	 */
-	private static final int STREAM_PATIENCE = 5;
+	private static final int STREAM_IDLE_TIMEOUT_FACTOR = 5;
 
 	/**
 	 * Creates a route.
@@ -73,8 +73,8 @@
 	 * @return the idle timeout
 	 */
 	public Duration idleTimeout() {
-		return (this.repeatability == Repeatability.STREAM) ? this.latencyTarget.multipliedBy(STREAM_PATIENCE)
-				: this.latencyTarget;
+		return (this.repeatability == Repeatability.STREAM)
+				? this.latencyTarget.multipliedBy(STREAM_IDLE_TIMEOUT_FACTOR) : this.latencyTarget;
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
@@ -30,7 +30,7 @@
 
 	void updateReadiness() {
 		if (!this.state.ledgerComplete && this.state.caughtUp) {
-			checkSynced();
+			checkLedgerComplete();
 		}
 		boolean ready = this.state.table.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
 				&& this.state.membershipKnown() && this.state.reach != Connectivity.NOTHING
@@ -44,7 +44,7 @@
 	// Completes the ledger without a quorum of peers. If the log was written to shortly
 	// before the start, there was no outage and the log has all reservations. Otherwise
 	// earlier reservations are irrelevant after the longest retention of a route.
-	private void checkSynced() {
+	private void checkLedgerComplete() {
 		long waited = this.state.now - this.state.caughtUpAt;
 		if (this.state.logWasRecent && waited > RelaySettings.SYNC_TIMEOUT.toMillis()) {
 			markLedgerComplete();
