--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
@@ -46,7 +46,7 @@
 	 */
 	void recordFirstResponse(Exchange exchange) {
 		this.latencies.computeIfAbsent(exchange.route().name(), (name) -> new LatencyEstimator())
-			.record(this.state.now - exchange.lastActivityAt());
+			.addSample(this.state.now - exchange.lastActivityAt());
 	}
 
 	/**
@@ -113,7 +113,7 @@
 
 		private double deviation;
 
-		void record(long milliseconds) {
+		void addSample(long milliseconds) {
 			this.samples++;
 			if (this.samples == 1) {
 				this.mean = milliseconds;
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaSite.java
@@ -250,11 +250,11 @@
 					scheduleAfter(timer.delay(), () -> runWhenResumed(from, () -> applyEffects(from,
 							from.relay.handle(new RelayEvent.TimerFired(this.now, timer.exchange(), timer.timer())))));
 				case RelayEffect.SendRequest send -> {
-					record(this.completed, from, send.exchange());
+					recordTime(this.completed, from, send.exchange());
 					exchangeEnded(send.exchange(), Optional.empty());
 				}
 				case RelayEffect.Refuse refuse -> {
-					record(this.rejected, from, refuse.exchange());
+					recordTime(this.rejected, from, refuse.exchange());
 					exchangeEnded(refuse.exchange(), Optional.of(refuse.retryAfter().orElse(Duration.ZERO)));
 				}
 				default -> {
@@ -263,7 +263,7 @@
 		}
 	}
 
-	private void record(Map<String, List<Long>> times, RelayInstance instance, long exchange) {
+	private void recordTime(Map<String, List<Long>> times, RelayInstance instance, long exchange) {
 		List<String> origin = instance.teams.remove(exchange);
 		if (origin != null) {
 			times.computeIfAbsent(origin.getFirst(), (key) -> new ArrayList<>()).add(this.now);
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/AttemptListener.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/AttemptListener.java
@@ -1,7 +1,7 @@
 package io.lentilslip.relay.upstream;
 
-import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.RelayEvent.FailureCause;
+import io.lentilslip.core.relay.ResponseHead;
 
 /**
  * Takes what becomes of one attempt. After {@link #onResponse}, {@link #onStreamEnd} or
