--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayNotices.java
@@ -109,7 +109,7 @@
 	static Notice requestPlaced(Exchange exchange, List<RankedUpstream> ranked, RelayState state) {
 		String candidates = ranked.stream().map((next) -> describe(next, state.now)).collect(Collectors.joining("; "));
 		return notice(NoticeCode.REQUEST_PLACED, request(exchange), program(exchange), upstream(exchange),
-				attempt(exchange), field(FieldName.VERSION, state.table.map(RouteTable::version).orElse(0L)),
+				attempt(exchange), field(FieldName.VERSION, state.routeTable.map(RouteTable::version).orElse(0L)),
 				field(FieldName.CANDIDATES, candidates), elapsed(exchange, state.now), tokens(exchange, state),
 				budget(exchange));
 	}
@@ -160,7 +160,7 @@
 		return notice(NoticeCode.QUOTA_REFUSED, request(exchange),
 				field(FieldName.GROUP, exchange.team().map(Team::name).orElse(NONE)), field(FieldName.REASON, refusal),
 				field(FieldName.LIMIT, limit),
-				field(FieldName.VERSION, state.table.map(RouteTable::version).orElse(0L)),
+				field(FieldName.VERSION, state.routeTable.map(RouteTable::version).orElse(0L)),
 				field(FieldName.ADDRESS, coordinator), field(FieldName.COUNT, waiting),
 				field(FieldName.MILLISECONDS, retryAfter.toMillis()));
 	}
@@ -204,7 +204,7 @@
 	// The tokens of the budget that are used or reserved, as known to this relay.
 	private static NoticeField tokens(Exchange exchange, RelayState state) {
 		return field(FieldName.TOKENS,
-				exchange.head().turn().map((turn) -> state.tokens.taken(turn.program())).orElse(0L));
+				exchange.head().turn().map((turn) -> state.tokens.used(turn.program())).orElse(0L));
 	}
 
 	private static NoticeField budget(Exchange exchange) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
@@ -32,8 +32,8 @@
 		if (!this.state.ledgerComplete && this.state.caughtUp) {
 			checkLedgerComplete();
 		}
-		boolean ready = this.state.table.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
-				&& this.state.membershipKnown() && this.state.reach != Connectivity.NOTHING
+		boolean ready = this.state.routeTable.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
+				&& this.state.membershipKnown() && this.state.connectivity != Connectivity.NOTHING
 				&& this.state.textEndOffset >= 0;
 		if (ready != this.state.ready) {
 			this.state.ready = ready;
@@ -50,7 +50,7 @@
 			markLedgerComplete();
 			return;
 		}
-		Duration longest = this.state.table.stream()
+		Duration longest = this.state.routeTable.stream()
 			.flatMap((table) -> table.routes().stream())
 			.map(Route::retention)
 			.max(Duration::compareTo)
@@ -61,10 +61,10 @@
 	}
 
 	void routeTableUpdated(RouteTable table) {
-		if (this.state.table.isPresent() && this.state.table.get().version() >= table.version()) {
+		if (this.state.routeTable.isPresent() && this.state.routeTable.get().version() >= table.version()) {
 			return;
 		}
-		this.state.table = Optional.of(table);
+		this.state.routeTable = Optional.of(table);
 		this.state.emit(new RelayEffect.ApplyLimits(table.limits()));
 		this.state.report(RelayNotices.routesAccepted(table));
 	}
@@ -113,7 +113,7 @@
 	void processResumed(Duration pause) {
 		this.state.report(RelayNotices.processResumed(pause));
 		if (this.state.caughtUp) {
-			this.state.stale = true;
+			this.state.logStale = true;
 			this.state.emit(new RelayEffect.CatchUp());
 		}
 	}
@@ -133,11 +133,11 @@
 	 * @param peer the other relay
 	 */
 	void sendSync(String peer) {
-		List<LedgerEntry> entries = this.state.unlogged.all();
-		if (this.state.keepers.knows(peer)) {
+		List<LedgerEntry> entries = this.state.uncommitted.all();
+		if (this.state.replicas.contains(peer)) {
 			entries = entries.stream()
-				.filter((entry) -> entry.ofProgram()
-					.filter((program) -> this.state.keepers.of(program).contains(peer))
+				.filter((entry) -> entry.findProgram()
+					.filter((program) -> this.state.replicas.replicasOf(program).contains(peer))
 					.isPresent())
 				.toList();
 		}
@@ -181,11 +181,11 @@
 	 * @param connectivity the new connectivity
 	 */
 	void connectivityChanged(Connectivity connectivity) {
-		this.state.reach = connectivity;
+		this.state.connectivity = connectivity;
 		this.state.report(RelayNotices.connectivityChanged(connectivity));
 		if (connectivity != Connectivity.LOG) {
-			List.copyOf(this.state.contending.values())
-				.forEach((number) -> this.budgets.orderDue(this.state.exchanges.get(number)));
+			List.copyOf(this.state.conditionalReservations.values())
+				.forEach((number) -> this.budgets.decisionTimedOut(this.state.exchanges.get(number)));
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UpstreamIdleTimeout.java
@@ -58,7 +58,7 @@
 	boolean hasExpired(Exchange exchange) {
 		long timeout = timeoutMillis(exchange.route());
 		long remaining = exchange.lastActivityAt() + timeout - this.state.now;
-		long timerDelay = this.state.now - exchange.nextSilenceCheck();
+		long timerDelay = this.state.now - exchange.nextIdleCheck();
 		if (remaining > 0) {
 			schedule(exchange, remaining);
 			return false;
@@ -79,7 +79,7 @@
 	}
 
 	private void schedule(Exchange exchange, long delay) {
-		exchange.nextSilenceCheck(this.state.now + delay);
+		exchange.nextIdleCheck(this.state.now + delay);
 		this.state.startTimer(exchange, Duration.ofMillis(delay), TimerKind.UPSTREAM_IDLE);
 	}
 
