--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Limits.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Limits.java
@@ -50,8 +50,8 @@
 	/**
 	 * Bounds of one request.
 	 *
-	 * @param maxBodyBytes the most bytes of a request's body
-	 * @param maxHeaderBytes the most bytes of a request's headers
+	 * @param bodyBytes the most bytes of a request's body
+	 * @param headerBytes the most bytes of a request's headers
 	 * @param openStreams the most streams that one entry keeps open at once
 	 * @param streamIdleTime the longest a stream may stay without a token
 	 */
@@ -65,8 +65,8 @@
 
 		/**
 		 * Creates bounds.
-		 * @param maxBodyBytes the most bytes of a request's body
-		 * @param maxHeaderBytes the most bytes of a request's headers
+		 * @param bodyBytes the most bytes of a request's body
+		 * @param headerBytes the most bytes of a request's headers
 		 * @param openStreams the most streams that one entry keeps open at once
 		 * @param streamIdleTime the longest a stream may stay without a token
 		 * @throws IllegalArgumentException if a bound is not positive
