--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/upstream/EventParserTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/upstream/EventParserTests.java
@@ -38,8 +38,8 @@
 		assertThat(this.raw).containsExactly("id: 1\r\ndata: x\r\n\r\n");
 	}
 
-	// An upstream dies in the middle of an event. The part is held back: passed on, it
-	// would stand before the same event of the next upstream.
+	// An upstream fails within an event. Guards against duplicate data when the stream is
+	// resumed on another upstream.
 	@Test
 	void partialEventIsBuffered() {
 		read("id: 1\ndata: one\n\nid: 2\nda");
