--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/Dialect.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/Dialect.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.Refusal;
 import io.lentilslip.core.relay.RelayEffect;
 import io.lentilslip.core.relay.RequestHead;
+import io.lentilslip.core.relay.ResponseHead;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpRequest;
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/AttemptListener.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/AttemptListener.java
@@ -1,7 +1,7 @@
 package io.lentilslip.relay.upstream;
 
-import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.RelayEvent.FailureCause;
+import io.lentilslip.core.relay.ResponseHead;
 
 /**
  * Receives the outcome of one attempt. {@link #onResponse}, {@link #onStreamEnd} and
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamClient.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamClient.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.Set;
 
-import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.RelayEffect;
 import io.lentilslip.core.relay.RelayEvent.FailureCause;
+import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.Upstream;
 import io.lentilslip.relay.http.Dialect;
 import io.lentilslip.relay.store.Timers;
