--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -7,10 +7,10 @@
 import java.util.stream.Stream;
 
 import io.lentilslip.core.relay.Exchange.Phase;
-import io.lentilslip.core.relay.TurnCache.Chain;
 import io.lentilslip.core.relay.RelayEvent.Connectivity;
 import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import io.lentilslip.core.relay.RequestHead.Turn;
+import io.lentilslip.core.relay.TurnCache.Chain;
 
 /**
  * How the texts of turns are kept and found. A text is written to the log once, by the
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
@@ -11,8 +11,8 @@
 import io.lentilslip.core.notice.Notice;
 import io.lentilslip.core.notice.NoticeCode;
 import io.lentilslip.core.notice.NoticeField;
-import io.lentilslip.core.relay.RelayEvent.FailureCause;
 import io.lentilslip.core.relay.RelayEvent.Connectivity;
+import io.lentilslip.core.relay.RelayEvent.FailureCause;
 import io.lentilslip.core.relay.RelayEvent.TimerKind;
 import org.junit.jupiter.api.Test;
 
