--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/AppendQueue.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/AppendQueue.java
@@ -11,24 +11,21 @@
 import java.util.stream.Stream;
 
 /**
- * What waits to be appended to one partition of the store: goes out in order and one call
- * at a time, so that what arrives during a call goes out together in the next one. An
- * append whose outcome is not known is made again: records may stand in the store twice,
- * which readers bear. Beyond the bound the oldest wait no longer. Used by the event
- * loop's thread.
+ * Queue of records for one partition of the store. Records are appended in order with at
+ * most one call in flight; records added during a call form the next batch. An append
+ * with an unknown outcome is retried, so the store may contain duplicates, which readers
+ * tolerate. When the queue exceeds its size limit, the oldest records are dropped. Used
+ * by the event loop's thread.
  *
- * @param <T> what a record stands for
+ * @param <T> the type of the item that a record represents
  */
 final class AppendQueue<T> {
 
 	/**
-	 * The most bytes of one call, below the store's bound.
+	 * The maximum size of one append, below the limit of the store.
 	 */
 	private static final int MAX_CALL_BYTES = 1024 * 1024;
 
-	/**
-	 * The most records of one call.
-	 */
 	private static final int MAX_CALL_RECORDS = 512;
 
 	private final Appender appender;
@@ -56,13 +53,13 @@
 	/**
 	 * Creates an empty queue.
 	 * @param appender appends records to the partition
-	 * @param stamper puts into a record how long it waited
-	 * @param timers runs steps later
-	 * @param random spreads out tries
-	 * @param maxQueuedBytes the most bytes that wait
-	 * @param listener takes what the store has
-	 * @param callListener takes whether the store answered a call as it should
-	 * @param dropListener takes how many records wait no longer, each time that any do
+	 * @param stamper adds the queueing delay to a record
+	 * @param timers schedules retries
+	 * @param random the source of retry jitter
+	 * @param maxQueuedBytes the maximum total size of queued records
+	 * @param listener receives acknowledged records
+	 * @param callListener receives whether each call to the store succeeded
+	 * @param dropListener receives the number of records whenever some are dropped
 	 */
 	AppendQueue(Appender appender, RecordStamper stamper, Timers timers, RandomGenerator random, long maxQueuedBytes,
 			AppendListener<T> listener, Consumer<Boolean> callListener, IntConsumer dropListener) {
@@ -77,10 +74,9 @@
 	}
 
 	/**
-	 * Takes a record, which waits until {@link #flush()} or the end of the call under
-	 * way.
-	 * @param item what the record stands for
-	 * @param encoded its bytes
+	 * Queues a record until the next {@link #flush()} or the end of the call in flight.
+	 * @param item the item that the record represents
+	 * @param encoded the bytes of the record
 	 */
 	void add(T item, byte[] encoded) {
 		this.queue.add(new QueuedRecord<>(item, encoded, this.timers.now()));
@@ -104,8 +100,8 @@
 	}
 
 	/**
-	 * Returns what the store has not confirmed yet.
-	 * @return the items, the oldest first
+	 * Returns the items that the store has not acknowledged yet.
+	 * @return the items, oldest first
 	 */
 	List<T> unacknowledged() {
 		return Stream.concat(this.inFlight.stream(), this.queue.stream()).map(QueuedRecord::item).toList();
@@ -116,48 +112,48 @@
 	}
 
 	/**
-	 * Appends what waits, unless a call is under way.
+	 * Appends queued records unless a call is in flight.
 	 */
 	void flush() {
 		if (hasCallInFlight() || this.queue.isEmpty()) {
 			return;
 		}
 		List<QueuedRecord<T>> batch = new ArrayList<>();
-		int size = 0;
+		int batchBytes = 0;
 		while (!this.queue.isEmpty() && batch.size() < MAX_CALL_RECORDS) {
-			int next = this.queue.peekFirst().encoded().length;
-			if (!batch.isEmpty() && size + next > MAX_CALL_BYTES) {
+			int recordBytes = this.queue.peekFirst().encoded().length;
+			if (!batch.isEmpty() && batchBytes + recordBytes > MAX_CALL_BYTES) {
 				break;
 			}
-			size += next;
+			batchBytes += recordBytes;
 			batch.add(this.queue.pollFirst());
 		}
-		this.queuedBytes -= size;
+		this.queuedBytes -= batchBytes;
 		this.inFlight = batch;
 		append();
 	}
 
 	private void append() {
-		long began = this.timers.now();
+		long startedAt = this.timers.now();
 		List<byte[]> records = new ArrayList<>();
 		for (QueuedRecord<T> next : this.inFlight) {
-			records.add(this.stamper.stamp(next.encoded(), Duration.ofMillis(began - next.queuedAt())));
+			records.add(this.stamper.stamp(next.encoded(), Duration.ofMillis(startedAt - next.queuedAt())));
 		}
-		this.appender.append(records, (outcome) -> {
-			this.callListener.accept(outcome instanceof Store.AppendResult.Success);
-			if (outcome instanceof Store.AppendResult.Success done) {
-				appendSucceeded(done, Duration.ofMillis(this.timers.now() - began));
+		this.appender.append(records, (result) -> {
+			this.callListener.accept(result instanceof Store.AppendResult.Success);
+			if (result instanceof Store.AppendResult.Success success) {
+				appendSucceeded(success, Duration.ofMillis(this.timers.now() - startedAt));
 				return;
 			}
 			this.timers.schedule(this.backoff.nextDelay(), this::append);
 		});
 	}
 
-	private void appendSucceeded(Store.AppendResult.Success done, Duration took) {
+	private void appendSucceeded(Store.AppendResult.Success success, Duration latency) {
 		this.backoff.reset();
 		List<T> items = this.inFlight.stream().map(QueuedRecord::item).toList();
 		this.inFlight = List.of();
-		this.listener.stored(items, done.offset(), took);
+		this.listener.stored(items, success.offset(), latency);
 		flush();
 	}
 
@@ -168,55 +164,55 @@
 	interface Appender {
 
 		/**
-		 * Appends records, all or none.
+		 * Appends records atomically.
 		 * @param records the records
-		 * @param then takes the outcome
+		 * @param callback receives the result
 		 */
-		void append(List<byte[]> records, Consumer<Store.AppendResult> then);
+		void append(List<byte[]> records, Consumer<Store.AppendResult> callback);
 
 	}
 
 	/**
-	 * Puts into a record how long it waited. Used by the event loop's thread.
+	 * Adds the queueing delay to a record. Used by the event loop's thread.
 	 */
 	@FunctionalInterface
 	interface RecordStamper {
 
 		/**
-		 * Makes the record that is appended.
-		 * @param encoded the bytes of the record
-		 * @param waited how long it waited until now
+		 * Returns the record to append.
+		 * @param encoded the bytes of the queued record
+		 * @param delay the time that the record has been queued
 		 * @return the bytes to append
 		 */
-		byte[] stamp(byte[] encoded, Duration waited);
+		byte[] stamp(byte[] encoded, Duration delay);
 
 	}
 
 	/**
-	 * Takes what the store has. Used by the event loop's thread.
+	 * Receives acknowledged records. Used by the event loop's thread.
 	 *
-	 * @param <T> what a record stands for
+	 * @param <T> the type of the item that a record represents
 	 */
 	@FunctionalInterface
 	interface AppendListener<T> {
 
 		/**
-		 * Records are in the store.
-		 * @param items what they stand for, in order
-		 * @param offset the offset of the first one
-		 * @param took how long the store took
+		 * Called when the store has acknowledged records.
+		 * @param items the items of the records, in order
+		 * @param offset the offset of the first record
+		 * @param latency the latency of the append
 		 */
-		void stored(List<T> items, long offset, Duration took);
+		void stored(List<T> items, long offset, Duration latency);
 
 	}
 
 	/**
-	 * A record that is not in the store yet. Immutable.
+	 * A record that is not yet acknowledged by the store. Immutable.
 	 *
-	 * @param <T> what a record stands for
-	 * @param item what it stands for
-	 * @param encoded its bytes
-	 * @param since since when it waits
+	 * @param <T> the type of the item that the record represents
+	 * @param item the item
+	 * @param encoded the bytes of the record
+	 * @param queuedAt when the record was queued, in milliseconds of the monotonic clock
 	 */
 	private record QueuedRecord<T>(T item, byte[] encoded, long queuedAt) {
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/CompactedTopicConsumer.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/CompactedTopicConsumer.java
@@ -8,17 +8,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Follows the newest record of each key of a topic. It begins with all of them, waits for
- * changes, and begins anew whenever a read fails or records are missing, since a change
- * may have been deleted before it was read. What a stale answer says is not taken: the
- * end of the topic never goes back, and of a key only a later record counts. Used by the
- * event loop's thread.
+ * Consumes a compacted topic: reads a snapshot of the latest record of each key, then
+ * polls for changes. After a failed read or deleted records it starts over with a new
+ * snapshot, since a change may have been deleted before it was read. Stale responses are
+ * ignored: the end offset never decreases, and a record replaces only one with a lower
+ * offset. Used by the event loop's thread.
  */
 public final class CompactedTopicConsumer {
 
 	/**
-	 * How long a read waits for a change. A connection that has gone silent is found out
-	 * after this and the store's time to answer, well within the bound of a change.
+	 * The maximum time that a read waits for a change. It bounds the time to detect a
+	 * connection that stopped responding.
 	 */
 	private static final Duration READ_WAIT = Duration.ofMillis(1000);
 
@@ -39,13 +39,13 @@
 	private long nextOffset = -1;
 
 	/**
-	 * Creates a follower.
+	 * Creates a consumer.
 	 * @param store the store
-	 * @param timers runs steps later
-	 * @param random spreads out tries
-	 * @param topic a topic with keys
-	 * @param listener takes what was read
-	 * @param callListener takes whether the store answered a call as it should
+	 * @param timers schedules retries
+	 * @param random the source of retry jitter
+	 * @param topic a compacted topic
+	 * @param listener receives snapshots and changes
+	 * @param callListener receives whether each call to the store succeeded
 	 */
 	public CompactedTopicConsumer(Store store, Timers timers, RandomGenerator random, Topic topic, Listener listener,
 			Consumer<Boolean> callListener) {
@@ -58,15 +58,15 @@
 	}
 
 	/**
-	 * Begins to follow.
+	 * Starts consuming.
 	 */
 	public void start() {
 		this.store.readLatest(this.topic, this::handleLatest);
 	}
 
-	private void handleLatest(Store.LatestResult outcome) {
-		this.callListener.accept(outcome instanceof Store.LatestResult.Records);
-		switch (outcome) {
+	private void handleLatest(Store.LatestResult result) {
+		this.callListener.accept(result instanceof Store.LatestResult.Records);
+		switch (result) {
 			case Store.LatestResult.Failed ignored -> restartAfterBackoff();
 			case Store.LatestResult.Records records -> {
 				if (records.endOffset() < this.nextOffset) {
@@ -97,9 +97,9 @@
 		this.store.read(this.topic, this.nextOffset, READ_WAIT, this::handle);
 	}
 
-	private void handle(Store.ReadResult outcome) {
-		this.callListener.accept(!(outcome instanceof Store.ReadResult.Failed));
-		switch (outcome) {
+	private void handle(Store.ReadResult result) {
+		this.callListener.accept(!(result instanceof Store.ReadResult.Failed));
+		switch (result) {
 			case Store.ReadResult.Failed ignored -> restartAfterBackoff();
 			case Store.ReadResult.Deleted ignored -> start();
 			case Store.ReadResult.Records records -> {
@@ -127,20 +127,20 @@
 	}
 
 	/**
-	 * Takes what a follower read. Used by the event loop's thread.
+	 * Receives snapshots and changes. Used by the event loop's thread.
 	 */
 	public interface Listener {
 
 		/**
-		 * The newest records of all keys; keys that are missing are dropped.
+		 * Called with the latest record of each key; other keys have been deleted.
 		 * @param values the values by key
 		 */
 		void snapshotRead(Map<String, byte[]> values);
 
 		/**
-		 * The newest record of one key.
+		 * Called with the latest record of one key.
 		 * @param key the key
-		 * @param value the value; empty if the key is dropped
+		 * @param value the value; empty if the key was deleted
 		 */
 		void recordChanged(String key, Optional<byte[]> value);
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/DroppedEntryReporter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/DroppedEntryReporter.java
@@ -9,8 +9,9 @@
 import io.lentilslip.telemetry.Notices;
 
 /**
- * Tells of entries that a writer gave up: the first at once, and those of the second
- * after a notice by one more. Used by the event loop's thread.
+ * Reports dropped entries at a limited rate: one notice at once, then at most one a
+ * second with the number of entries dropped since the previous one. Used by the event
+ * loop's thread.
  */
 public final class DroppedEntryReporter {
 
@@ -27,10 +28,10 @@
 	private boolean throttled;
 
 	/**
-	 * Creates a teller.
-	 * @param timers runs steps later
-	 * @param notices takes notices
-	 * @param measurements takes measurements
+	 * Creates a reporter.
+	 * @param timers schedules notices
+	 * @param notices receives notices
+	 * @param measurements receives measurements
 	 */
 	public DroppedEntryReporter(Timers timers, Notices notices, Consumer<Measurement> measurements) {
 		this.timers = timers;
@@ -39,12 +40,12 @@
 	}
 
 	/**
-	 * Takes that entries were given up.
-	 * @param entries how many
+	 * Records that entries were dropped.
+	 * @param count the number of entries
 	 */
-	public void recordDropped(int entries) {
-		this.measurements.accept(new Measurement.EntriesGivenUp(entries));
-		this.unreported += entries;
+	public void recordDropped(int count) {
+		this.measurements.accept(new Measurement.EntriesGivenUp(count));
+		this.unreported += count;
 		if (!this.throttled) {
 			report();
 		}
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryReader.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryReader.java
@@ -17,29 +17,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the entries of all relays from the store: at the start without a pause up to the
- * end, then at intervals: the links between relays bring sooner what this one keeps, and
- * what is wanted before that is asked for. Entries that were deleted before they were
- * read are skipped; they are older than anything that is still asked for. Used by the
- * event loop's thread.
+ * Reads the entries of all relays from the log. Until it reaches the end for the first
+ * time it reads without delay, then it polls at intervals: replication over the links is
+ * faster, and urgent entries trigger a read. Entries that were deleted before they were
+ * read are skipped; they are older than any entry still in use. Used by the event loop's
+ * thread.
  */
 public final class EntryReader {
 
 	/**
-	 * The pause between reads while the links bring what can't wait. Each call is priced.
+	 * The polling interval while most links are up; each call to the store has a cost.
 	 */
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
 
 	/**
-	 * The pause while most links are down. What others give to a program is then seen
-	 * only here, and a program may begin several turns within half a second: read this
-	 * often, a relay lags behind by less than one turn.
+	 * The polling interval while most links are down. The log is then the only source of
+	 * other relays' entries, so the lag has to stay below the duration of one turn.
 	 */
 	private static final Duration ISOLATED_POLL_INTERVAL = Duration.ofMillis(80);
 
 	/**
-	 * How long after an outage all relays have written what had waited: some times the
-	 * longest pause between their tries.
+	 * How long after an outage all relays have appended their queued entries: several
+	 * times the maximum retry delay.
 	 */
 	private static final Duration BACKLOG_FLUSH_TIME = Duration.ofSeconds(2);
 
@@ -84,13 +83,13 @@
 	/**
 	 * Creates a reader.
 	 * @param store the store
-	 * @param timers runs steps later
-	 * @param random spreads out tries
-	 * @param entryListener takes what was read, also where that is nothing
-	 * @param caughtUpListener runs when the end was reached for the first time, and again
-	 * after each {@link #catchUp()}
-	 * @param callListener takes whether the store answered a call as it should
-	 * @param isolated tells whether most links to other relays are down
+	 * @param timers schedules reads
+	 * @param random the source of retry jitter
+	 * @param entryListener receives the entries of each read, including empty ones
+	 * @param caughtUpListener notified when the end of the log is first reached, and
+	 * again after each {@link #catchUp()}
+	 * @param callListener receives whether each call to the store succeeded
+	 * @param isolated returns whether most links to other relays are down
 	 */
 	public EntryReader(Store store, Timers timers, RandomGenerator random, Consumer<List<LedgerEntry>> entryListener,
 			CaughtUpListener caughtUpListener, Consumer<Boolean> callListener, BooleanSupplier isolated) {
@@ -105,7 +104,8 @@
 	}
 
 	/**
-	 * Reads now, or once more if a read is under way that may miss what is newest.
+	 * Reads now. If a read is in flight, another one follows, since the former may miss
+	 * the latest entries.
 	 */
 	public void read() {
 		if (this.callInFlight) {
@@ -118,9 +118,9 @@
 	}
 
 	/**
-	 * Reads up to the end as it is now, and tells when it is reached. A read that is
-	 * under way doesn't count: its answer may have been waiting for as long as this
-	 * process slept.
+	 * Reads up to the current end of the log and notifies the listener when it is
+	 * reached. A read that is already in flight does not count, since its response may
+	 * date from before a pause of this process.
 	 */
 	public void catchUp() {
 		this.reachedEnd = false;
@@ -128,10 +128,10 @@
 		read();
 	}
 
-	private void handleResult(Store.ReadResult outcome) {
+	private void handleResult(Store.ReadResult result) {
 		this.callInFlight = false;
-		this.callListener.accept(!(outcome instanceof Store.ReadResult.Failed));
-		switch (outcome) {
+		this.callListener.accept(!(result instanceof Store.ReadResult.Failed));
+		switch (result) {
 			case Store.ReadResult.Records records -> handleRecords(records);
 			case Store.ReadResult.Deleted deleted -> {
 				this.nextOffset = Math.max(this.nextOffset, deleted.firstOffset());
@@ -159,72 +159,75 @@
 		scheduleRead(this.isolated.getAsBoolean() ? ISOLATED_POLL_INTERVAL : POLL_INTERVAL);
 	}
 
-	// Of relays that are all lost in an outage some start sooner, and what they write is
-	// new when the others read it. The pause before it tells of the outage all the same.
-	private void recordTimestamp(EntryTimestamp time) {
-		long before = this.latestWriteTime.orElse(time.writtenAt());
-		this.longestWriteGap = Math.max(this.longestWriteGap, time.writtenAt() - before);
-		this.latestWriteTime = OptionalLong.of(Math.max(before, time.writtenAt()));
-		this.lastAppend = Math.max(this.lastAppend, time.appendedAt());
-		if (!time.appendDelay().isZero()) {
-			boolean other = time.appendedAt() - this.lastDelayedAppend > BACKLOG_FLUSH_TIME.toMillis();
-			this.longestAppendDelay = Math.max(other ? 0 : this.longestAppendDelay, time.appendDelay().toMillis());
-			this.lastDelayedAppend = Math.max(this.lastDelayedAppend, time.appendedAt());
+	// After a loss of all relays, entries of those that restarted first are recent. The
+	// write gap before them still shows the outage.
+	private void recordTimestamp(EntryTimestamp timestamp) {
+		long previous = this.latestWriteTime.orElse(timestamp.writtenAt());
+		this.longestWriteGap = Math.max(this.longestWriteGap, timestamp.writtenAt() - previous);
+		this.latestWriteTime = OptionalLong.of(Math.max(previous, timestamp.writtenAt()));
+		this.lastAppend = Math.max(this.lastAppend, timestamp.appendedAt());
+		if (!timestamp.appendDelay().isZero()) {
+			boolean newOutage = timestamp.appendedAt() - this.lastDelayedAppend > BACKLOG_FLUSH_TIME.toMillis();
+			this.longestAppendDelay = Math.max(newOutage ? 0 : this.longestAppendDelay,
+					timestamp.appendDelay().toMillis());
+			this.lastDelayedAppend = Math.max(this.lastDelayedAppend, timestamp.appendedAt());
 		}
 	}
 
 	private Optional<Duration> idleTime() {
 		return this.latestWriteTime.stream().mapToObj((time) -> {
-			long pause = Math.max(this.longestWriteGap, Math.abs(this.timers.wallClockMillis() - time));
-			return Duration.ofMillis(Math.max(pause, trailingAppendDelay()));
+			long idle = Math.max(this.longestWriteGap, Math.abs(this.timers.wallClockMillis() - time));
+			return Duration.ofMillis(Math.max(idle, trailingAppendDelay()));
 		}).findFirst();
 	}
 
-	// An outage that ended just before all relays were lost: some could still write what
-	// had waited, and what others held is gone.
+	// If the outage ended just before all relays were lost, only some of them had
+	// appended their queued entries; the others' entries are lost.
 	private long trailingAppendDelay() {
 		return (this.lastAppend - this.lastDelayedAppend < BACKLOG_FLUSH_TIME.toMillis()) ? this.longestAppendDelay : 0;
 	}
 
-	private void scheduleRead(Duration pause) {
-		long turn = this.readNumber;
-		this.timers.schedule(pause, () -> {
-			if (turn == this.readNumber) {
+	private void scheduleRead(Duration delay) {
+		long number = this.readNumber;
+		this.timers.schedule(delay, () -> {
+			if (number == this.readNumber) {
 				read();
 			}
 		});
 	}
 
 	private List<LedgerEntry> decode(List<Store.StoredRecord> records) {
-		List<LedgerEntry> read = new ArrayList<>();
+		List<LedgerEntry> entries = new ArrayList<>();
 		for (Store.StoredRecord stored : records) {
-			DecodedEntry logged = RelayCodec.decodeEntry(stored.value().orElse(new byte[0]));
+			DecodedEntry decoded = RelayCodec.decodeEntry(stored.value().orElse(new byte[0]));
 			if (!this.reachedEnd) {
-				logged.timestamp().ifPresent(this::recordTimestamp);
+				decoded.timestamp().ifPresent(this::recordTimestamp);
 			}
-			if (logged.entry().isLeft()) {
-				// Another version's entry: skipped, since stopping here would stop all.
-				logger.warn("entry at {} is unreadable: {}", stored.offset(), logged.entry().getLeft());
+			if (decoded.entry().isLeft()) {
+				// Written by another version. Stopping here would stop all reads of the
+				// log.
+				logger.warn("Skipping unreadable log entry at offset {}: {}", stored.offset(),
+						decoded.entry().getLeft());
 				continue;
 			}
-			read.add(logged.entry().get());
+			entries.add(decoded.entry().get());
 		}
-		return read;
+		return entries;
 	}
 
 	/**
-	 * Takes that the end of the log was reached. Used by the event loop's thread.
+	 * Notified when the end of the log is reached. Used by the event loop's thread.
 	 */
 	@FunctionalInterface
 	public interface CaughtUpListener {
 
 		/**
-		 * The end was reached.
+		 * Called when the end of the log is reached.
 		 * @param offset the offset after the last entry
-		 * @param handleRecords how long it took
-		 * @param idleTime the longest time for which nothing was written or entries
-		 * waited that may not all be there, up to now, by the clocks of writers and this
-		 * process; empty if there is no entry
+		 * @param duration the time it took to read up to the end
+		 * @param idle the longest period, up to now, without a write or with delayed
+		 * appends that may be incomplete, by the clocks of the writers and of this
+		 * process; empty if the log has no entries
 		 */
 		void caughtUp(long offset, Duration duration, Optional<Duration> idle);
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
@@ -12,28 +12,28 @@
 import io.lentilslip.wire.relay.RelayCodec;
 
 /**
- * Writes a relay's entries to the store: those that somebody waits for at once, with all
- * that wait, the others after a moment in which more may come. Entries that can't be
- * written yet wait; beyond the bound other relays alone hold them. Used by the event
- * loop's thread.
+ * Appends this relay's entries to the log. An entry that a request waits for is appended
+ * at once together with all queued ones; other entries are batched for a short time.
+ * While the store is unavailable, entries are queued; those dropped at the size limit
+ * exist only on other relays. Used by the event loop's thread.
  */
 public final class EntryWriter {
 
 	/**
-	 * The most bytes that wait: some minutes of an outage at today's load.
+	 * The maximum total size of queued entries, enough for an outage of some minutes.
 	 */
 	private static final long MAX_QUEUED_BYTES = 24L * 1024 * 1024;
 
 	/**
-	 * How long entries that nobody waits for are gathered: calls are priced. What is lost
-	 * with all relays at once within this time is the count of turns that have hardly
-	 * begun; it is far less than the one turn by which a budget may be passed.
+	 * How long entries that no request waits for are batched. If all relays are lost, so
+	 * are the reservations of this period, which amount to much less than the one turn by
+	 * which a budget may be exceeded.
 	 */
 	private static final Duration LINGER = Duration.ofMillis(100);
 
 	/**
-	 * How long an entry may wait without saying so: several times what it waits while the
-	 * log answers. Those that wait longer show whoever reads them that it was away.
+	 * The minimum queueing delay that is recorded in an entry. It exceeds normal append
+	 * latency, so a recorded delay indicates an outage of the log.
 	 */
 	private static final Duration MIN_RECORDED_DELAY = Duration.ofMillis(500);
 
@@ -50,30 +50,29 @@
 	/**
 	 * Creates a writer.
 	 * @param store the store
-	 * @param timers runs steps later
-	 * @param random spreads out tries
-	 * @param turnsStored takes the kept turns whose ends are in the store
-	 * @param contendersStored runs when turns that contend have their places there
-	 * @param callListener takes whether the store answered a call as it should
-	 * @param dropListener takes how many entries wait no longer, at each write that drops
-	 * any
+	 * @param timers schedules appends
+	 * @param random the source of retry jitter
+	 * @param turnsStored receives the stored turns whose settlements were acknowledged
+	 * @param contendersStored runs when contending reservations were acknowledged
+	 * @param callListener receives whether each call to the store succeeded
+	 * @param dropListener receives the number of entries whenever some are dropped
 	 */
 	public EntryWriter(Store store, Timers timers, RandomGenerator random, Consumer<Set<String>> turnsStored,
 			Runnable contendersStored, Consumer<Boolean> callListener, IntConsumer dropListener) {
 		this.timers = timers;
 		this.turnsStored = turnsStored;
 		this.contendersStored = contendersStored;
-		this.queue = new AppendQueue<>((records, then) -> store.append(Topic.ENTRIES, records, then),
-				EntryWriter::stampDelay, timers, random, MAX_QUEUED_BYTES, (entries, offset, took) -> stored(entries),
-				callListener, dropListener);
+		this.queue = new AppendQueue<>((records, callback) -> store.append(Topic.ENTRIES, records, callback),
+				EntryWriter::stampDelay, timers, random, MAX_QUEUED_BYTES,
+				(entries, offset, latency) -> stored(entries), callListener, dropListener);
 	}
 
-	private static byte[] stampDelay(byte[] encoded, Duration waited) {
-		return (waited.compareTo(MIN_RECORDED_DELAY) < 0) ? encoded : RelayCodec.withAppendDelay(encoded, waited);
+	private static byte[] stampDelay(byte[] encoded, Duration delay) {
+		return (delay.compareTo(MIN_RECORDED_DELAY) < 0) ? encoded : RelayCodec.withAppendDelay(encoded, delay);
 	}
 
 	/**
-	 * Takes an entry.
+	 * Queues an entry to be appended.
 	 * @param entry the entry
 	 */
 	public void write(LedgerEntry entry) {
@@ -89,7 +88,7 @@
 	}
 
 	/**
-	 * Returns how many entries wait.
+	 * Returns the number of queued entries.
 	 * @return the number
 	 */
 	public int size() {
@@ -97,8 +96,8 @@
 	}
 
 	/**
-	 * Returns the entries that the store has not confirmed yet.
-	 * @return the entries, the oldest first
+	 * Returns the entries that the store has not acknowledged yet.
+	 * @return the entries, oldest first
 	 */
 	public List<LedgerEntry> unacknowledged() {
 		return this.queue.unacknowledged();
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/MeteredStore.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/MeteredStore.java
@@ -9,8 +9,8 @@
 import io.lentilslip.relay.net.TrafficCounter;
 
 /**
- * Counts the values of records that go to a store, whatever becomes of them, and those
- * that come from it. Used by the event loop's thread.
+ * Store decorator that counts the sizes of records sent to the store, whether or not the
+ * call succeeds, and of records read from it. Used by the event loop's thread.
  */
 public final class MeteredStore implements Store {
 
@@ -19,9 +19,9 @@
 	private final TrafficCounter traffic;
 
 	/**
-	 * Creates a store that counts.
-	 * @param store the store itself
-	 * @param traffic adds up what is counted
+	 * Creates a store.
+	 * @param store the store to delegate to
+	 * @param traffic counts the records and their sizes
 	 */
 	public MeteredStore(Store store, TrafficCounter traffic) {
 		this.store = store;
@@ -29,49 +29,49 @@
 	}
 
 	@Override
-	public void append(Topic topic, List<byte[]> records, Consumer<AppendResult> then) {
+	public void append(Topic topic, List<byte[]> records, Consumer<AppendResult> callback) {
 		records.forEach((value) -> this.traffic.add(Kind.STORE_APPENDED, value.length));
-		this.store.append(topic, records, then);
+		this.store.append(topic, records, callback);
 	}
 
 	@Override
-	public void appendTexts(int part, List<byte[]> records, Consumer<AppendResult> then) {
+	public void appendTexts(int partition, List<byte[]> records, Consumer<AppendResult> callback) {
 		records.forEach((value) -> this.traffic.add(Kind.STORE_APPENDED, value.length));
-		this.store.appendTexts(part, records, then);
+		this.store.appendTexts(partition, records, callback);
 	}
 
 	@Override
-	public void readTexts(int part, long from, int bytes, Consumer<ReadResult> then) {
-		this.store.readTexts(part, from, bytes, counting(then));
+	public void readTexts(int partition, long from, int maxBytes, Consumer<ReadResult> callback) {
+		this.store.readTexts(partition, from, maxBytes, counting(callback));
 	}
 
 	@Override
-	public void put(Topic topic, String key, Optional<byte[]> value, Consumer<AppendResult> then) {
+	public void put(Topic topic, String key, Optional<byte[]> value, Consumer<AppendResult> callback) {
 		this.traffic.add(Kind.STORE_APPENDED, size(value));
-		this.store.put(topic, key, value, then);
+		this.store.put(topic, key, value, callback);
 	}
 
 	@Override
-	public void read(Topic topic, long from, Duration wait, Consumer<ReadResult> then) {
-		this.store.read(topic, from, wait, counting(then));
+	public void read(Topic topic, long from, Duration maxWait, Consumer<ReadResult> callback) {
+		this.store.read(topic, from, maxWait, counting(callback));
 	}
 
-	private Consumer<ReadResult> counting(Consumer<ReadResult> then) {
-		return (outcome) -> {
-			if (outcome instanceof ReadResult.Records read) {
-				count(read.records());
+	private Consumer<ReadResult> counting(Consumer<ReadResult> callback) {
+		return (result) -> {
+			if (result instanceof ReadResult.Records records) {
+				count(records.records());
 			}
-			then.accept(outcome);
+			callback.accept(result);
 		};
 	}
 
 	@Override
-	public void readLatest(Topic topic, Consumer<LatestResult> then) {
-		this.store.readLatest(topic, (outcome) -> {
-			if (outcome instanceof LatestResult.Records read) {
-				count(read.records());
+	public void readLatest(Topic topic, Consumer<LatestResult> callback) {
+		this.store.readLatest(topic, (result) -> {
+			if (result instanceof LatestResult.Records records) {
+				count(records.records());
 			}
-			then.accept(outcome);
+			callback.accept(result);
 		});
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/RetryBackoff.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/RetryBackoff.java
@@ -6,14 +6,13 @@
 import io.lentilslip.core.retry.Backoff;
 
 /**
- * The pauses between tries at a store that fails, counted from the last success. Used by
- * one thread.
+ * Delays between retries of calls to the store, increasing since the last success. Used
+ * by one thread.
  */
 final class RetryBackoff {
 
 	/**
-	 * The longest pause is short: recovery after an outage is late by it, which callers'
-	 * retries bridge.
+	 * The maximum delay is short, since it adds to the recovery time after an outage.
 	 */
 	private static final Backoff BACKOFF = new Backoff(Duration.ofMillis(40), Duration.ofMillis(400));
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Store.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Store.java
@@ -6,88 +6,89 @@
 import java.util.function.Consumer;
 
 /**
- * The platform's store, as relays use it. Every call answers exactly once, on the event
- * loop that the store was made for, and never throws. Used by that loop's thread.
+ * Asynchronous client of the platform's store. Each call invokes its callback exactly
+ * once, on the event loop that the client was created for, and never throws. Used by that
+ * loop's thread.
  */
 public interface Store {
 
 	/**
-	 * Appends records, all or none.
+	 * Appends records atomically.
 	 * @param topic a topic with one partition
 	 * @param records the records
-	 * @param then takes the outcome
+	 * @param callback receives the result
 	 */
-	void append(Topic topic, List<byte[]> records, Consumer<AppendResult> then);
+	void append(Topic topic, List<byte[]> records, Consumer<AppendResult> callback);
 
 	/**
-	 * Appends records to a partition of the texts, all or none.
-	 * @param part the partition
+	 * Appends records to a partition of the texts atomically.
+	 * @param partition the partition
 	 * @param records the records
-	 * @param then takes the outcome
+	 * @param callback receives the result
 	 */
-	void appendTexts(int part, List<byte[]> records, Consumer<AppendResult> then);
+	void appendTexts(int partition, List<byte[]> records, Consumer<AppendResult> callback);
 
 	/**
-	 * Reads some records of a partition of the texts in order.
-	 * @param part the partition
+	 * Reads records of a partition of the texts in order.
+	 * @param partition the partition
 	 * @param from the offset of the first record
-	 * @param bytes about how many bytes to read at most
-	 * @param then takes the outcome
+	 * @param maxBytes the approximate maximum number of bytes to read
+	 * @param callback receives the result
 	 */
-	void readTexts(int part, long from, int bytes, Consumer<ReadResult> then);
+	void readTexts(int partition, long from, int maxBytes, Consumer<ReadResult> callback);
 
 	/**
-	 * Sets or drops the newest record of a key.
-	 * @param topic a topic with keys
+	 * Sets or deletes the latest record of a key.
+	 * @param topic a compacted topic
 	 * @param key the key
-	 * @param value the value; empty drops the key
-	 * @param then takes the outcome
+	 * @param value the value; empty deletes the key
+	 * @param callback receives the result
 	 */
-	void put(Topic topic, String key, Optional<byte[]> value, Consumer<AppendResult> then);
+	void put(Topic topic, String key, Optional<byte[]> value, Consumer<AppendResult> callback);
 
 	/**
 	 * Reads records in order.
 	 * @param topic the topic
 	 * @param from the offset of the first record
-	 * @param wait how long to wait for a record if there is none
-	 * @param then takes the outcome
+	 * @param maxWait how long to wait for a record if there is none
+	 * @param callback receives the result
 	 */
-	void read(Topic topic, long from, Duration wait, Consumer<ReadResult> then);
+	void read(Topic topic, long from, Duration maxWait, Consumer<ReadResult> callback);
 
 	/**
-	 * Reads the newest record of each key.
-	 * @param topic a topic with keys
-	 * @param then takes the outcome
+	 * Reads the latest record of each key.
+	 * @param topic a compacted topic
+	 * @param callback receives the result
 	 */
-	void readLatest(Topic topic, Consumer<LatestResult> then);
+	void readLatest(Topic topic, Consumer<LatestResult> callback);
 
 	/**
-	 * The outcome of an append. Immutable.
+	 * The result of an append. Immutable.
 	 */
 	sealed interface AppendResult {
 
 		/**
-		 * The records are in the store.
+		 * The records are stored.
 		 *
-		 * @param offset the offset of the first one
+		 * @param offset the offset of the first record
 		 */
 		record Success(long offset) implements AppendResult {
 
 		}
 
 		/**
-		 * Nothing is known for sure: the records may be in the store, or come there yet.
+		 * The outcome is unknown: the records may be stored already or later.
 		 *
-		 * @param reason why
+		 * @param reason the reason
 		 */
 		record Unknown(String reason) implements AppendResult {
 
 		}
 
 		/**
-		 * The store did not take the records and won't.
+		 * The records are not stored and will not be.
 		 *
-		 * @param reason why
+		 * @param reason the reason
 		 */
 		record Rejected(String reason) implements AppendResult {
 
@@ -96,24 +97,24 @@
 	}
 
 	/**
-	 * The outcome of a read. Immutable.
+	 * The result of a read. Immutable.
 	 */
 	sealed interface ReadResult {
 
 		/**
-		 * Records, perhaps none.
+		 * The records read; may be empty.
 		 *
 		 * @param records the records in order
-		 * @param next the offset after them
-		 * @param end the offset at which the topic ended
+		 * @param nextOffset the offset after them
+		 * @param endOffset the end offset of the topic at the time of the read
 		 */
 		record Records(List<StoredRecord> records, long nextOffset, long endOffset) implements ReadResult {
 
 			/**
-			 * Creates an outcome.
+			 * Creates a result.
 			 * @param records the records in order
-			 * @param next the offset after them
-			 * @param end the offset at which the topic ended
+			 * @param nextOffset the offset after them
+			 * @param endOffset the end offset of the topic at the time of the read
 			 */
 			public Records {
 				records = List.copyOf(records);
@@ -122,18 +123,18 @@
 		}
 
 		/**
-		 * The records have been deleted.
+		 * The requested records have been deleted.
 		 *
-		 * @param first the first offset that is left
+		 * @param firstOffset the first offset that still exists
 		 */
 		record Deleted(long firstOffset) implements ReadResult {
 
 		}
 
 		/**
-		 * The store did not answer as it should.
+		 * The read failed.
 		 *
-		 * @param reason why
+		 * @param reason the reason
 		 */
 		record Failed(String reason) implements ReadResult {
 
@@ -142,33 +143,33 @@
 	}
 
 	/**
-	 * A record of a topic. Immutable; the array is shared and never written to.
+	 * A record of a topic. Immutable; the array is shared and must not be modified.
 	 *
-	 * @param offset its offset
-	 * @param key its key; empty in a topic without keys
-	 * @param value its value; empty if the key is dropped
+	 * @param offset the offset
+	 * @param key the key; empty in a topic without keys
+	 * @param value the value; empty if the key was deleted
 	 */
 	record StoredRecord(long offset, Optional<String> key, Optional<byte[]> value) {
 
 	}
 
 	/**
-	 * The outcome of reading the newest records. Immutable.
+	 * The result of reading the latest records. Immutable.
 	 */
 	sealed interface LatestResult {
 
 		/**
-		 * The newest record of each key.
+		 * The latest record of each key.
 		 *
 		 * @param records the records
-		 * @param end the offset at which the topic ended before they were read
+		 * @param endOffset the end offset of the topic before the records were read
 		 */
 		record Records(List<StoredRecord> records, long endOffset) implements LatestResult {
 
 			/**
-			 * Creates an outcome.
+			 * Creates a result.
 			 * @param records the records
-			 * @param end the offset at which the topic ended before they were read
+			 * @param endOffset the end offset of the topic before the records were read
 			 */
 			public Records {
 				records = List.copyOf(records);
@@ -177,9 +178,9 @@
 		}
 
 		/**
-		 * The store did not answer as it should.
+		 * The read failed.
 		 *
-		 * @param reason why
+		 * @param reason the reason
 		 */
 		record Failed(String reason) implements LatestResult {
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextReader.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextReader.java
@@ -12,21 +12,21 @@
 import io.lentilslip.wire.relay.RelayCodec;
 
 /**
- * Reads single texts of turns from the store, where their relays said that they are. Used
- * by the event loop's thread.
+ * Reads the text of single turns from the store, starting at the locations published by
+ * the relays that wrote them. Used by the event loop's thread.
  */
 public final class TextReader {
 
 	/**
-	 * How many bytes the first call reads besides the text, twice as many each further
-	 * one: records that may stand before it. These are few, but for texts that waited for
-	 * a store that was away.
+	 * How many bytes the first call reads in addition to the size of the text, for
+	 * records that precede it; doubled on each further call. Only after an outage do many
+	 * records precede a text.
 	 */
 	private static final int INITIAL_EXTRA_BYTES = 16 * 1024;
 
 	/**
-	 * How many calls look for one text at one place: behind four megabytes at last,
-	 * several times what two relays keep waiting while callers wait for their ends.
+	 * The maximum number of calls per location. The last call reads several times the
+	 * texts that two relays queue while callers wait for their responses.
 	 */
 	private static final int MAX_CALLS_PER_LOCATION = 8;
 
@@ -41,17 +41,17 @@
 	}
 
 	/**
-	 * Reads a text.
-	 * @param request the turn
-	 * @param places where it may stand
-	 * @param then takes the text, or empty if it was not found
+	 * Reads the text of a turn.
+	 * @param request the id of the turn's request
+	 * @param locations the locations to search
+	 * @param callback receives the text, or empty if it was not found
 	 */
-	public void read(String request, List<TextLocation> places, Consumer<Optional<StoredTurn>> then) {
-		new Search(request, new ArrayDeque<>(places), then).searchNextLocation();
+	public void read(String request, List<TextLocation> locations, Consumer<Optional<StoredTurn>> callback) {
+		new Search(request, new ArrayDeque<>(locations), callback).searchNextLocation();
 	}
 
 	/**
-	 * One search for a text. Used by the event loop's thread.
+	 * A search for one text. Used by the event loop's thread.
 	 */
 	private final class Search {
 
@@ -59,49 +59,49 @@
 
 		private final Deque<TextLocation> locations;
 
-		private final Consumer<Optional<StoredTurn>> then;
+		private final Consumer<Optional<StoredTurn>> callback;
 
 		private int calls;
 
-		Search(String request, Deque<TextLocation> places, Consumer<Optional<StoredTurn>> then) {
+		Search(String request, Deque<TextLocation> locations, Consumer<Optional<StoredTurn>> callback) {
 			this.request = request;
-			this.locations = places;
-			this.then = then;
+			this.locations = locations;
+			this.callback = callback;
 		}
 
 		void searchNextLocation() {
 			if (this.locations.isEmpty()) {
-				this.then.accept(Optional.empty());
+				this.callback.accept(Optional.empty());
 				return;
 			}
 			this.calls = 0;
-			TextLocation place = this.locations.pollFirst();
-			readFrom(place, place.minOffset());
+			TextLocation location = this.locations.pollFirst();
+			readFrom(location, location.minOffset());
 		}
 
-		private void readFrom(TextLocation place, long from) {
+		private void readFrom(TextLocation location, long from) {
 			if (this.calls == MAX_CALLS_PER_LOCATION) {
 				searchNextLocation();
 				return;
 			}
-			int more = INITIAL_EXTRA_BYTES << this.calls;
+			int extraBytes = INITIAL_EXTRA_BYTES << this.calls;
 			this.calls++;
-			TextReader.this.store.readTexts(place.partition(), from, place.bytes() + more,
-					(outcome) -> handleResult(place, outcome));
+			TextReader.this.store.readTexts(location.partition(), from, location.bytes() + extraBytes,
+					(result) -> handleResult(location, result));
 		}
 
-		private void handleResult(TextLocation place, Store.ReadResult outcome) {
-			switch (outcome) {
+		private void handleResult(TextLocation location, Store.ReadResult result) {
+			switch (result) {
 				case Store.ReadResult.Failed ignored -> searchNextLocation();
-				case Store.ReadResult.Deleted deleted -> readFrom(place, deleted.firstOffset());
+				case Store.ReadResult.Deleted deleted -> readFrom(location, deleted.firstOffset());
 				case Store.ReadResult.Records records -> {
 					Optional<StoredTurn> found = find(records.records());
 					if (found.isPresent()) {
-						this.then.accept(found);
+						this.callback.accept(found);
 						return;
 					}
 					if (records.nextOffset() < records.endOffset()) {
-						readFrom(place, records.nextOffset());
+						readFrom(location, records.nextOffset());
 						return;
 					}
 					searchNextLocation();
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextWriter.java
@@ -9,15 +9,15 @@
 import io.lentilslip.wire.relay.RelayCodec;
 
 /**
- * Writes the texts of turns to this relay's partition of the store, each at once. The
- * callers of their turns wait for their ends, so that what waits is bounded by what
- * callers wait for. Used by the event loop's thread.
+ * Appends the texts of turns to this relay's partition of the store without batching
+ * delay. The callers of these turns wait for the append, which limits the queued data.
+ * Used by the event loop's thread.
  */
 public final class TextWriter {
 
 	/**
-	 * The most bytes that wait: some times what a relay is given in the seconds that
-	 * callers wait for an end.
+	 * The maximum total size of queued texts, several times what a relay receives while
+	 * callers wait for the end of their responses.
 	 */
 	private static final long MAX_QUEUED_BYTES = 16L * 1024 * 1024;
 
@@ -36,12 +36,11 @@
 	/**
 	 * Creates a writer.
 	 * @param store the store
-	 * @param timers runs steps later
-	 * @param random spreads out tries
-	 * @param partition the partition to which texts are written
-	 * @param listener takes what the store has
-	 * @param dropListener takes how many texts wait no longer, at each write that drops
-	 * any
+	 * @param timers schedules retries
+	 * @param random the source of retry jitter
+	 * @param partition the partition to which texts are appended
+	 * @param listener notified of stored texts
+	 * @param dropListener receives the number of texts whenever some are dropped
 	 */
 	public TextWriter(Store store, Timers timers, RandomGenerator random, int partition, Listener listener,
 			IntConsumer dropListener) {
@@ -50,38 +49,38 @@
 		this.partition = partition;
 		this.listener = listener;
 		this.backoff = new RetryBackoff(random);
-		this.queue = new AppendQueue<>((records, then) -> store.appendTexts(partition, records, then),
-				(encoded, waited) -> encoded, timers, random, MAX_QUEUED_BYTES,
-				(turns, offset, took) -> listener.stored(Set.copyOf(turns), offset + turns.size(), took), (well) -> {
-					// A partition of the texts says nothing of the one that the order of
-					// turns is read
-					// from: only that decides what this relay reaches.
+		this.queue = new AppendQueue<>((records, callback) -> store.appendTexts(partition, records, callback),
+				(encoded, delay) -> encoded, timers, random, MAX_QUEUED_BYTES,
+				(turns, offset, latency) -> listener.stored(Set.copyOf(turns), offset + turns.size(), latency),
+				(succeeded) -> {
+					// The availability of a text partition does not affect connectivity,
+					// which depends on the log alone.
 				}, dropListener);
 	}
 
 	/**
-	 * Asks where the partition ends, before anything is written: whoever reads a text is
-	 * told to look from there on.
+	 * Reads the end offset of the partition before the first write; readers start their
+	 * search for a text from it.
 	 */
 	public void start() {
 		readEndOffset(0);
 	}
 
-	private void readEndOffset(long from) {
-		this.store.readTexts(this.partition, from, 0, (outcome) -> {
-			switch (outcome) {
+	private void readEndOffset(long minOffset) {
+		this.store.readTexts(this.partition, minOffset, 0, (result) -> {
+			switch (result) {
 				case Store.ReadResult.Records records ->
 					this.listener.stored(Set.of(), records.endOffset(), Duration.ZERO);
 				case Store.ReadResult.Deleted deleted -> readEndOffset(deleted.firstOffset());
 				case Store.ReadResult.Failed ignored ->
-					this.timers.schedule(this.backoff.nextDelay(), () -> readEndOffset(from));
+					this.timers.schedule(this.backoff.nextDelay(), () -> readEndOffset(minOffset));
 			}
 		});
 	}
 
 	/**
-	 * Takes a text.
-	 * @param turn the turn
+	 * Queues a text to be appended.
+	 * @param turn the turn and its text
 	 */
 	public void write(TurnText turn) {
 		this.queue.add(turn.request(), RelayCodec.encode(turn));
@@ -89,7 +88,7 @@
 	}
 
 	/**
-	 * Returns how many texts wait.
+	 * Returns the number of queued texts.
 	 * @return the number
 	 */
 	public int size() {
@@ -97,18 +96,18 @@
 	}
 
 	/**
-	 * Takes what the store has. Used by the event loop's thread.
+	 * Notified of stored texts. Used by the event loop's thread.
 	 */
 	@FunctionalInterface
 	public interface Listener {
 
 		/**
-		 * Texts are in the store.
-		 * @param requests the turns whose texts they are
-		 * @param end where the partition ends now
-		 * @param took how long the store took
+		 * Called when the store has acknowledged texts, and with the initial end offset.
+		 * @param requests the ids of the requests whose texts were stored
+		 * @param endOffset the end offset of the partition
+		 * @param latency the latency of the append
 		 */
-		void stored(Set<String> requests, long end, Duration took);
+		void stored(Set<String> requests, long endOffset, Duration latency);
 
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Timers.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Timers.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * Runs steps later, on the event loop. Used by that loop's thread.
+ * Schedules tasks on the event loop. Used by that loop's thread.
  */
 public interface Timers {
 
 	/**
-	 * Runs a step once.
-	 * @param delay when
-	 * @param step the step
+	 * Schedules a task to run once.
+	 * @param delay the delay
+	 * @param task the task
 	 */
-	void schedule(Duration delay, Runnable step);
+	void schedule(Duration delay, Runnable task);
 
 	/**
-	 * Returns the time of a steady clock.
+	 * Returns the time of a monotonic clock.
 	 * @return milliseconds
 	 */
 	long now();
 
 	/**
-	 * Returns the time of a clock of the day, which may be off and may be set.
+	 * Returns the time of the wall clock, which may be inaccurate and may be adjusted.
 	 * @return milliseconds since the epoch
 	 */
 	default long wallClockMillis() {
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Topic.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/Topic.java
@@ -1,13 +1,12 @@
 package io.lentilslip.relay.store;
 
 /**
- * What relays read from or write to the store, each a sequence of records with offsets.
- * Safe for use by several threads.
+ * Topics of the store that relays use. Safe for use by several threads.
  */
 public enum Topic {
 
 	/**
-	 * The entries that relays write for each other.
+	 * The log: entries that relays replicate to each other.
 	 */
 	ENTRIES,
 
@@ -17,17 +16,17 @@
 	TEXTS,
 
 	/**
-	 * The addresses of relays, the newest record of each kept.
+	 * The addresses of relays; compacted.
 	 */
 	RELAYS,
 
 	/**
-	 * What operators set, the newest record of each kept.
+	 * Operator configuration; compacted.
 	 */
 	ROUTES,
 
 	/**
-	 * The upstreams that register themselves, the newest record of each kept.
+	 * Registered upstreams; compacted.
 	 */
 	UPSTREAMS
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/package-info.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What relays read from and write to the platform's store.
+ * Access to the platform's store: the log of entries, the texts of turns and the
+ * compacted topics.
  */
 package io.lentilslip.relay.store;
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/FakeStore.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/FakeStore.java
@@ -33,36 +33,36 @@
 	private long now;
 
 	@Override
-	public void append(Topic topic, List<byte[]> records, Consumer<AppendResult> then) {
+	public void append(Topic topic, List<byte[]> records, Consumer<AppendResult> callback) {
 		this.appends.add(records);
-		this.appendAnswers.add(then);
+		this.appendAnswers.add(callback);
 	}
 
 	@Override
-	public void appendTexts(int part, List<byte[]> records, Consumer<AppendResult> then) {
-		append(Topic.TEXTS, records, then);
+	public void appendTexts(int partition, List<byte[]> records, Consumer<AppendResult> callback) {
+		append(Topic.TEXTS, records, callback);
 	}
 
 	@Override
-	public void readTexts(int part, long from, int bytes, Consumer<ReadResult> then) {
-		this.textBytes.add(bytes);
-		read(Topic.TEXTS, from, Duration.ZERO, then);
+	public void readTexts(int partition, long from, int maxBytes, Consumer<ReadResult> callback) {
+		this.textBytes.add(maxBytes);
+		read(Topic.TEXTS, from, Duration.ZERO, callback);
 	}
 
 	@Override
-	public void put(Topic topic, String key, Optional<byte[]> value, Consumer<AppendResult> then) {
-		this.appendAnswers.add(then);
+	public void put(Topic topic, String key, Optional<byte[]> value, Consumer<AppendResult> callback) {
+		this.appendAnswers.add(callback);
 	}
 
 	@Override
-	public void read(Topic topic, long from, Duration wait, Consumer<ReadResult> then) {
+	public void read(Topic topic, long from, Duration maxWait, Consumer<ReadResult> callback) {
 		this.reads.add(from);
-		this.readAnswers.add(then);
+		this.readAnswers.add(callback);
 	}
 
 	@Override
-	public void readLatest(Topic topic, Consumer<LatestResult> then) {
-		this.newestAnswers.add(then);
+	public void readLatest(Topic topic, Consumer<LatestResult> callback) {
+		this.newestAnswers.add(callback);
 	}
 
 	@Override
