--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/FrameCounter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/FrameCounter.java
@@ -8,8 +8,8 @@
 import io.netty.channel.ChannelPromise;
 
 /**
- * Counts the frames of a link both ways, without their lengths. Used by the event loop's
- * thread.
+ * Counts the frames and payload bytes of a link in both directions. Used by the event
+ * loop's thread.
  */
 final class FrameCounter extends ChannelDuplexHandler {
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerChannel.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerChannel.java
@@ -19,19 +19,17 @@
 import io.vavr.control.Either;
 
 /**
- * One connection between two relays: frames with a length, and an end when nothing goes
- * over it for long. Used by the event loop's thread.
+ * One connection between two relays, with length-prefixed frames and an idle timeout.
+ * Used by the event loop's thread.
  */
 abstract class PeerChannel extends SimpleChannelInboundHandler<ByteBuf> {
 
 	/**
-	 * The reason of an end that tells nothing of the other relay.
+	 * The close reason of an idle connection, which does not indicate that the other
+	 * relay failed.
 	 */
 	static final String IDLE = "idle";
 
-	/**
-	 * How long a connection is kept that nothing goes over.
-	 */
 	private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
 	private static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
@@ -41,9 +39,10 @@
 	private String closeReason = "closed";
 
 	/**
-	 * Puts this handler, and what it needs before it, into a connection's pipeline.
+	 * Adds this handler and the handlers that it requires to the pipeline of a
+	 * connection.
 	 * @param channel the connection
-	 * @param traffic adds up what goes over it
+	 * @param traffic counts frames and bytes
 	 */
 	void initialize(Channel channel, TrafficCounter traffic) {
 		channel.pipeline()
@@ -53,14 +52,14 @@
 	}
 
 	/**
-	 * Takes a message.
+	 * Handles a message.
 	 * @param context the connection
 	 * @param message the message
 	 */
 	abstract void messageReceived(ChannelHandlerContext context, PeerMessage message);
 
 	/**
-	 * Returns why the connection ended.
+	 * Returns why the connection was closed.
 	 * @return the reason
 	 */
 	String closeReason() {
@@ -72,9 +71,9 @@
 	}
 
 	/**
-	 * Sends a message that is encoded already.
+	 * Sends an encoded message.
 	 * @param channel the connection
-	 * @param encoded the bytes of the message; shared, never written to
+	 * @param encoded the bytes of the message; shared, must not be modified
 	 */
 	static void send(Channel channel, byte[] encoded) {
 		channel.writeAndFlush(Unpooled.wrappedBuffer(encoded), channel.voidPromise());
@@ -102,8 +101,8 @@
 		close(context, cause.getMessage());
 	}
 
-	private void close(ChannelHandlerContext context, String why) {
-		this.closeReason = String.valueOf(why);
+	private void close(ChannelHandlerContext context, String cause) {
+		this.closeReason = String.valueOf(cause);
 		context.close();
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerLink.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerLink.java
@@ -18,63 +18,64 @@
 import io.netty.channel.EventLoop;
 
 /**
- * The link to one other relay: one connection, whichever of the two made it. It is made
- * when something is to be sent and closed when nothing has been for a while, so that a
- * relay has links to those that it works with. What was sent on a lost link comes to the
- * other relay by the log, or is asked for again. Used by the event loop's thread.
+ * Link to one other relay over a single connection, which either side may have opened. It
+ * connects on demand and closes when idle, so a relay has links only to relays that it
+ * works with. Messages lost with a connection are not resent: entries arrive through the
+ * log, and requests are retried. Used by the event loop's thread.
  */
 final class PeerLink {
 
 	private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
 	/**
-	 * The pauses between tries: the first ones short, since a relay that restarts is back
-	 * in half a second, later ones long, since it may be gone.
+	 * The reconnect delays, short at first for a relay that restarts and longer for one
+	 * that may not return.
 	 */
 	private static final Backoff BACKOFF = new Backoff(Duration.ofMillis(100), Duration.ofMillis(2000));
 
 	/**
-	 * Takes no random part off a pause: a relay that is back needs all its links at once.
+	 * No jitter: a relay that restarted needs all its links at once.
 	 */
 	private static final long NO_JITTER = 0;
 
 	/**
-	 * How long a relay may be out of reach before its address is dropped from the store:
-	 * twice what a restart takes. Addresses of VMs that were replaced would add up
-	 * otherwise, and be tried for ever. One that lives writes its address again.
+	 * How long a relay may be unreachable before its address is removed from the store,
+	 * longer than a restart takes. Otherwise addresses of replaced VMs would accumulate.
+	 * A relay that is alive registers again.
 	 */
 	private static final Duration UNREACHABLE_TIMEOUT = Duration.ofSeconds(8);
 
 	/**
-	 * For how long a link that is down is tried for after it was last needed.
+	 * How long a lost link is reconnected after its last use.
 	 */
 	private static final Duration RECONNECT_WINDOW = Duration.ofSeconds(10);
 
 	/**
-	 * How long nothing may come back after something was sent before a sign of life is
-	 * asked for. Questions are answered at once, so most links are never asked.
+	 * How long a response may be outstanding before a heartbeat is sent. Requests are
+	 * normally answered at once, so most links need none.
 	 */
 	private static final Duration HEARTBEAT_DELAY = Duration.ofMillis(1200);
 
 	/**
-	 * How long nothing may come back before the link counts as lost. A connection may go
-	 * silent for good without a reset, and a new one works.
+	 * How long a response may be outstanding before the connection is closed. A
+	 * connection may stop delivering data without a reset, and a new one works.
 	 */
 	private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(2000);
 
 	/**
-	 * How recently something must have gone out for it to count as a sign of life itself.
+	 * How recent a message to the other relay must be to replace a heartbeat.
 	 */
 	private static final Duration RECENT_SEND = Duration.ofMillis(200);
 
 	/**
-	 * The most bytes that wait for a relay that reads too slowly before its link ends.
+	 * The maximum number of bytes pending for a slow reader before its connection is
+	 * closed.
 	 */
 	private static final int MAX_PENDING_BYTES = 8 * 1024 * 1024;
 
 	/**
-	 * The most messages that wait for a connection that is being made: some more than are
-	 * sent to one relay in that time. Older ones are of no use to it any more.
+	 * The maximum number of messages queued while connecting. The oldest are dropped;
+	 * they are of no use to the other relay by then.
 	 */
 	private static final int MAX_QUEUED_MESSAGES = 64;
 
@@ -86,7 +87,7 @@
 
 	private final String address;
 
-	private final InetSocketAddress target;
+	private final InetSocketAddress socketAddress;
 
 	private final PeerListener listener;
 
@@ -114,11 +115,11 @@
 
 	private long awaitingResponseSince = UNSET;
 
-	PeerLink(EventLoop loop, String address, InetSocketAddress target, PeerListener listener, Timers timers,
+	PeerLink(EventLoop loop, String address, InetSocketAddress socketAddress, PeerListener listener, Timers timers,
 			TrafficCounter traffic, Supplier<PeerChannel> channelFactory) {
 		this.loop = loop;
 		this.address = address;
-		this.target = target;
+		this.socketAddress = socketAddress;
 		this.listener = listener;
 		this.timers = timers;
 		this.traffic = traffic;
@@ -132,16 +133,16 @@
 
 	/**
 	 * Returns whether the other relay was needed and could not be reached.
-	 * @return whether it was
+	 * @return whether it could not
 	 */
 	boolean unreachable() {
 		return !connected() && this.unreachableSince != UNSET;
 	}
 
 	/**
-	 * Sends a message that is encoded already, once for all links that it goes out on.
-	 * @param encoded the bytes of the message; shared, never written to
-	 * @param expectsResponse whether something should come back
+	 * Sends an encoded message, which may be shared by several links.
+	 * @param encoded the bytes of the message; must not be modified
+	 * @param expectsResponse whether to expect a response or a heartbeat
 	 */
 	void send(byte[] encoded, boolean expectsResponse) {
 		this.lastUsedAt = this.timers.now();
@@ -171,8 +172,8 @@
 	}
 
 	/**
-	 * Returns whether less than half of what may wait does.
-	 * @return whether it does
+	 * Returns whether less than half of the maximum number of bytes is pending.
+	 * @return whether the link has capacity
 	 */
 	boolean hasSendCapacity() {
 		return !connected() || 2 * pendingBytes() < MAX_PENDING_BYTES;
@@ -183,14 +184,14 @@
 	}
 
 	/**
-	 * Notes that the other relay has said something.
+	 * Records that the other relay has sent a message.
 	 */
 	void messageReceived() {
 		this.awaitingResponseSince = UNSET;
 	}
 
 	/**
-	 * Answers a sign of life, unless what was just sent is one.
+	 * Responds to a heartbeat unless another message was sent recently.
 	 */
 	void heartbeatReceived() {
 		if (connected() && this.timers.now() - this.lastSentAt > RECENT_SEND.toMillis()) {
@@ -199,24 +200,24 @@
 	}
 
 	/**
-	 * Looks whether the other relay is silent.
+	 * Sends a heartbeat or closes the connection if a response is overdue.
 	 */
 	void checkLiveness() {
 		if (!connected() || this.awaitingResponseSince == UNSET) {
 			return;
 		}
-		long silent = this.timers.now() - this.awaitingResponseSince;
-		if (silent > RESPONSE_TIMEOUT.toMillis()) {
+		long waitMillis = this.timers.now() - this.awaitingResponseSince;
+		if (waitMillis > RESPONSE_TIMEOUT.toMillis()) {
 			this.channel.get().close();
 			return;
 		}
-		if (silent > HEARTBEAT_DELAY.toMillis()) {
+		if (waitMillis > HEARTBEAT_DELAY.toMillis()) {
 			write(HEARTBEAT, true);
 		}
 	}
 
 	/**
-	 * Makes the link no more after its connection is over.
+	 * Prevents reconnecting after the current connection closes.
 	 */
 	void retire() {
 		this.mayReconnect = false;
@@ -224,28 +225,29 @@
 
 	private void connect() {
 		this.connecting = true;
-		PeerChannel conversation = this.channelFactory.get();
-		ChannelFuture opening = Sockets.connect(this.loop, this.target, CONNECT_TIMEOUT,
-				(opened) -> conversation.initialize(opened, this.traffic));
-		opening.addListener((done) -> {
-			if (!done.isSuccess()) {
+		PeerChannel handler = this.channelFactory.get();
+		ChannelFuture future = Sockets.connect(this.loop, this.socketAddress, CONNECT_TIMEOUT,
+				(channel) -> handler.initialize(channel, this.traffic));
+		future.addListener((result) -> {
+			if (!result.isSuccess()) {
 				connectionFailed();
 			}
 		});
 	}
 
 	/**
-	 * Takes a connection over which the other relay can be spoken to. Where both made one
-	 * at the same time, the first stays in use, and what comes on the other is heard.
-	 * @param connectionOpened the connection
-	 * @param own whether this relay made it
+	 * Uses a new connection. If both relays connected at the same time, the first
+	 * connection stays in use for sending, and messages received on the other one are
+	 * still handled.
+	 * @param channel the connection
+	 * @param initiatedLocally whether this relay opened it
 	 */
-	void connectionOpened(Channel opened, boolean own) {
-		this.connecting = this.connecting && !own;
+	void connectionOpened(Channel channel, boolean initiatedLocally) {
+		this.connecting = this.connecting && !initiatedLocally;
 		if (connected()) {
 			return;
 		}
-		this.channel = Optional.of(opened);
+		this.channel = Optional.of(channel);
 		this.failures = 0;
 		this.unreachableSince = UNSET;
 		this.awaitingResponseSince = UNSET;
@@ -256,12 +258,12 @@
 	}
 
 	/**
-	 * Takes that a connection is over.
-	 * @param connectionClosed the connection
-	 * @param reason why
+	 * Handles the end of a connection.
+	 * @param channel the connection
+	 * @param reason why it was closed
 	 */
-	void connectionClosed(Channel closed, String reason) {
-		if (this.channel.isEmpty() || this.channel.get() != closed) {
+	void connectionClosed(Channel channel, String reason) {
+		if (this.channel.isEmpty() || this.channel.get() != channel) {
 			return;
 		}
 		this.channel = Optional.empty();
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerListener.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerListener.java
@@ -12,138 +12,142 @@
 import io.lentilslip.wire.relay.PeerMessage;
 
 /**
- * Takes what other relays say. Used by the event loop's thread.
+ * Handles messages of other relays and changes of the links to them. Used by the event
+ * loop's thread.
  */
 public interface PeerListener {
 
 	/**
-	 * Entries of another relay.
-	 * @param peer its address
-	 * @param entriesReceived the entries
+	 * Another relay has replicated entries.
+	 * @param peer the address of the other relay
+	 * @param entries the entries
 	 */
 	void entriesReceived(String peer, List<LedgerEntry> entries);
 
 	/**
-	 * Another relay asks for help with the log.
-	 * @param peer its address
-	 * @param help the turn that it can't write
+	 * Another relay requests to write a turn to the log on its behalf.
+	 * @param peer the address of the other relay
+	 * @param request the turn that it cannot write
 	 */
-	void turnWriteRequested(String peer, PeerMessage.TurnWriteRequest help);
+	void turnWriteRequested(String peer, PeerMessage.TurnWriteRequest request);
 
 	/**
-	 * Another relay asks where the texts of a chain are.
-	 * @param peer its address
+	 * Another relay requests the text locations of a chain.
+	 * @param peer the address of the other relay
 	 * @param request the last turn of the chain
 	 */
 	void textLocationsRequested(String peer, String request);
 
 	/**
-	 * Another relay has told where the texts of a chain are.
-	 * @param peer its address
+	 * Another relay has sent text locations of a chain.
+	 * @param peer the address of the other relay
 	 * @param turns the turns that it knows
 	 */
 	void textLocationsReceived(String peer, List<TurnLocation> turns);
 
 	/**
-	 * Another relay asks for texts.
-	 * @param peer its address
+	 * Another relay requests texts.
+	 * @param peer the address of the other relay
 	 * @param requests the turns
 	 */
 	void textsRequested(String peer, Set<String> requests);
 
 	/**
-	 * Another relay has sent texts that this one asked for.
+	 * Another relay has sent requested texts.
 	 * @param texts the texts
 	 */
 	void textsReceived(List<TurnText> texts);
 
 	/**
-	 * The log has turns that this relay asked for help with.
+	 * Another relay has written turns to the log on behalf of this one.
 	 * @param requests the turns
 	 */
 	void turnWritesAcknowledged(Set<String> requests);
 
 	/**
-	 * Another relay asks what is taken of a program's budget.
-	 * @param peer its address
-	 * @param question the question
+	 * Another relay requests a reservation of a program's budget.
+	 * @param peer the address of the other relay
+	 * @param request the request
 	 */
-	void reservationRequested(String peer, PeerMessage.ReservationRequest question);
+	void reservationRequested(String peer, PeerMessage.ReservationRequest request);
 
 	/**
-	 * Another relay has answered a question.
-	 * @param peer its address
-	 * @param taken the answer
+	 * Another relay has answered a reservation request with the program's usage.
+	 * @param peer the address of the other relay
+	 * @param usage the usage
 	 */
-	void usageReceived(String peer, PeerMessage.Usage taken);
+	void usageReceived(String peer, PeerMessage.Usage usage);
 
 	/**
-	 * Another relay can't answer a question, since it may miss turns.
-	 * @param peer its address
-	 * @param request the turn of the question
+	 * Another relay has made a reservation but cannot state the usage, since it may lack
+	 * entries.
+	 * @param peer the address of the other relay
+	 * @param request the turn of the reservation
 	 */
 	void usageUnavailable(String peer, String request);
 
 	/**
-	 * Another relay, which may miss turns, asks for what the log has not shown.
-	 * @param peer its address
+	 * Another relay, which may lack entries, requests uncommitted ones.
+	 * @param peer the address of the other relay
 	 */
 	void syncRequested(String peer);
 
 	/**
-	 * The relays of the site were listed anew.
-	 * @param members all of them, this one included
+	 * The list of relays of the site has changed.
+	 * @param members all relays, including this one
 	 */
 	void membershipUpdated(List<Member> members);
 
 	/**
-	 * Another relay has read from the log whether a budget holds a turn of this one.
-	 * @param place what it read
+	 * Another relay has read from the log whether a turn of this relay is admitted.
+	 * @param decision the decision
 	 */
-	void logDecisionReceived(PeerMessage.LogDecision place);
+	void logDecisionReceived(PeerMessage.LogDecision decision);
 
 	/**
-	 * Another relay asks for permits of a team.
-	 * @param peer its address
-	 * @param ask what it asks for
+	 * Another relay requests permits of a team.
+	 * @param peer the address of the other relay
+	 * @param request the request
 	 */
-	void permitsRequested(String peer, PermitRequest ask);
+	void permitsRequested(String peer, PermitRequest request);
 
 	/**
 	 * Another relay has granted permits of a team.
-	 * @param peer its address
-	 * @param reply what it granted
+	 * @param peer the address of the other relay
+	 * @param reply the granted permits
 	 */
 	void permitsGranted(String peer, PermitReply reply);
 
 	/**
-	 * Another relay, which misses nothing, has told all that it knows beyond the log.
-	 * @param peer its address
+	 * Another relay, which lacks no entries, has sent all uncommitted entries that it
+	 * knows.
+	 * @param peer the address of the other relay
 	 */
 	void syncCompleted(String peer);
 
 	/**
-	 * A link to another relay is up.
-	 * @param peer its address
+	 * A link was connected.
+	 * @param peer the address of the other relay
 	 */
 	void peerConnected(String peer);
 
 	/**
-	 * A link to another relay is lost.
-	 * @param peer its address
-	 * @param reason why
+	 * A link was disconnected.
+	 * @param peer the address of the other relay
+	 * @param reason the reason
 	 */
 	void peerDisconnected(String peer, String reason);
 
 	/**
-	 * A relay has not been reached for so long that its address should be forgotten.
-	 * @param peer its address
+	 * Another relay has been unreachable for so long that its address should be removed
+	 * from the store.
+	 * @param peer the address of the other relay
 	 */
 	void peerUnreachable(String peer);
 
 	/**
-	 * The address of this relay itself was dropped from the store, by one that can't
-	 * reach it.
+	 * The address of this relay was removed from the store by a relay that cannot reach
+	 * it.
 	 */
 	void addressRemoved();
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/Peers.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/Peers.java
@@ -22,21 +22,21 @@
 import io.vavr.control.Try;
 
 /**
- * The other relays, as far as they have written their addresses to the store, with a link
- * to each that this one has something to say to. What is asked may stay unanswered. Used
- * by the event loop's thread.
+ * The other relays that are registered in the store, with a link to each of them that
+ * this relay sends messages to. Responses are not guaranteed. Used by the event loop's
+ * thread.
  */
 public final class Peers implements CompactedTopicConsumer.Listener {
 
 	/**
-	 * How many others are asked for help at once: the store may turn one of them away
+	 * How many relays are asked to write a turn; one of them may fail to reach the store
 	 * too.
 	 */
 	private static final int TURN_WRITE_PEERS = 2;
 
 	/**
-	 * The most entries of one message that repeats them: with the longest texts some
-	 * megabytes, below the bound of a message.
+	 * The maximum number of entries in one message, which keeps it below the frame size
+	 * limit.
 	 */
 	private static final int ENTRIES_PER_MESSAGE = 20;
 
@@ -57,11 +57,11 @@
 	private String localAddress = "";
 
 	/**
-	 * Creates a relay's view of the others.
+	 * Creates an empty set of peers.
 	 * @param loop the event loop
-	 * @param listener takes what the others say
-	 * @param timers runs steps later
-	 * @param traffic adds up what goes over links
+	 * @param listener handles messages and changes of links
+	 * @param timers schedules reconnects
+	 * @param traffic counts frames and bytes of links
 	 */
 	public Peers(EventLoop loop, PeerListener listener, Timers timers, TrafficCounter traffic) {
 		this.loop = loop;
@@ -71,26 +71,26 @@
 	}
 
 	/**
-	 * Opens the port for the links of others.
+	 * Binds the port for the links of other relays.
 	 * @param group the event loop
 	 * @param address the address
-	 * @return the opening
+	 * @return the bind operation
 	 */
-	public ChannelFuture open(EventLoopGroup group, InetSocketAddress address) {
+	public ChannelFuture bind(EventLoopGroup group, InetSocketAddress address) {
 		return Sockets.bind(group, address,
 				(channel) -> new PeerConnection(Optional.empty()).initialize(channel, this.traffic));
 	}
 
 	/**
-	 * Sets the name of this relay, before it follows the others.
-	 * @param setLocalAddress the address and port at which it takes links
+	 * Sets the address of this relay, before it consumes the list of relays.
+	 * @param address the address and port at which it accepts links
 	 */
-	public void setLocalAddress(String name) {
-		this.localAddress = name;
+	public void setLocalAddress(String address) {
+		this.localAddress = address;
 	}
 
 	/**
-	 * Tells some of the others of an entry.
+	 * Replicates an entry to other relays.
 	 * @param peers their addresses
 	 * @param entry the entry
 	 */
@@ -101,48 +101,48 @@
 	}
 
 	/**
-	 * Tells one other relay of entries, where its link has room: a link that was just
-	 * made anew must not end again over what it is told first.
-	 * @param peer its address
+	 * Replicates entries to another relay as long as its link has capacity, so that a new
+	 * connection is not closed again for too many pending bytes.
+	 * @param peer the address of the other relay
 	 * @param entries the entries
 	 */
 	public void replicate(String peer, List<LedgerEntry> entries) {
 		PeerLink link = this.links.get(peer);
 		for (int from = 0; link != null && from < entries.size()
 				&& link.hasSendCapacity(); from += ENTRIES_PER_MESSAGE) {
-			List<LedgerEntry> part = entries.subList(from, Math.min(entries.size(), from + ENTRIES_PER_MESSAGE));
-			send(link, new PeerMessage.Batch(part));
+			List<LedgerEntry> batch = entries.subList(from, Math.min(entries.size(), from + ENTRIES_PER_MESSAGE));
+			send(link, new PeerMessage.Batch(batch));
 		}
 	}
 
 	/**
-	 * Asks two other relays to write a turn to the log, each time the next two, and those
-	 * that are linked first.
-	 * @param help the turn
+	 * Requests two other relays to write a turn to the log, in round-robin order and
+	 * preferably connected ones.
+	 * @param request the request
 	 */
-	public void requestTurnWrite(PeerMessage.TurnWriteRequest help) {
-		List<PeerLink> able = this.links.values().stream().filter(PeerLink::connected).toList();
-		if (able.size() < TURN_WRITE_PEERS) {
-			able = List.copyOf(this.links.values());
+	public void requestTurnWrite(PeerMessage.TurnWriteRequest request) {
+		List<PeerLink> candidates = this.links.values().stream().filter(PeerLink::connected).toList();
+		if (candidates.size() < TURN_WRITE_PEERS) {
+			candidates = List.copyOf(this.links.values());
 		}
-		for (int i = 0; i < Math.min(TURN_WRITE_PEERS, able.size()); i++) {
-			this.nextTurnWritePeer = (this.nextTurnWritePeer + 1) % able.size();
-			send(able.get(this.nextTurnWritePeer), help);
+		for (int i = 0; i < Math.min(TURN_WRITE_PEERS, candidates.size()); i++) {
+			this.nextTurnWritePeer = (this.nextTurnWritePeer + 1) % candidates.size();
+			send(candidates.get(this.nextTurnWritePeer), request);
 		}
 	}
 
 	/**
-	 * Asks other relays something.
+	 * Sends a request to several other relays.
 	 * @param peers their addresses; empty for all
-	 * @param question the question
+	 * @param request the request
 	 */
-	public void sendRequest(List<String> peers, PeerMessage question) {
-		sendAll(peers.isEmpty() ? List.copyOf(this.links.keySet()) : peers, question);
+	public void sendRequest(List<String> peers, PeerMessage request) {
+		sendAll(peers.isEmpty() ? List.copyOf(this.links.keySet()) : peers, request);
 	}
 
 	/**
-	 * Sends another relay a message, if it is known.
-	 * @param peer its address
+	 * Sends a message to another relay if it is known.
+	 * @param peer the address of the other relay
 	 * @param message the message
 	 */
 	public void send(String peer, PeerMessage message) {
@@ -166,7 +166,7 @@
 		}
 	}
 
-	// Whoever is answered looks after the link itself.
+	// Responses are not tracked: the relay that sent the request monitors the link.
 	private static boolean expectsResponse(PeerMessage message) {
 		return switch (message) {
 			case PeerMessage.Batch ignored -> true;
@@ -181,14 +181,14 @@
 	}
 
 	/**
-	 * Looks for links that have gone silent.
+	 * Checks all links for overdue responses.
 	 */
 	public void checkLiveness() {
 		this.links.values().forEach(PeerLink::checkLiveness);
 	}
 
 	/**
-	 * Returns how many links are up.
+	 * Returns the number of connected links.
 	 * @return the number
 	 */
 	public int connectedCount() {
@@ -203,16 +203,16 @@
 		return count(false);
 	}
 
-	private int count(boolean up) {
+	private int count(boolean connected) {
 		int count = 0;
 		for (PeerLink link : this.links.values()) {
-			count += (up ? link.connected() : link.unreachable()) ? 1 : 0;
+			count += (connected ? link.connected() : link.unreachable()) ? 1 : 0;
 		}
 		return count;
 	}
 
 	/**
-	 * Returns how many other relays are known.
+	 * Returns the number of other relays in the list.
 	 * @return the number
 	 */
 	public int knownCount() {
@@ -221,9 +221,9 @@
 
 	@Override
 	public void snapshotRead(Map<String, byte[]> values) {
-		for (String gone : List.copyOf(this.members.keySet())) {
-			if (!values.containsKey(gone)) {
-				remove(gone);
+		for (String address : List.copyOf(this.members.keySet())) {
+			if (!values.containsKey(address)) {
+				remove(address);
 			}
 		}
 		values.forEach(this::add);
@@ -258,16 +258,17 @@
 		}
 	}
 
-	// A relay may speak before its address is read from the store.
+	// A relay may connect before its address is read from the store.
 	private Optional<PeerLink> link(String address) {
-		PeerLink known = this.links.get(address);
-		if (known != null || address.equals(this.localAddress)) {
-			return Optional.ofNullable(known);
+		PeerLink existing = this.links.get(address);
+		if (existing != null || address.equals(this.localAddress)) {
+			return Optional.ofNullable(existing);
 		}
-		Optional<PeerLink> added = parseAddress(address).map((target) -> new PeerLink(this.loop, address, target,
-				this.listener, this.timers, this.traffic, () -> new PeerConnection(Optional.of(address))));
-		added.ifPresent((link) -> this.links.put(address, link));
-		return added;
+		Optional<PeerLink> created = parseAddress(address)
+			.map((socketAddress) -> new PeerLink(this.loop, address, socketAddress, this.listener, this.timers,
+					this.traffic, () -> new PeerConnection(Optional.of(address))));
+		created.ifPresent((link) -> this.links.put(address, link));
+		return created;
 	}
 
 	private static Optional<InetSocketAddress> parseAddress(String address) {
@@ -278,7 +279,8 @@
 			.toJavaOptional();
 	}
 
-	// A relay that drains leaves the list and goes on asking for the turns that it took.
+	// A draining relay leaves the list while it still sends requests for its turns in
+	// flight.
 	private void remove(String address) {
 		this.members.remove(address);
 		PeerLink link = this.links.get(address);
@@ -296,8 +298,8 @@
 	}
 
 	/**
-	 * One connection to another relay, whichever of the two made it. Used by the event
-	 * loop's thread.
+	 * One connection to another relay, opened by either side. Used by the event loop's
+	 * thread.
 	 */
 	private final class PeerConnection extends PeerChannel {
 
@@ -336,22 +338,24 @@
 			switch (message) {
 				case PeerMessage.Greeting greeting -> greetingReceived(context, greeting);
 				case PeerMessage.Batch batch -> Peers.this.listener.entriesReceived(this.peer, batch.entries());
-				case PeerMessage.TurnWriteRequest help -> Peers.this.listener.turnWriteRequested(this.peer, help);
-				case PeerMessage.TextLocationsRequest wanted ->
-					Peers.this.listener.textLocationsRequested(this.peer, wanted.request());
-				case PeerMessage.TextLocations places ->
-					Peers.this.listener.textLocationsReceived(this.peer, places.turns());
-				case PeerMessage.TextsRequest wanted ->
-					Peers.this.listener.textsRequested(this.peer, wanted.requests());
+				case PeerMessage.TurnWriteRequest request -> Peers.this.listener.turnWriteRequested(this.peer, request);
+				case PeerMessage.TextLocationsRequest request ->
+					Peers.this.listener.textLocationsRequested(this.peer, request.request());
+				case PeerMessage.TextLocations locations ->
+					Peers.this.listener.textLocationsReceived(this.peer, locations.turns());
+				case PeerMessage.TextsRequest request ->
+					Peers.this.listener.textsRequested(this.peer, request.requests());
 				case PeerMessage.Texts texts -> Peers.this.listener.textsReceived(texts.turns());
-				case PeerMessage.TurnWriteAck stored -> Peers.this.listener.turnWritesAcknowledged(stored.requests());
-				case PeerMessage.ReservationRequest question ->
-					Peers.this.listener.reservationRequested(this.peer, question);
-				case PeerMessage.Usage taken -> Peers.this.listener.usageReceived(this.peer, taken);
-				case PeerMessage.UsageUnavailable unsure ->
-					Peers.this.listener.usageUnavailable(this.peer, unsure.request());
-				case PeerMessage.LogDecision place -> Peers.this.listener.logDecisionReceived(place);
-				case PeerMessage.PermitsRequest ask -> Peers.this.listener.permitsRequested(this.peer, ask.request());
+				case PeerMessage.TurnWriteAck acknowledged ->
+					Peers.this.listener.turnWritesAcknowledged(acknowledged.requests());
+				case PeerMessage.ReservationRequest request ->
+					Peers.this.listener.reservationRequested(this.peer, request);
+				case PeerMessage.Usage usage -> Peers.this.listener.usageReceived(this.peer, usage);
+				case PeerMessage.UsageUnavailable unavailable ->
+					Peers.this.listener.usageUnavailable(this.peer, unavailable.request());
+				case PeerMessage.LogDecision decision -> Peers.this.listener.logDecisionReceived(decision);
+				case PeerMessage.PermitsRequest request ->
+					Peers.this.listener.permitsRequested(this.peer, request.request());
 				case PeerMessage.PermitsGranted reply -> Peers.this.listener.permitsGranted(this.peer, reply.reply());
 				case PeerMessage.SyncRequest ignored -> Peers.this.listener.syncRequested(this.peer);
 				case PeerMessage.SyncComplete ignored -> Peers.this.listener.syncCompleted(this.peer);
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/package-info.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The links between relays.
+ * Links between relays.
  */
 package io.lentilslip.relay.peer;
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
@@ -240,7 +240,7 @@
 		Peers other = new Peers(this.loop, new Heard(), new FastTimers(), new TrafficCounter());
 		this.others.add(other);
 		InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-		InetSocketAddress bound = (InetSocketAddress) other.open(this.group, any).sync().channel().localAddress();
+		InetSocketAddress bound = (InetSocketAddress) other.bind(this.group, any).sync().channel().localAddress();
 		String address = "127.0.0.1:" + bound.getPort();
 		other.setLocalAddress(address);
 		onLoop(() -> this.peers.recordChanged(address, Optional.of(PRESENT)));
@@ -250,7 +250,7 @@
 
 	private void open() throws Exception {
 		InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-		InetSocketAddress bound = (InetSocketAddress) this.peers.open(this.group, any).sync().channel().localAddress();
+		InetSocketAddress bound = (InetSocketAddress) this.peers.bind(this.group, any).sync().channel().localAddress();
 		this.own = "127.0.0.1:" + bound.getPort();
 		onLoop(() -> this.peers.setLocalAddress(this.own));
 	}
@@ -289,7 +289,7 @@
 	private final class Heard implements PeerListener {
 
 		@Override
-		public void permitsRequested(String peer, PermitRequest ask) {
+		public void permitsRequested(String peer, PermitRequest request) {
 			PeersTests.this.heard.add("permits asked by " + peer);
 		}
 
@@ -304,7 +304,7 @@
 		}
 
 		@Override
-		public void turnWriteRequested(String peer, PeerMessage.TurnWriteRequest help) {
+		public void turnWriteRequested(String peer, PeerMessage.TurnWriteRequest request) {
 		}
 
 		@Override
@@ -330,13 +330,13 @@
 		}
 
 		@Override
-		public void reservationRequested(String peer, PeerMessage.ReservationRequest question) {
-			PeersTests.this.heard.add("asked " + question.request() + " of " + question.program());
+		public void reservationRequested(String peer, PeerMessage.ReservationRequest request) {
+			PeersTests.this.heard.add("asked " + request.request() + " of " + request.program());
 		}
 
 		@Override
-		public void usageReceived(String peer, PeerMessage.Usage taken) {
-			PeersTests.this.heard.add("told " + taken.request() + " " + taken.tokens());
+		public void usageReceived(String peer, PeerMessage.Usage usage) {
+			PeersTests.this.heard.add("told " + usage.request() + " " + usage.tokens());
 		}
 
 		@Override
@@ -354,8 +354,8 @@
 		}
 
 		@Override
-		public void logDecisionReceived(PeerMessage.LogDecision place) {
-			PeersTests.this.heard.add("place " + place.request() + " " + place.admitted());
+		public void logDecisionReceived(PeerMessage.LogDecision decision) {
+			PeersTests.this.heard.add("place " + decision.request() + " " + decision.admitted());
 		}
 
 		@Override
