--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/package-info.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The shell around the relay's reducer. Everything runs on one event loop: callers,
- * upstreams, the store and the links to other relays.
+ * The relay process around the reducer of the core. Callers, upstreams, the store and the
+ * links to other relays share one event loop.
  */
 package io.lentilslip.relay;
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/ConnectivityMonitor.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/ConnectivityMonitor.java
@@ -6,22 +6,22 @@
 import io.lentilslip.relay.store.Timers;
 
 /**
- * What a relay reaches: the store, half of the other relays, or nothing. One that reaches
- * nothing can't know what programs spend elsewhere: several that are cut off together
- * reach each other, and still not those that spend. Used by the event loop's thread.
+ * Tracks which parts of the site this relay reaches: the log, half of the other relays,
+ * or neither. An isolated relay cannot know the usage recorded by others, even if it
+ * reaches some relays that are cut off with it. Used by the event loop's thread.
  */
 final class ConnectivityMonitor {
 
 	/**
-	 * How long the store may have been silent before it counts as out of reach: more than
-	 * a slow answer, less than a second turn of a looping program takes.
+	 * How long the store may not respond before it counts as unreachable: longer than a
+	 * slow response, shorter than the interval between turns of a looping program.
 	 */
 	private static final long STORE_SILENCE_TIMEOUT_MS = 1500;
 
 	/**
-	 * How many calls in a row, and for how long, the store has to turn away before it
-	 * counts as out of reach. It says so at once, so nothing is gained by waiting; a
-	 * single refusal or reset is no outage.
+	 * How many consecutive calls have to fail, over how long a period, before the store
+	 * counts as unreachable. Rejected calls fail at once and need no longer timeout; a
+	 * single failure is not an outage.
 	 */
 	private static final int MIN_FAILED_CALLS = 4;
 
@@ -31,7 +31,7 @@
 
 	private final Peers peers;
 
-	private final Exchanges.EventSink events;
+	private final Exchanges.EventListener events;
 
 	private long lastStoreSuccessAt;
 
@@ -41,7 +41,7 @@
 
 	private Connectivity connectivity = Connectivity.LOG;
 
-	ConnectivityMonitor(Timers timers, Peers peers, Exchanges.EventSink events) {
+	ConnectivityMonitor(Timers timers, Peers peers, Exchanges.EventListener events) {
 		this.timers = timers;
 		this.peers = peers;
 		this.events = events;
@@ -65,10 +65,10 @@
 	}
 
 	void check() {
-		Connectivity now = connectivity();
-		if (now != this.connectivity) {
-			this.connectivity = now;
-			this.events.on(new RelayEvent.ConnectivityChanged(this.timers.now(), now));
+		Connectivity current = connectivity();
+		if (current != this.connectivity) {
+			this.connectivity = current;
+			this.events.on(new RelayEvent.ConnectivityChanged(this.timers.now(), current));
 		}
 	}
 
@@ -87,9 +87,9 @@
 	}
 
 	/**
-	 * Returns whether this relay reaches fewer than half of the other relays that it has
-	 * something to say to.
-	 * @return whether it does
+	 * Returns whether this relay is connected to fewer than half of the relays that it
+	 * needs.
+	 * @return whether it is
 	 */
 	boolean isolated() {
 		return this.peers.knownCount() == 0 || this.peers.connectedCount() < this.peers.unreachableCount();
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
@@ -21,8 +21,9 @@
 import io.netty.handler.codec.http.HttpRequest;
 
 /**
- * The connections behind the exchanges of a relay: turns what callers and upstreams send
- * into events, and runs the effects that concern them. Used by the event loop's thread.
+ * Open exchanges and their connections: turns what callers and upstreams send into
+ * events, and runs the effects that apply to an exchange. Used by the event loop's
+ * thread.
  */
 final class Exchanges implements CallerListener {
 
@@ -32,13 +33,13 @@
 
 	private final Timers timers;
 
-	private final EventSink events;
+	private final EventListener events;
 
 	private final Map<Long, OpenExchange> open = new HashMap<>();
 
 	private long lastExchange;
 
-	Exchanges(Dialect dialect, UpstreamClient upstreams, Timers timers, EventSink events) {
+	Exchanges(Dialect dialect, UpstreamClient upstreams, Timers timers, EventListener events) {
 		this.dialect = dialect;
 		this.upstreams = upstreams;
 		this.timers = timers;
@@ -66,31 +67,31 @@
 	}
 
 	/**
-	 * Ends an exchange on which no decision was reached.
+	 * Aborts the caller's connection after an event could not be processed.
 	 * @param exchange the exchange
 	 */
 	void abort(long exchange) {
-		remove(exchange).ifPresent((known) -> known.connection().abort());
+		remove(exchange).ifPresent((open) -> open.connection().abort());
 	}
 
 	/**
-	 * Runs an effect that concerns an exchange.
+	 * Runs an effect if it applies to an exchange.
 	 * @param effect the effect
-	 * @return whether it does
+	 * @return whether it applies to an exchange
 	 */
 	boolean run(RelayEffect effect) {
 		switch (effect) {
 			case RelayEffect.SendRequest send -> find(send.exchange()).ifPresent((exchange) -> send(exchange, send));
 			case RelayEffect.CancelAttempt cancel -> this.upstreams.cancel(cancel.exchange(), cancel.attempt());
-			case RelayEffect.SendResponse answer -> remove(answer.exchange())
-				.ifPresent((exchange) -> exchange.connection().respond(answer.head(), answer.body()));
-			case RelayEffect.OpenStream stream ->
-				find(stream.exchange()).ifPresent((exchange) -> exchange.connection().startStream(stream.head()));
+			case RelayEffect.SendResponse response -> remove(response.exchange())
+				.ifPresent((exchange) -> exchange.connection().respond(response.head(), response.body()));
+			case RelayEffect.OpenStream open ->
+				find(open.exchange()).ifPresent((exchange) -> exchange.connection().startStream(open.head()));
 			case RelayEffect.ForwardStreamEvent event ->
 				find(event.exchange()).ifPresent((exchange) -> exchange.connection().writeContent(event.raw()));
 			case RelayEffect.EndStream end ->
 				remove(end.exchange()).ifPresent((exchange) -> exchange.connection().endStream());
-			case RelayEffect.AbortConnection broken -> abort(broken.exchange());
+			case RelayEffect.AbortConnection abort -> abort(abort.exchange());
 			case RelayEffect.Refuse refuse -> remove(refuse.exchange()).ifPresent((exchange) -> exchange.connection()
 				.respond(this.dialect.encodeRefusal(refuse.refusal(), refuse.retryAfter())));
 			default -> {
@@ -114,27 +115,27 @@
 	}
 
 	private long digest(HttpRequest request, byte[] body) {
-		CRC32C content = new CRC32C();
-		content.update(body);
-		CRC32C caller = new CRC32C();
-		caller.update(request.method().name().getBytes(StandardCharsets.ISO_8859_1));
-		caller.update(request.uri().getBytes(StandardCharsets.ISO_8859_1));
+		CRC32C bodyChecksum = new CRC32C();
+		bodyChecksum.update(body);
+		CRC32C callerChecksum = new CRC32C();
+		callerChecksum.update(request.method().name().getBytes(StandardCharsets.ISO_8859_1));
+		callerChecksum.update(request.uri().getBytes(StandardCharsets.ISO_8859_1));
 		List<String> names = this.dialect.callerIds(request);
 		for (String name : names) {
-			caller.update(name.getBytes(StandardCharsets.ISO_8859_1));
-			caller.update(0);
+			callerChecksum.update(name.getBytes(StandardCharsets.ISO_8859_1));
+			callerChecksum.update(0);
 		}
-		return (caller.getValue() << Integer.SIZE) | content.getValue();
+		return (callerChecksum.getValue() << Integer.SIZE) | bodyChecksum.getValue();
 	}
 
 	/**
-	 * Takes events. Used by the event loop's thread.
+	 * Receives events. Used by the event loop's thread.
 	 */
 	@FunctionalInterface
-	interface EventSink {
+	interface EventListener {
 
 		/**
-		 * Takes an event.
+		 * Handles an event.
 		 * @param event the event
 		 */
 		void on(RelayEvent event);
@@ -142,19 +143,19 @@
 	}
 
 	/**
-	 * What an exchange needs of its caller. Immutable.
+	 * The caller's side of an exchange. Immutable.
 	 *
-	 * @param connection where its answer goes
+	 * @param connection the connection of the caller
 	 * @param request the request
-	 * @param body its body
-	 * @param id the id of the caller's attempt
+	 * @param body the body of the request
+	 * @param id the id of the request
 	 */
 	private record OpenExchange(CallerConnection connection, HttpRequest request, byte[] body, String id) {
 
 	}
 
 	/**
-	 * Turns what becomes of an attempt into events. Used by the event loop's thread.
+	 * Turns the outcome of an attempt into events. Used by the event loop's thread.
 	 */
 	private final class Attempt implements AttemptListener {
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/PauseDetector.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/PauseDetector.java
@@ -4,20 +4,20 @@
 import java.util.Optional;
 
 /**
- * Finds out that this process did not run for a while: by a steady clock that jumped
- * between two looks, or by a clock of the day that went on while the steady one stood.
- * Looked at regularly, and before each decision. A change of the clock of the day looks
- * the same, and costs a read of the log. Used by one thread.
+ * Detects pauses of this process: either the monotonic clock advanced by more than the
+ * check interval, or the wall clock advanced while the monotonic clock stood still.
+ * Checked periodically and before each event. An adjustment of the wall clock also counts
+ * as a pause, at the cost of one catch-up read of the log. Used by one thread.
  */
 final class PauseDetector {
 
 	/**
-	 * By how much a look may be late. Pauses of the collector and a quota that is used up
-	 * stay below it; what other relays tell in this time is less than a turn.
+	 * How much later than planned a check may run. Garbage collection and CPU throttling
+	 * stay below it; what other relays replicate meanwhile is less than one turn.
 	 */
 	private static final long TOLERANCE_MS = 400;
 
-	private final long interval;
+	private final long intervalMillis;
 
 	private long lastMonotonicMillis;
 
@@ -26,23 +26,23 @@
 	private boolean checked;
 
 	/**
-	 * Creates a watch.
-	 * @param interval how often it is looked at
+	 * Creates a detector.
+	 * @param interval the interval of the periodic checks
 	 */
 	PauseDetector(Duration interval) {
-		this.interval = interval.toMillis();
+		this.intervalMillis = interval.toMillis();
 	}
 
 	/**
-	 * Looks.
-	 * @param monotonicMillis milliseconds of the steady clock
-	 * @param wallClockMillis milliseconds of the clock of the day
-	 * @return how long the process slept, if it did since the look before
+	 * Compares the clocks with those of the previous check.
+	 * @param monotonicMillis milliseconds of the monotonic clock
+	 * @param wallClockMillis milliseconds of the wall clock
+	 * @return the duration of the pause, if there was one since the previous check
 	 */
 	Optional<Duration> check(long monotonicMillis, long wallClockMillis) {
 		long gap = monotonicMillis - this.lastMonotonicMillis;
 		long divergence = Math.abs(wallClockMillis - this.lastWallClockMillis - gap);
-		boolean paused = this.checked && (gap > this.interval + TOLERANCE_MS || divergence > TOLERANCE_MS);
+		boolean paused = this.checked && (gap > this.intervalMillis + TOLERANCE_MS || divergence > TOLERANCE_MS);
 		this.lastMonotonicMillis = monotonicMillis;
 		this.lastWallClockMillis = wallClockMillis;
 		this.checked = true;
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayAddresses.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayAddresses.java
@@ -3,16 +3,16 @@
 import java.net.InetSocketAddress;
 
 /**
- * Where a relay listens. Immutable and safe for use by several threads.
+ * The addresses at which a relay listens. Immutable and safe for use by several threads.
  *
- * @param callers the port of callers
- * @param readiness the port at which the platform asks whether it takes requests
- * @param links the port for links of other relays
+ * @param callers the address for callers
+ * @param readiness the address for the platform's readiness checks
+ * @param links the address for links of other relays
  */
 public record RelayAddresses(InetSocketAddress callers, InetSocketAddress readiness, InetSocketAddress links) {
 
 	/**
-	 * Returns what names this relay among the others.
+	 * Returns the name by which other relays know this one.
 	 * @return the address and port for links
 	 */
 	public String name() {
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
@@ -61,25 +61,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A relay as a process: its ports, its store, its links, and the reducer between them.
- * Everything runs on one event loop's thread, except the methods that say otherwise.
+ * A relay process: connects the relay's reducer with its ports, the store and the links
+ * to other relays. Everything runs on a single event loop, except for methods that state
+ * otherwise.
  */
 public final class RelayProcess implements AutoCloseable {
 
-	/**
-	 * How often it is looked whether anything is reached.
-	 */
 	private static final Duration CONNECTIVITY_CHECK_INTERVAL = Duration.ofMillis(250);
 
 	/**
-	 * How long a relay that drains still takes connections: the platform needs up to two
-	 * of its questions, a second apart, to send no more.
+	 * How long a draining relay still accepts connections: the platform stops sending
+	 * callers after up to two failed readiness checks, one second apart.
 	 */
 	private static final Duration DRAIN_ACCEPT_TIME = Duration.ofMillis(2600);
 
 	/**
-	 * How long a relay lives on at least after it began to drain: callers that were sent
-	 * here by the last question have been answered by then.
+	 * The minimum duration of a drain, so that callers routed here before the last
+	 * readiness check receive their responses.
 	 */
 	private static final Duration MIN_DRAIN_TIME = Duration.ofMillis(3200);
 
@@ -142,8 +140,8 @@
 	private boolean draining;
 
 	/**
-	 * Creates a relay without ports.
-	 * @param setup what it is made of
+	 * Creates a relay that does not listen yet.
+	 * @param setup the dependencies and settings
 	 */
 	public RelayProcess(Setup setup) {
 		this.setup = setup;
@@ -157,42 +155,43 @@
 		this.callers = new CallerServer(this.exchanges);
 		this.peers = new Peers(this.loop, new PeerEvents(), this.timers, this.traffic);
 		this.connectivityMonitor = new ConnectivityMonitor(this.timers, this.peers, this::on);
-		DroppedEntryReporter givenUp = new DroppedEntryReporter(this.timers, this.notices, setup.measurements());
+		DroppedEntryReporter dropReporter = new DroppedEntryReporter(this.timers, this.notices, setup.measurements());
 		this.writer = new EntryWriter(this.store, this.timers, this.random, this::turnsStored, this::contendersStored,
-				this.connectivityMonitor::storeCallCompleted, givenUp::recordDropped);
+				this.connectivityMonitor::storeCallCompleted, dropReporter::recordDropped);
 		this.reader = new EntryReader(this.store, this.timers, this.random, this::entriesRead, this::caughtUp,
 				this.connectivityMonitor::storeCallCompleted, this.connectivityMonitor::isolated);
 		this.textWriter = new TextWriter(this.store, this.timers, this.random, setup.settings().textPartition(),
-				this::textsStored, givenUp::recordDropped);
+				this::textsStored, dropReporter::recordDropped);
 		this.textReader = new TextReader(this.store);
 	}
 
 	/**
-	 * Opens the ports and begins to follow the store. May be called by any thread.
-	 * @return the addresses, with the ports that were given where any would do
+	 * Binds the ports and starts consuming the store. May be called by any thread.
+	 * @return the bound addresses, with the ports that were assigned
 	 */
 	public RelayAddresses start() {
-		RelayAddresses wanted = this.setup.addresses();
+		RelayAddresses addresses = this.setup.addresses();
 		ReadinessServer readiness = new ReadinessServer(() -> this.ready && !this.draining, this.setup.metrics());
-		RelayAddresses open = new RelayAddresses(bound(this.callers.bind(this.group, wanted.callers())),
-				bound(readiness.bind(this.group, wanted.readiness())),
-				bound(this.peers.open(this.group, wanted.links())));
+		RelayAddresses bound = new RelayAddresses(bound(this.callers.bind(this.group, addresses.callers())),
+				bound(readiness.bind(this.group, addresses.readiness())),
+				bound(this.peers.bind(this.group, addresses.links())));
 		this.loop.execute(() -> {
-			this.name = open.name();
+			this.name = bound.name();
 			this.peers.setLocalAddress(this.name);
 			on(new RelayEvent.ListenerStarted(this.timers.now(), this.name));
 			consume();
 		});
-		return open;
+		return bound;
 	}
 
-	private static InetSocketAddress bound(ChannelFuture opening) {
-		return (InetSocketAddress) opening.syncUninterruptibly().channel().localAddress();
+	private static InetSocketAddress bound(ChannelFuture future) {
+		return (InetSocketAddress) future.syncUninterruptibly().channel().localAddress();
 	}
 
 	/**
-	 * Lets what is under way end and takes nothing new. May be called by any thread.
-	 * @return completes when nothing is under way or the limit is reached
+	 * Stops accepting requests and waits for those in flight. May be called by any
+	 * thread.
+	 * @return completes when nothing is in flight or the time limit is reached
 	 */
 	public CompletableFuture<Void> drain() {
 		this.loop.execute(() -> {
@@ -204,7 +203,7 @@
 	}
 
 	/**
-	 * Closes everything at once. May be called by any thread.
+	 * Closes all connections immediately. May be called by any thread.
 	 */
 	@Override
 	public void close() {
@@ -227,33 +226,33 @@
 	}
 
 	/**
-	 * Writes this relay's address to the store, and tries until it is there.
-	 * @param then runs when it is there
+	 * Writes this relay's address to the store, retrying until it succeeds.
+	 * @param callback runs after success
 	 */
-	private void register(Runnable then) {
-		Member self = new Member(this.name, this.setup.settings().zone(), this.setup.settings().weight());
-		this.store.put(Topic.RELAYS, this.name, Optional.of(RelayCodec.encode(self)), (outcome) -> {
-			if (outcome instanceof Store.AppendResult.Success) {
-				then.run();
+	private void register(Runnable callback) {
+		Member member = new Member(this.name, this.setup.settings().zone(), this.setup.settings().weight());
+		this.store.put(Topic.RELAYS, this.name, Optional.of(RelayCodec.encode(member)), (result) -> {
+			if (result instanceof Store.AppendResult.Success) {
+				callback.run();
 				return;
 			}
-			this.timers.schedule(CONNECTIVITY_CHECK_INTERVAL, () -> registerUnlessDraining(then));
+			this.timers.schedule(CONNECTIVITY_CHECK_INTERVAL, () -> registerUnlessDraining(callback));
 		});
 	}
 
-	private void registerUnlessDraining(Runnable then) {
+	private void registerUnlessDraining(Runnable callback) {
 		if (!this.draining) {
-			register(then);
+			register(callback);
 		}
 	}
 
 	/**
-	 * Looks before each event, not only at intervals: after a sleep, what arrived
-	 * meanwhile is read before any timer runs.
+	 * Checks for a pause before each event too, since events that arrived during a pause
+	 * are handled before any timer.
 	 */
 	private void detectPause() {
 		this.pauseDetector.check(this.timers.now(), System.currentTimeMillis())
-			.ifPresent((slept) -> this.pending.add(new RelayEvent.ProcessResumed(this.timers.now(), slept)));
+			.ifPresent((pause) -> this.pending.add(new RelayEvent.ProcessResumed(this.timers.now(), pause)));
 	}
 
 	private void checkConnectivity() {
@@ -286,8 +285,9 @@
 		}
 	}
 
-	// A fault of a rule must not pass unseen, nor take the other exchanges with it: the
-	// event is told, and its own exchange ends without a claim about what has run.
+	// An exception must neither stay unnoticed nor affect other exchanges: the event is
+	// reported, and its exchange is aborted without a statement on whether the request
+	// ran.
 	private void reduce(RelayEvent event) {
 		try {
 			this.relay.handle(event).forEach(this::run);
@@ -295,9 +295,9 @@
 		catch (RuntimeException ex) {
 			this.notices.write(NoticeCode.DECISION_FAILED.with(FieldName.REASON, ex)
 				.with(FieldName.CALL, event.getClass().getSimpleName()));
-			logger.error("a decision failed", ex);
-			if (event instanceof RelayEvent.ExchangeEvent of) {
-				this.exchanges.abort(of.exchange());
+			logger.error("Failed to handle an event", ex);
+			if (event instanceof RelayEvent.ExchangeEvent exchangeEvent) {
+				this.exchanges.abort(exchangeEvent.exchange());
 			}
 		}
 	}
@@ -307,65 +307,66 @@
 			return;
 		}
 		switch (effect) {
-			case RelayEffect.AppendEntry write -> {
-				this.peers.replicate(write.replicas(), write.entry());
-				this.writer.write(write.entry());
+			case RelayEffect.AppendEntry append -> {
+				this.peers.replicate(append.replicas(), append.entry());
+				this.writer.write(append.entry());
 			}
-			case RelayEffect.StoreText turn -> this.textWriter.write(new TurnText(turn.request(), turn.text()));
+			case RelayEffect.StoreText store -> this.textWriter.write(new TurnText(store.request(), store.text()));
 			case RelayEffect.ReadText read -> this.textReader.read(read.request(), read.locations(),
 					(text) -> on(new RelayEvent.TextRead(this.timers.now(), read.request(), text)));
-			case RelayEffect.RequestTextLocations ask ->
-				this.peers.sendRequest(ask.peers(), new PeerMessage.TextLocationsRequest(ask.request()));
-			case RelayEffect.SendTextLocations tell ->
-				this.peers.send(tell.peer(), new PeerMessage.TextLocations(tell.turns()));
-			case RelayEffect.RequestTexts ask ->
-				this.peers.send(ask.peer(), new PeerMessage.TextsRequest(Set.copyOf(ask.requests())));
-			case RelayEffect.SendTexts tell -> this.peers.send(tell.peer(), new PeerMessage.Texts(tell.texts()));
-			case RelayEffect.RequestTurnWrite help ->
-				this.peers.requestTurnWrite(new PeerMessage.TurnWriteRequest(help.settlement(), help.text()));
-			case RelayEffect.AcknowledgeTurnWrite tell ->
-				this.peers.send(tell.peer(), new PeerMessage.TurnWriteAck(Set.of(tell.request())));
-			case RelayEffect.RequestReservation ask ->
-				this.peers.sendRequest(ask.peers(), new PeerMessage.ReservationRequest(ask.request(), ask.program(),
-						ask.maxTokens(), ask.budget(), false));
+			case RelayEffect.RequestTextLocations request ->
+				this.peers.sendRequest(request.peers(), new PeerMessage.TextLocationsRequest(request.request()));
+			case RelayEffect.SendTextLocations response ->
+				this.peers.send(response.peer(), new PeerMessage.TextLocations(response.turns()));
+			case RelayEffect.RequestTexts request ->
+				this.peers.send(request.peer(), new PeerMessage.TextsRequest(Set.copyOf(request.requests())));
+			case RelayEffect.SendTexts response ->
+				this.peers.send(response.peer(), new PeerMessage.Texts(response.texts()));
+			case RelayEffect.RequestTurnWrite write ->
+				this.peers.requestTurnWrite(new PeerMessage.TurnWriteRequest(write.settlement(), write.text()));
+			case RelayEffect.AcknowledgeTurnWrite response ->
+				this.peers.send(response.peer(), new PeerMessage.TurnWriteAck(Set.of(response.request())));
+			case RelayEffect.RequestReservation request ->
+				this.peers.sendRequest(request.peers(), new PeerMessage.ReservationRequest(request.request(),
+						request.program(), request.maxTokens(), request.budget(), false));
 			case RelayEffect.RequestSync ignored -> this.peers.sendRequest(List.of(), new PeerMessage.SyncRequest());
-			case RelayEffect.RequestLogReservation ask ->
-				this.peers.send(ask.peer(), new PeerMessage.ReservationRequest(ask.request(), ask.program(),
-						ask.maxTokens(), ask.budget(), true));
-			case RelayEffect.SendUsage tell -> {
-				this.peers.replicate(tell.peer(), tell.entries());
-				this.peers.send(tell.peer(), new PeerMessage.Usage(tell.request(), tell.tokens(), tell.uncommitted(),
-						tell.logReachable(), tell.loads()));
+			case RelayEffect.RequestLogReservation request ->
+				this.peers.send(request.peer(), new PeerMessage.ReservationRequest(request.request(), request.program(),
+						request.maxTokens(), request.budget(), true));
+			case RelayEffect.SendUsage response -> {
+				this.peers.replicate(response.peer(), response.entries());
+				this.peers.send(response.peer(), new PeerMessage.Usage(response.request(), response.tokens(),
+						response.uncommitted(), response.logReachable(), response.loads()));
 			}
-			case RelayEffect.RequestPermits ask ->
-				this.peers.send(ask.peer(), new PeerMessage.PermitsRequest(ask.request()));
+			case RelayEffect.RequestPermits request ->
+				this.peers.send(request.peer(), new PeerMessage.PermitsRequest(request.request()));
 			case RelayEffect.GrantPermits grant ->
 				this.peers.send(grant.peer(), new PeerMessage.PermitsGranted(grant.reply()));
-			case RelayEffect.SendUsageUnavailable tell ->
-				this.peers.send(tell.peer(), new PeerMessage.UsageUnavailable(tell.request()));
-			case RelayEffect.SendLogDecision tell ->
-				this.peers.send(tell.peer(), new PeerMessage.LogDecision(tell.request(), tell.admitted()));
-			case RelayEffect.SendSync tell -> sendSync(tell);
+			case RelayEffect.SendUsageUnavailable response ->
+				this.peers.send(response.peer(), new PeerMessage.UsageUnavailable(response.request()));
+			case RelayEffect.SendLogDecision response ->
+				this.peers.send(response.peer(), new PeerMessage.LogDecision(response.request(), response.admitted()));
+			case RelayEffect.SendSync response -> sendSync(response);
 			case RelayEffect.ReadLog ignored -> this.reader.read();
 			case RelayEffect.CatchUp ignored -> this.reader.catchUp();
-			case RelayEffect.StartTimer remind -> this.timers.schedule(remind.delay(),
-					() -> on(new RelayEvent.TimerFired(this.timers.now(), remind.exchange(), remind.timer())));
-			case RelayEffect.ReportReadiness now -> this.ready = now.ready();
-			case RelayEffect.ApplyLimits limit -> this.callers.setLimits(limit.limits());
-			case RelayEffect.RecordMeasurement measure -> this.setup.measurements().accept(measure.measurement());
-			case RelayEffect.WriteNotice tell -> this.notices.write(tell.notice());
-			default -> throw new IllegalStateException("nothing runs " + effect);
+			case RelayEffect.StartTimer start -> this.timers.schedule(start.delay(),
+					() -> on(new RelayEvent.TimerFired(this.timers.now(), start.exchange(), start.timer())));
+			case RelayEffect.ReportReadiness report -> this.ready = report.ready();
+			case RelayEffect.ApplyLimits apply -> this.callers.setLimits(apply.limits());
+			case RelayEffect.RecordMeasurement recording -> this.setup.measurements().accept(recording.measurement());
+			case RelayEffect.WriteNotice write -> this.notices.write(write.notice());
+			default -> throw new IllegalStateException("unhandled effect: " + effect);
 		}
 	}
 
-	// What was told while the link was down is neither on it nor, while the store is
-	// away,
-	// in the log: the other relay would give a program more than its budget.
-	private void sendSync(RelayEffect.SendSync tell) {
-		this.peers.replicate(tell.peer(), this.writer.unacknowledged());
-		this.peers.replicate(tell.peer(), tell.entries());
-		if (tell.complete()) {
-			this.peers.send(tell.peer(), new PeerMessage.SyncComplete());
+	// Entries that were sent while the link was down are lost, and the log does not
+	// contain them during an outage of the store. Without them the other relay could
+	// exceed a program's budget.
+	private void sendSync(RelayEffect.SendSync sync) {
+		this.peers.replicate(sync.peer(), this.writer.unacknowledged());
+		this.peers.replicate(sync.peer(), sync.entries());
+		if (sync.complete()) {
+			this.peers.send(sync.peer(), new PeerMessage.SyncComplete());
 		}
 	}
 
@@ -373,8 +374,8 @@
 		on(new RelayEvent.SettlementsStored(this.timers.now(), requests));
 	}
 
-	private void textsStored(Set<String> requests, long end, Duration took) {
-		on(new RelayEvent.TextsStored(this.timers.now(), requests, end, took));
+	private void textsStored(Set<String> requests, long endOffset, Duration latency) {
+		on(new RelayEvent.TextsStored(this.timers.now(), requests, endOffset, latency));
 	}
 
 	private void entriesRead(List<LedgerEntry> entries) {
@@ -385,8 +386,8 @@
 		this.reader.read();
 	}
 
-	private void caughtUp(long offset, Duration took, Optional<Duration> age) {
-		on(new RelayEvent.CaughtUp(this.timers.now(), offset, took, age));
+	private void caughtUp(long offset, Duration duration, Optional<Duration> idle) {
+		on(new RelayEvent.CaughtUp(this.timers.now(), offset, duration, idle));
 	}
 
 	private void beginDrain() {
@@ -395,41 +396,41 @@
 		this.notices.write(NoticeCode.DRAINING_BEGAN.with(FieldName.ROLE, ROLE)
 			.with(FieldName.COUNT, this.relay.inFlight())
 			.with(FieldName.LIMIT, this.setup.drainLimit()));
-		this.store.put(Topic.RELAYS, this.name, Optional.empty(), (outcome) -> {
-			// Where this fails, the others find a closed port, and try ever more seldom.
+		this.store.put(Topic.RELAYS, this.name, Optional.empty(), (result) -> {
+			// On failure, the other relays find the port closed and back off.
 		});
-		long began = this.timers.now();
+		long startedAt = this.timers.now();
 		this.timers.schedule(DRAIN_ACCEPT_TIME, this.callers::stopAccepting);
-		this.timers.schedule(MIN_DRAIN_TIME, () -> endDrain(began));
+		this.timers.schedule(MIN_DRAIN_TIME, () -> endDrain(startedAt));
 	}
 
-	private void endDrain(long began) {
-		boolean over = this.timers.now() - began > this.setup.drainLimit().toMillis();
+	private void endDrain(long startedAt) {
+		boolean timedOut = this.timers.now() - startedAt > this.setup.drainLimit().toMillis();
 		boolean idle = this.exchanges.size() == 0 && this.writer.size() == 0 && this.textWriter.size() == 0
 				&& this.callers.connectionCount() == 0;
-		if (over || idle) {
+		if (timedOut || idle) {
 			this.notices.write(NoticeCode.DRAINING_ENDED.with(FieldName.ROLE, ROLE)
 				.with(FieldName.COUNT, this.exchanges.size())
-				.with(FieldName.MILLISECONDS, this.timers.now() - began));
+				.with(FieldName.MILLISECONDS, this.timers.now() - startedAt));
 			this.drained.complete(null);
 			return;
 		}
 		this.callers.stopAccepting();
-		this.timers.schedule(DRAIN_CHECK_INTERVAL, () -> endDrain(began));
+		this.timers.schedule(DRAIN_CHECK_INTERVAL, () -> endDrain(startedAt));
 	}
 
 	/**
-	 * What a relay is made of. Immutable.
+	 * The dependencies and settings of a relay. Immutable.
 	 *
-	 * @param settings what its decisions are set to
-	 * @param addresses where it listens
-	 * @param drainLimit the longest time that it drains
-	 * @param dialect the names and formats of callers and upstreams
-	 * @param catalogue the formats of what is in the store
-	 * @param store makes the store for the event loop
-	 * @param notices takes notices
-	 * @param measurements takes measurements
-	 * @param metrics writes the metrics
+	 * @param settings the settings of the reducer
+	 * @param addresses the addresses to listen at
+	 * @param drainLimit the maximum duration of a drain
+	 * @param dialect the protocol of callers and upstreams
+	 * @param storeDecoder decodes operators' and upstreams' records of the store
+	 * @param store creates the store client for the event loop
+	 * @param notices receives notices
+	 * @param measurements receives measurements
+	 * @param metrics returns the metrics page
 	 */
 	public record Setup(RelaySettings settings, RelayAddresses addresses, Duration drainLimit, Dialect dialect,
 			StoreDecoder storeDecoder, Function<EventLoop, Store> store, Notices notices,
@@ -438,13 +439,13 @@
 	}
 
 	/**
-	 * Runs steps on the event loop. Used by its thread.
+	 * Schedules tasks on the event loop. Used by its thread.
 	 */
 	private final class EventLoopTimers implements Timers {
 
 		@Override
-		public void schedule(Duration delay, Runnable step) {
-			RelayProcess.this.loop.schedule(step, delay.toMillis(), TimeUnit.MILLISECONDS);
+		public void schedule(Duration delay, Runnable task) {
+			RelayProcess.this.loop.schedule(task, delay.toMillis(), TimeUnit.MILLISECONDS);
 		}
 
 		@Override
@@ -455,7 +456,7 @@
 	}
 
 	/**
-	 * Follows what operators set. Used by the event loop's thread.
+	 * Handles changes of the route table. Used by the event loop's thread.
 	 */
 	private final class RouteTableListener implements CompactedTopicConsumer.Listener {
 
@@ -472,26 +473,27 @@
 			value.ifPresent((bytes) -> RelayProcess.this.setup.storeDecoder()
 				.decodeRouteTable(bytes)
 				.peek((table) -> on(new RelayEvent.RouteTableUpdated(RelayProcess.this.timers.now(), table)))
-				.peekLeft((problem) -> RelayProcess.this.notices
-					.write(NoticeCode.ROUTES_REFUSED.with(FieldName.REASON, problem))));
+				.peekLeft((error) -> RelayProcess.this.notices
+					.write(NoticeCode.ROUTES_REFUSED.with(FieldName.REASON, error))));
 		}
 
 	}
 
 	/**
-	 * Follows the list of upstreams. Used by the event loop's thread.
+	 * Handles changes of the registered upstreams. Used by the event loop's thread.
 	 */
 	private final class UpstreamListener implements CompactedTopicConsumer.Listener {
 
 		@Override
 		public void snapshotRead(Map<String, byte[]> values) {
-			List<Upstream> listed = new ArrayList<>();
-			Map<String, UpstreamRecordError> unusable = new HashMap<>();
-			values.forEach(
-					(key, value) -> decode(key, value).peek(listed::add).peekLeft((why) -> unusable.put(key, why)));
-			RelayProcess.this.upstreams.retainUpstreams(listed.stream().map(Upstream::id).collect(Collectors.toSet()));
-			on(new RelayEvent.UpstreamsReplaced(RelayProcess.this.timers.now(), listed));
-			unusable.forEach(this::unusable);
+			List<Upstream> upstreams = new ArrayList<>();
+			Map<String, UpstreamRecordError> invalid = new HashMap<>();
+			values.forEach((key, value) -> decode(key, value).peek(upstreams::add)
+				.peekLeft((error) -> invalid.put(key, error)));
+			RelayProcess.this.upstreams
+				.retainUpstreams(upstreams.stream().map(Upstream::id).collect(Collectors.toSet()));
+			on(new RelayEvent.UpstreamsReplaced(RelayProcess.this.timers.now(), upstreams));
+			invalid.forEach(this::invalid);
 		}
 
 		@Override
@@ -503,12 +505,12 @@
 			}
 			decode(key, value.get())
 				.peek((upstream) -> on(new RelayEvent.UpstreamUpdated(RelayProcess.this.timers.now(), upstream)))
-				.peekLeft((problem) -> unusable(key, problem));
+				.peekLeft((error) -> invalid(key, error));
 		}
 
-		private void unusable(String key, UpstreamRecordError problem) {
+		private void invalid(String key, UpstreamRecordError error) {
 			RelayProcess.this.upstreams.removeUpstream(key);
-			on(new RelayEvent.UpstreamInvalid(RelayProcess.this.timers.now(), key, problem));
+			on(new RelayEvent.UpstreamInvalid(RelayProcess.this.timers.now(), key, error));
 		}
 
 		private Either<UpstreamRecordError, Upstream> decode(String key, byte[] value) {
@@ -518,7 +520,7 @@
 	}
 
 	/**
-	 * Takes what other relays say. Used by the event loop's thread.
+	 * Turns messages of other relays into events. Used by the event loop's thread.
 	 */
 	private final class PeerEvents implements PeerListener {
 
@@ -528,8 +530,9 @@
 		}
 
 		@Override
-		public void turnWriteRequested(String peer, PeerMessage.TurnWriteRequest help) {
-			on(new RelayEvent.TurnWriteRequested(RelayProcess.this.timers.now(), peer, help.settlement(), help.text()));
+		public void turnWriteRequested(String peer, PeerMessage.TurnWriteRequest request) {
+			on(new RelayEvent.TurnWriteRequested(RelayProcess.this.timers.now(), peer, request.settlement(),
+					request.text()));
 		}
 
 		@Override
@@ -553,16 +556,16 @@
 		}
 
 		@Override
-		public void reservationRequested(String peer, PeerMessage.ReservationRequest question) {
-			on(new RelayEvent.ReservationRequested(RelayProcess.this.timers.now(), peer, question.request(),
-					question.program(), question.maxTokens(), question.budget(), question.throughLog()));
+		public void reservationRequested(String peer, PeerMessage.ReservationRequest request) {
+			on(new RelayEvent.ReservationRequested(RelayProcess.this.timers.now(), peer, request.request(),
+					request.program(), request.maxTokens(), request.budget(), request.throughLog()));
 		}
 
 		@Override
-		public void usageReceived(String peer, PeerMessage.Usage taken) {
-			on(new RelayEvent.LoadsReceived(RelayProcess.this.timers.now(), taken.loads()));
-			on(new RelayEvent.UsageReceived(RelayProcess.this.timers.now(), peer, taken.request(), taken.tokens(),
-					taken.uncommitted(), taken.logReachable(), RelayProcess.this.peers.knownCount()));
+		public void usageReceived(String peer, PeerMessage.Usage usage) {
+			on(new RelayEvent.LoadsReceived(RelayProcess.this.timers.now(), usage.loads()));
+			on(new RelayEvent.UsageReceived(RelayProcess.this.timers.now(), peer, usage.request(), usage.tokens(),
+					usage.uncommitted(), usage.logReachable(), RelayProcess.this.peers.knownCount()));
 		}
 
 		@Override
@@ -581,13 +584,14 @@
 		}
 
 		@Override
-		public void logDecisionReceived(PeerMessage.LogDecision place) {
-			on(new RelayEvent.LogDecisionReceived(RelayProcess.this.timers.now(), place.request(), place.admitted()));
+		public void logDecisionReceived(PeerMessage.LogDecision decision) {
+			on(new RelayEvent.LogDecisionReceived(RelayProcess.this.timers.now(), decision.request(),
+					decision.admitted()));
 		}
 
 		@Override
-		public void permitsRequested(String peer, PermitRequest ask) {
-			on(new RelayEvent.PermitsRequested(RelayProcess.this.timers.now(), peer, ask));
+		public void permitsRequested(String peer, PermitRequest request) {
+			on(new RelayEvent.PermitsRequested(RelayProcess.this.timers.now(), peer, request));
 		}
 
 		@Override
@@ -609,15 +613,14 @@
 		@Override
 		public void peerUnreachable(String peer) {
 			RelayProcess.this.notices.write(NoticeCode.PEER_FORGOTTEN.with(FieldName.ADDRESS, peer));
-			RelayProcess.this.store.put(Topic.RELAYS, peer, Optional.empty(), (outcome) -> {
-				// Where this fails, the address is tried on, and dropped later.
+			RelayProcess.this.store.put(Topic.RELAYS, peer, Optional.empty(), (result) -> {
+				// On failure, reconnecting continues and the address is removed later.
 			});
 		}
 
 		@Override
 		public void addressRemoved() {
-			// One that can't reach this relay has dropped its address; those that can
-			// need
+			// A relay that cannot reach this one removed its address; others still need
 			// it.
 			registerUnlessDraining(() -> {
 			});
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/StoreDecoder.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/StoreDecoder.java
@@ -7,29 +7,29 @@
 import io.vavr.control.Either;
 
 /**
- * The formats in which operators and upstreams write to the store. Implementations decide
- * nothing, and are safe for use by several threads.
+ * Decodes the records that operators and upstreams write to the store. Implementations
+ * are stateless and safe for use by several threads.
  */
 public interface StoreDecoder {
 
 	/**
-	 * Returns the key under which operators write their routes.
+	 * Returns the key of the route table.
 	 * @return the key
 	 */
 	String routeTableKey();
 
 	/**
-	 * Decodes what operators wrote.
-	 * @param value the value
-	 * @return the table, or why the value is none that can be in force
+	 * Decodes the route table.
+	 * @param value the value of the record
+	 * @return the table, or why it is invalid
 	 */
 	Either<RouteTableError, RouteTable> decodeRouteTable(byte[] value);
 
 	/**
-	 * Decodes what an upstream wrote. Others may write there too, so any bytes may come.
+	 * Decodes the record of an upstream. The bytes are untrusted.
 	 * @param key the key
 	 * @param value the value
-	 * @return the upstream, or why the value names none that can be used
+	 * @return the upstream, or why the record is invalid
 	 */
 	Either<UpstreamRecordError, Upstream> decodeUpstream(String key, byte[] value);
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/TimerDelayMonitor.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/TimerDelayMonitor.java
@@ -10,14 +10,15 @@
 import io.lentilslip.telemetry.Notices;
 
 /**
- * Tells how late a timer of this process runs: each run as a measurement, and as a notice
- * what a caller would feel. Without it, a process that gets too little of its processor
- * looks like peers and upstreams that are slow. Used by one thread.
+ * Measures how late a periodic timer of this process runs, and writes a notice about
+ * delays that callers would notice. This tells CPU starvation of this process apart from
+ * slow peers and upstreams. Used by one thread.
  */
 final class TimerDelayMonitor {
 
 	/**
-	 * The least that is told: collector pauses of a process that is well stay below it.
+	 * The minimum delay for a notice, above garbage collection pauses of a healthy
+	 * process.
 	 */
 	private static final long MIN_REPORTED_DELAY_MS = 100;
 
@@ -39,16 +40,16 @@
 	}
 
 	/**
-	 * Notes when the timer is to run next.
-	 * @param at milliseconds of the steady clock
+	 * Sets when the timer is expected to run next.
+	 * @param at milliseconds of the monotonic clock
 	 */
 	void expectRun(long at) {
 		this.expectedAt = OptionalLong.of(at);
 	}
 
 	/**
-	 * Notes that the timer runs.
-	 * @param now milliseconds of the steady clock
+	 * Records that the timer has run.
+	 * @param now milliseconds of the monotonic clock
 	 */
 	void recordRun(long now) {
 		if (this.expectedAt.isEmpty()) {
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/package-info.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/package-info.java
@@ -1,4 +1,4 @@
 /**
- * One relay as a process.
+ * The relay process.
  */
 package io.lentilslip.relay.process;
