--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/DecodedEntry.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/DecodedEntry.java
@@ -6,12 +6,12 @@
 import io.vavr.control.Either;
 
 /**
- * A record of the log as it was read. One that is no entry here, since another version
- * wrote it, may still say when it was written. Immutable and safe for use by several
+ * The result of decoding a record of the log. A record of another version may have a
+ * timestamp even if its entry cannot be decoded. Immutable and safe for use by several
  * threads.
  *
- * @param entry the reason why it is no entry on the left, or the entry on the right
- * @param timestamp when it was written; empty if it does not say
+ * @param entry the error on the left, or the entry on the right
+ * @param timestamp when the entry was written; empty if the record does not contain it
  */
 public record DecodedEntry(Either<String, LedgerEntry> entry, Optional<EntryTimestamp> timestamp) {
 
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PeerMessage.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PeerMessage.java
@@ -12,22 +12,22 @@
 import io.lentilslip.core.relay.UpstreamLoad;
 
 /**
- * What relays say to each other over their links. Immutable and safe for use by several
+ * Messages that relays exchange over their links. Immutable and safe for use by several
  * threads.
  */
 public sealed interface PeerMessage {
 
 	/**
-	 * The first message of a link: who speaks.
+	 * The first message on a link, which identifies the sender.
 	 *
-	 * @param address the address at which the relay takes links
+	 * @param address the address at which the sender accepts links
 	 */
 	record Greeting(String address) implements PeerMessage {
 
 	}
 
 	/**
-	 * Entries that the relay writes to the log.
+	 * Entries that the sender replicates.
 	 *
 	 * @param entries the entries
 	 */
@@ -44,17 +44,17 @@
 	}
 
 	/**
-	 * The relay can't write a turn to the log and asks for help with it.
+	 * Request to write a turn to the log, since the sender cannot.
 	 *
-	 * @param end what the turn has taken of its program's budget
-	 * @param text its text
+	 * @param settlement the settlement of the turn
+	 * @param text the text of the turn
 	 */
 	record TurnWriteRequest(LedgerEntry.Settled settlement, StoredTurn text) implements PeerMessage {
 
 	}
 
 	/**
-	 * The relay can't read the log, and asks where the texts of a chain are.
+	 * Request for the text locations of a chain, since the sender cannot read the log.
 	 *
 	 * @param request the last turn of the chain
 	 */
@@ -63,15 +63,15 @@
 	}
 
 	/**
-	 * Where the texts of a chain are.
+	 * The text locations of a chain.
 	 *
-	 * @param turns the turns of the chain that the relay knows
+	 * @param turns the turns of the chain that the sender knows
 	 */
 	record TextLocations(List<TurnLocation> turns) implements PeerMessage {
 
 		/**
 		 * Creates a message.
-		 * @param turns the turns of the chain that the relay knows
+		 * @param turns the turns of the chain that the sender knows
 		 */
 		public TextLocations {
 			turns = List.copyOf(turns);
@@ -80,7 +80,7 @@
 	}
 
 	/**
-	 * The relay asks for texts of turns that the other one ran.
+	 * Request for texts of turns that the receiver ran.
 	 *
 	 * @param requests the turns
 	 */
@@ -97,7 +97,7 @@
 	}
 
 	/**
-	 * Texts that the other relay asked for, as far as they are in memory.
+	 * The requested texts that the sender has in memory.
 	 *
 	 * @param turns the texts
 	 */
@@ -114,7 +114,7 @@
 	}
 
 	/**
-	 * The log has turns that the other relay asked for help with.
+	 * Acknowledges that turns were written to the log on behalf of the receiver.
 	 *
 	 * @param requests the turns
 	 */
@@ -131,15 +131,15 @@
 	}
 
 	/**
-	 * The relay asks what is taken of a program's budget before a turn runs, and has the
-	 * turn held back from it. All that it told before on the same link is part of the
-	 * answer.
+	 * Request to reserve tokens for a turn before it runs, and to return the usage of its
+	 * program. The response covers all entries sent earlier on the same link.
 	 *
 	 * @param request the turn
 	 * @param program the program
-	 * @param most the most tokens of the turn
-	 * @param budget the program's budget
-	 * @param place whether a place in the log is asked for, instead of an answer at once
+	 * @param maxTokens the maximum number of tokens of the turn
+	 * @param budget the budget of the program
+	 * @param throughLog whether the reservation is to be decided by the order of the log,
+	 * instead of an immediate response
 	 */
 	record ReservationRequest(String request, String program, int maxTokens, long budget,
 			boolean throughLog) implements PeerMessage {
@@ -147,25 +147,26 @@
 	}
 
 	/**
-	 * The answer to a question.
+	 * The usage of a program, in response to a reservation request.
 	 *
-	 * @param request the turn
-	 * @param tokens the tokens that are spent or held back
-	 * @param unlogged how many of them the log has not shown
-	 * @param log whether the relay reaches the log, and can get the turn a place there
-	 * @param loads what upstreams said of their load last
+	 * @param request the turn of the request
+	 * @param tokens the number of tokens used or reserved
+	 * @param uncommitted how many of them the sender has not read from the log
+	 * @param logReachable whether the sender reaches the log and can write a reservation
+	 * to it
+	 * @param loads the latest loads that upstreams reported
 	 */
 	record Usage(String request, long tokens, long uncommitted, boolean logReachable,
 			List<UpstreamLoad> loads) implements PeerMessage {
 
 		/**
-		 * Creates an answer.
-		 * @param request the turn
-		 * @param tokens the tokens that are spent or held back
-		 * @param unlogged how many of them the log has not shown
-		 * @param log whether the relay reaches the log, and can get the turn a place
-		 * there
-		 * @param loads what upstreams said of their load last
+		 * Creates a message.
+		 * @param request the turn of the request
+		 * @param tokens the number of tokens used or reserved
+		 * @param uncommitted how many of them the sender has not read from the log
+		 * @param logReachable whether the sender reaches the log and can write a
+		 * reservation to it
+		 * @param loads the latest loads that upstreams reported
 		 */
 		public Usage {
 			loads = List.copyOf(loads);
@@ -174,67 +175,68 @@
 	}
 
 	/**
-	 * The turn of a question is held back, and the relay can't say what is taken: it may
-	 * miss turns.
+	 * The sender has reserved tokens for a turn, but cannot state the usage, since it may
+	 * lack entries.
 	 *
-	 * @param request the turn
+	 * @param request the turn of the reservation request
 	 */
 	record UsageUnavailable(String request) implements PeerMessage {
 
 	}
 
 	/**
-	 * The relay may miss turns, and asks for what the log has not shown.
+	 * Request for uncommitted entries from a sender that may lack entries.
 	 */
 	record SyncRequest() implements PeerMessage {
 
 	}
 
 	/**
-	 * What the log's order decided for a turn of a relay that does not reach the log.
+	 * The decision by the order of the log on a turn of a relay that does not reach the
+	 * log.
 	 *
 	 * @param request the turn
-	 * @param held whether the program's budget holds it
+	 * @param admitted whether the turn is within the budget of the program
 	 */
 	record LogDecision(String request, boolean admitted) implements PeerMessage {
 
 	}
 
 	/**
-	 * All that the relay knows beyond the log was told before this, by a relay that
-	 * misses nothing itself.
+	 * The sender, which lacks no entries itself, has sent all uncommitted entries that it
+	 * knows.
 	 */
 	record SyncComplete() implements PeerMessage {
 
 	}
 
 	/**
-	 * The relay asks for permits of a team.
+	 * Request for permits of a team.
 	 *
-	 * @param ask what it asks for
+	 * @param request the request
 	 */
 	record PermitsRequest(PermitRequest request) implements PeerMessage {
 
 	}
 
 	/**
-	 * The relay grants permits of a team.
+	 * Permits of a team that the sender grants.
 	 *
-	 * @param reply what it grants
+	 * @param reply the granted permits
 	 */
 	record PermitsGranted(PermitReply reply) implements PeerMessage {
 
 	}
 
 	/**
-	 * A message of another version, without meaning here.
+	 * A message of another version that cannot be interpreted.
 	 */
 	record Unknown() implements PeerMessage {
 
 	}
 
 	/**
-	 * The relay is alive.
+	 * Shows that the sender is alive.
 	 */
 	record Heartbeat() implements PeerMessage {
 
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PermitCodec.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PermitCodec.java
@@ -9,37 +9,37 @@
 import io.vavr.control.Either;
 
 /**
- * Turns what relays ask and grant each other of quotas into messages and back. Numbers
- * that no relay sends are a value on the left or are read as the nearest that one does.
- * Stateless and safe for use by several threads.
+ * Encodes and decodes requests for permits and their replies. Invalid requests are
+ * returned as errors; numbers out of range are clamped. Stateless and safe for use by
+ * several threads.
  */
 final class PermitCodec {
 
 	/**
-	 * The most permits of one message that are believed.
+	 * The maximum number of permits that is accepted in one message.
 	 */
 	private static final int MAX_PERMITS = 10_000;
 
 	private PermitCodec() {
 	}
 
-	static RelayProtocol.PermitRequest message(PermitRequest ask) {
+	static RelayProtocol.PermitRequest message(PermitRequest request) {
 		return RelayProtocol.PermitRequest.newBuilder()
-			.setTeam(ask.team())
-			.setNumber(ask.requestId())
-			.setRatePerSecond(ask.quota().ratePerSecond())
-			.setBurst(ask.quota().burst())
-			.setWanted(ask.required())
-			.setAhead(ask.prefetch())
-			.setReturned(ask.expired())
-			.addAllUnderWay(ask.activePrograms())
-			.addAllBeginning(ask.newPrograms())
+			.setTeam(request.team())
+			.setNumber(request.requestId())
+			.setRatePerSecond(request.quota().ratePerSecond())
+			.setBurst(request.quota().burst())
+			.setWanted(request.required())
+			.setAhead(request.prefetch())
+			.setReturned(request.expired())
+			.addAllUnderWay(request.activePrograms())
+			.addAllBeginning(request.newPrograms())
 			.build();
 	}
 
 	static Either<String, PermitRequest> request(RelayProtocol.PermitRequest message) {
 		if (!(message.getRatePerSecond() > 0) || !(message.getBurst() >= 0)) {
-			return Either.left("a request for permits without a quota");
+			return Either.left("permit request has no valid quota");
 		}
 		return Either.right(new PermitRequest(message.getTeam(), message.getNumber(),
 				new Quota(message.getRatePerSecond(), message.getBurst()), bounded(message.getWanted()),
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
@@ -21,8 +21,9 @@
 import io.vavr.control.Either;
 
 /**
- * Turns the messages of relays into bytes and back. Bytes that are no message are a value
- * on the left, never an exception. Stateless and safe for use by several threads.
+ * Encodes and decodes messages of links and records of the store. Malformed bytes yield
+ * an error on the left, never an exception. Stateless and safe for use by several
+ * threads.
  */
 public final class RelayCodec {
 
@@ -30,25 +31,26 @@
 	}
 
 	/**
-	 * Writes an entry.
+	 * Encodes an entry.
 	 * @param entry the entry
-	 * @return its bytes
+	 * @return the bytes
 	 */
 	public static byte[] encode(LedgerEntry entry) {
 		return message(entry).toByteArray();
 	}
 
 	/**
-	 * Reads a record of the log.
-	 * @param bytes its bytes
-	 * @return the entry, or why it is none, and when it was written
+	 * Decodes a record of the log.
+	 * @param bytes the bytes
+	 * @return the entry or an error, with the time at which the entry was written
 	 */
 	public static DecodedEntry decodeEntry(byte[] bytes) {
 		try {
 			RelayProtocol.RelayEntry message = RelayProtocol.RelayEntry.parseFrom(bytes);
-			EntryTimestamp time = new EntryTimestamp(message.getWritten(),
+			EntryTimestamp timestamp = new EntryTimestamp(message.getWritten(),
 					Duration.ofMillis(Math.max(0, message.getLate())));
-			return new DecodedEntry(entry(message), Optional.of(time).filter((known) -> known.writtenAt() > 0));
+			return new DecodedEntry(entry(message),
+					Optional.of(timestamp).filter((present) -> present.writtenAt() > 0));
 		}
 		catch (InvalidProtocolBufferException ex) {
 			return new DecodedEntry(Either.left(ex.getMessage()), Optional.empty());
@@ -56,47 +58,47 @@
 	}
 
 	/**
-	 * Writes an entry for the log, with its time.
+	 * Encodes an entry for the log with the time at which it was written.
 	 * @param entry the entry
-	 * @param written when it was written, in milliseconds of a clock of the day
-	 * @return its bytes
+	 * @param writtenAt when it was written, in milliseconds of the wall clock
+	 * @return the bytes
 	 */
-	public static byte[] encode(LedgerEntry entry, long written) {
-		return message(entry).toBuilder().setWritten(written).build().toByteArray();
+	public static byte[] encode(LedgerEntry entry, long writtenAt) {
+		return message(entry).toBuilder().setWritten(writtenAt).build().toByteArray();
 	}
 
 	/**
-	 * Adds to an entry for the log how long it waited until it was appended.
+	 * Adds the append delay to an encoded entry.
 	 * @param encoded the bytes of the entry
-	 * @param waited how long
-	 * @return the bytes of both
+	 * @param delay how long the entry was queued
+	 * @return the bytes of the entry with the delay
 	 */
-	public static byte[] withAppendDelay(byte[] encoded, Duration waited) {
-		// Bytes of two messages of one kind in a row are those of both.
-		byte[] more = RelayProtocol.RelayEntry.newBuilder().setLate((int) waited.toMillis()).build().toByteArray();
-		byte[] both = Arrays.copyOf(encoded, encoded.length + more.length);
-		System.arraycopy(more, 0, both, encoded.length, more.length);
-		return both;
+	public static byte[] withAppendDelay(byte[] encoded, Duration delay) {
+		// Protobuf merges concatenated messages of the same type.
+		byte[] suffix = RelayProtocol.RelayEntry.newBuilder().setLate((int) delay.toMillis()).build().toByteArray();
+		byte[] combined = Arrays.copyOf(encoded, encoded.length + suffix.length);
+		System.arraycopy(suffix, 0, combined, encoded.length, suffix.length);
+		return combined;
 	}
 
 	/**
-	 * Writes the text of a turn for the log.
+	 * Encodes the text of a turn for the store.
 	 * @param turn the turn
-	 * @return its bytes
+	 * @return the bytes
 	 */
 	public static byte[] encode(TurnText turn) {
 		return message(turn).toByteArray();
 	}
 
 	/**
-	 * Reads the text of a turn.
-	 * @param bytes its bytes
-	 * @return the reason why they are none on the left, or the turn on the right
+	 * Decodes the text of a turn.
+	 * @param bytes the bytes
+	 * @return the error on the left, or the turn on the right
 	 */
 	public static Either<String, TurnText> decodeText(byte[] bytes) {
 		try {
 			RelayProtocol.KeptText message = RelayProtocol.KeptText.parseFrom(bytes);
-			return message.getRequest().isEmpty() ? Either.left("a text without a turn") : Either.right(turn(message));
+			return message.getRequest().isEmpty() ? Either.left("text has no request id") : Either.right(turn(message));
 		}
 		catch (InvalidProtocolBufferException ex) {
 			return Either.left(ex.getMessage());
@@ -104,9 +106,9 @@
 	}
 
 	/**
-	 * Writes a message to another relay.
+	 * Encodes a message to another relay.
 	 * @param message the message
-	 * @return its bytes
+	 * @return the bytes
 	 */
 	public static byte[] encode(PeerMessage message) {
 		RelayProtocol.PeerMessage.Builder builder = RelayProtocol.PeerMessage.newBuilder();
@@ -114,39 +116,40 @@
 			case PeerMessage.Greeting greeting -> builder.getGreetingBuilder().setAddress(greeting.address());
 			case PeerMessage.Batch batch ->
 				batch.entries().forEach((entry) -> builder.getBatchBuilder().addEntries(message(entry)));
-			case PeerMessage.TurnWriteRequest help ->
-				builder.getHelpBuilder().setEnd(message(help.settlement())).setText(message(help.text()));
-			case PeerMessage.TextsRequest wanted -> builder.getTextsWantedBuilder().addAllRequest(wanted.requests());
+			case PeerMessage.TurnWriteRequest request ->
+				builder.getHelpBuilder().setEnd(message(request.settlement())).setText(message(request.text()));
+			case PeerMessage.TextsRequest request -> builder.getTextsWantedBuilder().addAllRequest(request.requests());
 			case PeerMessage.Texts texts ->
 				texts.turns().forEach((turn) -> builder.getTextsBuilder().addTurns(message(turn)));
-			case PeerMessage.TurnWriteAck stored -> builder.getStoredBuilder().addAllRequest(stored.requests());
-			case PeerMessage.ReservationRequest question -> builder.getQuestionBuilder()
-				.setRequest(question.request())
-				.setProgram(question.program())
-				.setMost(question.maxTokens())
-				.setBudget(question.budget())
-				.setPlace(question.throughLog());
-			case PeerMessage.Usage taken -> {
-				RelayProtocol.Taken.Builder answer = builder.getTakenBuilder()
-					.setRequest(taken.request())
-					.setTokens(taken.tokens())
-					.setUnlogged(taken.uncommitted())
-					.setLog(taken.logReachable());
-				taken.loads().forEach((load) -> answer.addLoads(message(load)));
+			case PeerMessage.TurnWriteAck ack -> builder.getStoredBuilder().addAllRequest(ack.requests());
+			case PeerMessage.ReservationRequest request -> builder.getQuestionBuilder()
+				.setRequest(request.request())
+				.setProgram(request.program())
+				.setMost(request.maxTokens())
+				.setBudget(request.budget())
+				.setPlace(request.throughLog());
+			case PeerMessage.Usage usage -> {
+				RelayProtocol.Taken.Builder usageBuilder = builder.getTakenBuilder()
+					.setRequest(usage.request())
+					.setTokens(usage.tokens())
+					.setUnlogged(usage.uncommitted())
+					.setLog(usage.logReachable());
+				usage.loads().forEach((load) -> usageBuilder.addLoads(message(load)));
 			}
-			case PeerMessage.TextLocationsRequest wanted ->
-				builder.getPlacesWantedBuilder().addRequest(wanted.request());
-			case PeerMessage.TextLocations places ->
-				places.turns().forEach((turn) -> builder.getPlacesBuilder().addTurns(message(turn)));
-			case PeerMessage.UsageUnavailable unsure -> builder.getUnsureBuilder().setRequest(unsure.request());
+			case PeerMessage.TextLocationsRequest request ->
+				builder.getPlacesWantedBuilder().addRequest(request.request());
+			case PeerMessage.TextLocations locations ->
+				locations.turns().forEach((turn) -> builder.getPlacesBuilder().addTurns(message(turn)));
+			case PeerMessage.UsageUnavailable unavailable ->
+				builder.getUnsureBuilder().setRequest(unavailable.request());
 			case PeerMessage.SyncRequest ignored -> builder.getSyncBuilder();
-			case PeerMessage.LogDecision place ->
-				builder.getPlaceBuilder().setRequest(place.request()).setHeld(place.admitted());
+			case PeerMessage.LogDecision decision ->
+				builder.getPlaceBuilder().setRequest(decision.request()).setHeld(decision.admitted());
 			case PeerMessage.SyncComplete ignored -> builder.getToldBuilder();
-			case PeerMessage.PermitsRequest ask -> builder.setPermitRequest(PermitCodec.message(ask.request()));
+			case PeerMessage.PermitsRequest request -> builder.setPermitRequest(PermitCodec.message(request.request()));
 			case PeerMessage.PermitsGranted reply -> builder.setPermitReply(PermitCodec.message(reply.reply()));
 			case PeerMessage.Unknown ignored -> {
-				// Only read, never written.
+				// Only decoded, never encoded.
 			}
 			case PeerMessage.Heartbeat ignored -> builder.getPulseBuilder();
 		}
@@ -154,9 +157,9 @@
 	}
 
 	/**
-	 * Reads a message of another relay.
-	 * @param bytes its bytes
-	 * @return the reason why they are none on the left, or the message on the right
+	 * Decodes a message of another relay.
+	 * @param bytes the bytes
+	 * @return the error on the left, or the message on the right
 	 */
 	public static Either<String, PeerMessage> decodePeerMessage(byte[] bytes) {
 		try {
@@ -177,7 +180,7 @@
 						message.getTaken().getLoadsList().stream().map(RelayCodec::load).toList()));
 				case PLACES_WANTED -> (message.getPlacesWanted().getRequestCount() == 1)
 						? Either.right(new PeerMessage.TextLocationsRequest(message.getPlacesWanted().getRequest(0)))
-						: Either.left("a question for the places of no chain");
+						: Either.left("text locations request must name exactly one turn");
 				case PLACES -> Either.right(new PeerMessage.TextLocations(
 						message.getPlaces().getTurnsList().stream().map(RelayCodec::turnLocation).toList()));
 				case UNSURE -> Either.right(new PeerMessage.UsageUnavailable(message.getUnsure().getRequest()));
@@ -199,7 +202,7 @@
 	}
 
 	/**
-	 * Writes what a relay says of itself beside its address.
+	 * Encodes the record of a relay in the list of relays; its key is the address.
 	 * @param member the relay
 	 * @return the bytes
 	 */
@@ -212,10 +215,10 @@
 	}
 
 	/**
-	 * Reads what a relay says of itself beside its address. One of an earlier version
-	 * says nothing, and counts like the others.
-	 * @param address its address
-	 * @param bytes what stands there
+	 * Decodes the record of a relay in the list of relays. A record without a weight
+	 * yields the defaults; earlier versions wrote none.
+	 * @param address the address of the relay
+	 * @param bytes the bytes of the record
 	 * @return the relay
 	 */
 	public static Member decodeMember(String address, byte[] bytes) {
@@ -252,17 +255,17 @@
 		return new UpstreamLoad(message.getLife(), Math.max(0, message.getRequests()), Math.max(0, message.getAge()));
 	}
 
-	// While relays are replaced by a newer version, their links must hold: a message that
-	// is new there is passed over.
+	// During a rolling upgrade links have to stay connected, so message types that only
+	// the newer version knows are ignored.
 	private static Either<String, PeerMessage> unknownMessage(RelayProtocol.PeerMessage message) {
-		return message.getUnknownFields().asMap().isEmpty() ? Either.left("a message without content")
+		return message.getUnknownFields().asMap().isEmpty() ? Either.left("message has no content")
 				: Either.right(new PeerMessage.Unknown());
 	}
 
-	private static Either<String, PeerMessage> turnWriteRequest(RelayProtocol.Help help) {
-		return entry(help.getEnd()).flatMap((end) -> (end instanceof LedgerEntry.Settled settled)
-				? Either.right(new PeerMessage.TurnWriteRequest(settled, text(help.getText())))
-				: Either.left("help with an entry that ends no turn"));
+	private static Either<String, PeerMessage> turnWriteRequest(RelayProtocol.Help message) {
+		return entry(message.getEnd()).flatMap((entry) -> (entry instanceof LedgerEntry.Settled settled)
+				? Either.right(new PeerMessage.TurnWriteRequest(settled, text(message.getText())))
+				: Either.left("turn write request has no settlement"));
 	}
 
 	private static RelayProtocol.KeptText message(TurnText turn) {
@@ -290,9 +293,9 @@
 		return Optional.of(text).filter((name) -> !name.isEmpty());
 	}
 
-	private static PeerMessage reservationRequest(RelayProtocol.Question question) {
-		return new PeerMessage.ReservationRequest(question.getRequest(), question.getProgram(), question.getMost(),
-				question.getBudget(), question.getPlace());
+	private static PeerMessage reservationRequest(RelayProtocol.Question message) {
+		return new PeerMessage.ReservationRequest(message.getRequest(), message.getProgram(), message.getMost(),
+				message.getBudget(), message.getPlace());
 	}
 
 	private static Either<String, PeerMessage> batch(RelayProtocol.Batch batch) {
@@ -334,20 +337,20 @@
 		RelayProtocol.Settlement.Builder builder = RelayProtocol.Settlement.newBuilder()
 			.setProgram(settled.program())
 			.setTokens(settled.tokens());
-		settled.text().ifPresent((place) -> builder.setPlace(message(place)));
+		settled.text().ifPresent((location) -> builder.setPlace(message(location)));
 		return builder.build();
 	}
 
 	private static Either<String, LedgerEntry> entry(RelayProtocol.RelayEntry message) {
 		if (message.getRequest().isEmpty()) {
-			return Either.left("an entry without a request");
+			return Either.left("entry has no request id");
 		}
 		return switch (message.getEntryCase()) {
 			case RESERVATION -> Either.right(reserved(message.getRequest(), message.getReservation()));
 			case SETTLEMENT -> Either.right(settled(message.getRequest(), message.getSettlement()));
 			case BLAME -> Either.right(new LedgerEntry.Blamed(message.getRequest(), message.getBlame().getDigest(),
 					message.getBlame().getUpstream()));
-			case ENTRY_NOT_SET -> Either.left("an entry without content");
+			case ENTRY_NOT_SET -> Either.left("entry has no content");
 		};
 	}
 
@@ -361,19 +364,19 @@
 	}
 
 	private static LedgerEntry settled(String request, RelayProtocol.Settlement message) {
-		Optional<TextLocation> place = Optional.of(message)
+		Optional<TextLocation> location = Optional.of(message)
 			.filter(RelayProtocol.Settlement::hasPlace)
 			.map((settlement) -> textLocation(settlement.getPlace()));
-		return new LedgerEntry.Settled(request, message.getProgram(), message.getTokens(), place);
+		return new LedgerEntry.Settled(request, message.getProgram(), message.getTokens(), location);
 	}
 
-	private static RelayProtocol.TextPlace message(TextLocation place) {
+	private static RelayProtocol.TextPlace message(TextLocation location) {
 		return RelayProtocol.TextPlace.newBuilder()
-			.setPrevious(place.previous().orElse(""))
-			.setBytes(place.bytes())
-			.setPart(place.partition())
-			.setFrom(place.minOffset())
-			.setHolder(place.origin().orElse(""))
+			.setPrevious(location.previous().orElse(""))
+			.setBytes(location.bytes())
+			.setPart(location.partition())
+			.setFrom(location.minOffset())
+			.setHolder(location.origin().orElse(""))
 			.build();
 	}
 
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/package-info.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The messages that relays send each other and write to the platform's log, as bytes.
+ * Encoding of the messages that relays exchange and of the records that they write to the
+ * store.
  */
 package io.lentilslip.wire.relay;
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
@@ -26,14 +26,14 @@
 class RelayCodecTests {
 
 	@Property(tries = 200)
-	void reservationsAreReadAsWritten(@ForAll int tokens, @ForAll long part, @ForAll boolean contending) {
+	void reservationsRoundTrip(@ForAll int tokens, @ForAll long part, @ForAll boolean contending) {
 		LedgerEntry entry = new LedgerEntry.Reserved("r", "p", tokens, contending ? "" : "u",
 				List.of(new PromptPart(part, 7)), contending);
 		assertThat(RelayCodec.decodeEntry(RelayCodec.encode(entry)).entry().get()).isEqualTo(entry);
 	}
 
 	@Property(tries = 200)
-	void settlementsAreReadAsWritten(@ForAll int bytes, @ForAll int part, @ForAll long from, @ForAll boolean first) {
+	void settlementsRoundTrip(@ForAll int bytes, @ForAll int part, @ForAll long from, @ForAll boolean first) {
 		Optional<String> previous = first ? Optional.empty() : Optional.of("before");
 		LedgerEntry entry = new LedgerEntry.Settled("r", "p", 9,
 				Optional.of(new TextLocation(previous, bytes, part, from)));
@@ -41,82 +41,81 @@
 	}
 
 	@Property(tries = 200)
-	void textsAreReadAsWritten(@ForAll byte[] input, @ForAll byte[] output, @ForAll boolean first) {
+	void textsRoundTrip(@ForAll byte[] input, @ForAll byte[] output, @ForAll boolean first) {
 		Optional<String> previous = first ? Optional.empty() : Optional.of("before");
 		TurnText turn = new TurnText("r", new StoredTurn(previous, input, output));
 		assertThat(RelayCodec.decodeText(RelayCodec.encode(turn)).get()).usingRecursiveComparison().isEqualTo(turn);
-		PeerMessage help = new PeerMessage.TurnWriteRequest(new LedgerEntry.Settled("r", "p", 9, Optional.empty()),
+		PeerMessage request = new PeerMessage.TurnWriteRequest(new LedgerEntry.Settled("r", "p", 9, Optional.empty()),
 				turn.text());
-		for (PeerMessage message : List.of(new PeerMessage.Texts(List.of(turn)), help)) {
+		for (PeerMessage message : List.of(new PeerMessage.Texts(List.of(turn)), request)) {
 			assertThat(RelayCodec.decodePeerMessage(RelayCodec.encode(message)).get()).usingRecursiveComparison()
 				.isEqualTo(message);
 		}
 	}
 
 	@Property(tries = 500)
-	void bytesThatAreNoMessageAreAValue(@ForAll byte[] bytes) {
+	void malformedBytesDoNotThrow(@ForAll byte[] bytes) {
 		assertThat(RelayCodec.decodeEntry(bytes).entry()).isNotNull();
 		assertThat(RelayCodec.decodePeerMessage(bytes)).isNotNull();
 		assertThat(RelayCodec.decodeText(bytes)).isNotNull();
 	}
 
 	@Property(tries = 200)
-	void permitsAreReadAsWritten(@ForAll long number, @ForAll int program,
+	void permitsRoundTrip(@ForAll long number, @ForAll int program,
 			@ForAll @IntRange(min = 0, max = 10_000) int permits, @ForAll boolean admitted) {
-		PeerMessage ask = new PeerMessage.PermitsRequest(new PermitRequest("red", number, new Quota(1.5, 3), permits, 2,
-				1, List.of(program), List.of(program, 7)));
+		PeerMessage request = new PeerMessage.PermitsRequest(new PermitRequest("red", number, new Quota(1.5, 3),
+				permits, 2, 1, List.of(program), List.of(program, 7)));
 		PeerMessage reply = new PeerMessage.PermitsGranted(
 				new PermitReply("red", number, permits, List.of(admitted, true), Duration.ofMillis(250)));
-		for (PeerMessage message : List.of(ask, reply)) {
+		for (PeerMessage message : List.of(request, reply)) {
 			assertThat(RelayCodec.decodePeerMessage(RelayCodec.encode(message)).get()).isEqualTo(message);
 		}
 	}
 
 	@Test
-	void timeOfAnEntryIsReadAsWritten() {
+	void entryTimestampRoundTrips() {
 		LedgerEntry entry = new LedgerEntry.Blamed("r", 3, "u");
 		byte[] bytes = RelayCodec.encode(entry, 1_790_000_000_000L);
 		assertThat(RelayCodec.decodeEntry(bytes).timestamp())
 			.contains(new EntryTimestamp(1_790_000_000_000L, Duration.ZERO));
 		assertThat(RelayCodec.decodeEntry(bytes).entry().get()).isEqualTo(entry);
-		byte[] late = RelayCodec.withAppendDelay(bytes, Duration.ofMillis(5_003));
-		assertThat(RelayCodec.decodeEntry(late).timestamp().map(EntryTimestamp::appendedAt))
+		byte[] delayed = RelayCodec.withAppendDelay(bytes, Duration.ofMillis(5_003));
+		assertThat(RelayCodec.decodeEntry(delayed).timestamp().map(EntryTimestamp::appendedAt))
 			.contains(1_790_000_005_003L);
-		assertThat(RelayCodec.decodeEntry(late).entry().get()).isEqualTo(entry);
+		assertThat(RelayCodec.decodeEntry(delayed).entry().get()).isEqualTo(entry);
 		assertThat(RelayCodec.decodeEntry(RelayCodec.encode(entry)).timestamp()).isEmpty();
 		assertThat(RelayCodec.decodeEntry(new byte[] { 1 }).timestamp()).isEmpty();
 	}
 
 	@Test
-	void memberIsReadAsWritten() {
+	void memberRoundTrips() {
 		Member member = new Member("10.0.0.1:7", "zone-b", 27);
 		assertThat(RelayCodec.decodeMember(member.address(), RelayCodec.encode(member))).isEqualTo(member);
 	}
 
-	// A relay of an earlier version wrote one byte, and another writer something else.
-	// Each
-	// counts as a relay that says nothing of itself.
+	// Earlier versions wrote a single byte, and other writers may write anything. Such
+	// records have to yield the defaults.
 	@Property(tries = 200)
-	void memberThatSaysNothingReadableCountsLikeTheOthers(@ForAll byte[] bytes) {
+	void malformedMemberRecordYieldsDefaults(@ForAll byte[] bytes) {
 		assertThat(RelayCodec.decodeMember("10.0.0.1:7", new byte[] { 1 })).isEqualTo(Member.of("10.0.0.1:7"));
 		assertThat(RelayCodec.decodeMember("10.0.0.1:7", bytes).weight()).isPositive();
 	}
 
 	@Test
-	void entryWithoutContentIsRefused() {
+	void emptyBytesAreRejected() {
 		assertThat(RelayCodec.decodeEntry(new byte[0]).entry().isLeft()).isTrue();
 		assertThat(RelayCodec.decodePeerMessage(new byte[0]).isLeft()).isTrue();
 	}
 
-	// A relay of a newer version sends a message that is not known here. The link holds.
+	// During a rolling upgrade a link has to survive message types of the newer version.
 	@Test
-	void messageOfANewerVersionIsPassedOver() {
+	void messageOfANewerVersionIsIgnored() {
 		byte[] newer = { (byte) 0xfa, 0x07, 0x01, 0x00 };
 		assertThat(RelayCodec.decodePeerMessage(newer).get()).isEqualTo(new PeerMessage.Unknown());
 	}
 
 	@Test
-	void messagesOfLinksAreReadAsWritten() {
+	void linkMessagesRoundTrip() {
 		List<PeerMessage> messages = List.of(new PeerMessage.Greeting("10.0.0.1:7"),
 				new PeerMessage.Batch(List.of(new LedgerEntry.Blamed("r", -3, "u"))),
 				new PeerMessage.TextsRequest(Set.of("a", "b")), new PeerMessage.TurnWriteAck(Set.of("a")),
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
@@ -21,8 +21,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Spoilt messages of relays and records of the log. {@code bin/fuzz} runs it for longer,
- * with seeds of its own.
+ * Decodes corrupted messages of links and records of the store. {@code bin/fuzz} runs it
+ * longer and with other seeds.
  */
 class RelayFuzzTests {
 
@@ -30,34 +30,32 @@
 
 	private static final long SEED = Long.getLong("lentilslip.fuzz.seed", 20273);
 
-	private static final TextLocation PLACE = new TextLocation(Optional.of("t0"), 900, 7, 1L << 33,
+	private static final TextLocation LOCATION = new TextLocation(Optional.of("t0"), 900, 7, 1L << 33,
 			Optional.of("10.0.0.1:7380"));
 
 	private static final LedgerEntry RESERVED = new LedgerEntry.Reserved("t1", "p", 588, "e1@17",
 			List.of(new PromptPart(0x5c1e07a2L, 800), new PromptPart(-3, 400)), true);
 
-	private static final LedgerEntry.Settled SETTLED = new LedgerEntry.Settled("t1", "p", 90, Optional.of(PLACE));
+	private static final LedgerEntry.Settled SETTLED = new LedgerEntry.Settled("t1", "p", 90, Optional.of(LOCATION));
 
 	private static final StoredTurn TEXT = new StoredTurn(Optional.of("t0"), "in;".getBytes(), "out;".getBytes());
 
-	// A relay of another version, a spoilt record or a stranger sends bytes that are
-	// nearly a
-	// message. An exception would end the follower of the log, or the link, for all that
-	// comes
-	// after; and what is read all the same has to be a message that can be written again.
+	// An exception on corrupted bytes would stop the reader of the log or close the link.
+	// Any message that is decoded has to be encodable again.
 	@Test
-	void spoiltBytesAreAMessageOrAReason() {
+	void corruptedBytesDoNotThrow() {
 		List<byte[]> valid = valid();
 		Random random = new Random(SEED);
 		for (int input = 0; input < INPUTS; input++) {
-			byte[] spoilt = spoil(valid.get(random.nextInt(valid.size())), random);
-			RelayCodec.decodePeerMessage(spoilt).peek((message) -> assertThat(RelayCodec.encode(message)).isNotNull());
-			RelayCodec.decodeEntry(spoilt).entry().peek((entry) -> assertThat(RelayCodec.encode(entry)).isNotNull());
-			RelayCodec.decodeText(spoilt).peek((text) -> assertThat(RelayCodec.encode(text)).isNotNull());
-			RelayCodec.decodeEntry(spoilt)
+			byte[] corrupted = corrupt(valid.get(random.nextInt(valid.size())), random);
+			RelayCodec.decodePeerMessage(corrupted)
+				.peek((message) -> assertThat(RelayCodec.encode(message)).isNotNull());
+			RelayCodec.decodeEntry(corrupted).entry().peek((entry) -> assertThat(RelayCodec.encode(entry)).isNotNull());
+			RelayCodec.decodeText(corrupted).peek((text) -> assertThat(RelayCodec.encode(text)).isNotNull());
+			RelayCodec.decodeEntry(corrupted)
 				.timestamp()
 				.ifPresent((time) -> assertThat(time.appendDelay().isNegative()).isFalse());
-			assertThat(RelayCodec.decodeMember("10.0.0.1:7380", spoilt).weight()).isPositive();
+			assertThat(RelayCodec.decodeMember("10.0.0.1:7380", corrupted).weight()).isPositive();
 		}
 	}
 
@@ -70,7 +68,7 @@
 				new PeerMessage.Usage("t1", 1200, 40, true, List.of(new UpstreamLoad(-7, 3, 250))),
 				new PeerMessage.UsageUnavailable("t1"), new PeerMessage.SyncRequest(),
 				new PeerMessage.TextLocationsRequest("t1"),
-				new PeerMessage.TextLocations(List.of(new TurnLocation("t1", PLACE))),
+				new PeerMessage.TextLocations(List.of(new TurnLocation("t1", LOCATION))),
 				new PeerMessage.LogDecision("t1", true), new PeerMessage.SyncComplete(), new PeerMessage.Heartbeat())
 			.forEach((message) -> valid.add(RelayCodec.encode(message)));
 		List.of(RESERVED, SETTLED, new LedgerEntry.Blamed("t1", -3, "e1@17"))
@@ -81,17 +79,17 @@
 		return valid;
 	}
 
-	private static byte[] spoil(byte[] valid, Random random) {
+	private static byte[] corrupt(byte[] valid, Random random) {
 		byte[] value = valid.clone();
 		for (int change = random.nextInt(4); change >= 0 && value.length > 0; change--) {
-			int at = random.nextInt(value.length);
+			int index = random.nextInt(value.length);
 			switch (random.nextInt(4)) {
-				case 0 -> value[at] = (byte) random.nextInt(256);
-				case 1 -> value[at] ^= (byte) (1 << random.nextInt(8));
-				case 2 -> value = Arrays.copyOf(value, at);
+				case 0 -> value[index] = (byte) random.nextInt(256);
+				case 1 -> value[index] ^= (byte) (1 << random.nextInt(8));
+				case 2 -> value = Arrays.copyOf(value, index);
 				default -> {
-					byte[] doubled = Arrays.copyOf(value, value.length + at);
-					System.arraycopy(value, 0, doubled, value.length, at);
+					byte[] doubled = Arrays.copyOf(value, value.length + index);
+					System.arraycopy(value, 0, doubled, value.length, index);
 					value = doubled;
 				}
 			}
