--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/FrameCounterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/FrameCounterTests.java
@@ -25,16 +25,16 @@
 
 	private final TrafficCounter traffic = new TrafficCounter();
 
-	private final List<PeerMessage> taken = new ArrayList<>();
+	private final List<PeerMessage> received = new ArrayList<>();
 
 	private final EmbeddedChannel channel = new EmbeddedChannel();
 
 	FrameCounterTests() {
-		new Taking().initialize(this.channel, this.traffic);
+		new RecordingChannel().initialize(this.channel, this.traffic);
 	}
 
 	@Test
-	void messagesThatAreSentAreCountedByTheirFrames() {
+	void sentMessagesAreCountedByFrame() {
 		PeerChannel.send(this.channel, GREETING);
 		PeerChannel.send(this.channel, GREETING);
 		assertThat(published()).contains(new RelayTraffic(Kind.LINKS_OUT, 2L * SIZE, 2),
@@ -43,11 +43,9 @@
 		assertThat(length.readInt()).isEqualTo(SIZE);
 	}
 
-	// Two messages arrive in three pieces. What counts is the frames that they are, not
-	// the
-	// pieces that the connection cut them into.
+	// Two messages arrive in three reads. Frames must be counted, not reads.
 	@Test
-	void messagesThatArriveAreCountedByTheirFrames() {
+	void receivedMessagesAreCountedByFrame() {
 		ByteBuf arriving = Unpooled.buffer();
 		for (int message = 0; message < 2; message++) {
 			arriving.writeInt(SIZE).writeBytes(RelayCodec.encode(GREETING));
@@ -55,7 +53,7 @@
 		this.channel.writeInbound(arriving.readRetainedSlice(3));
 		this.channel.writeInbound(arriving.readRetainedSlice(SIZE));
 		this.channel.writeInbound(arriving);
-		assertThat(this.taken).containsExactly(GREETING, GREETING);
+		assertThat(this.received).containsExactly(GREETING, GREETING);
 		assertThat(published()).contains(new RelayTraffic(Kind.LINKS_IN, 2L * SIZE, 2),
 				new RelayTraffic(Kind.LINKS_OUT, 0, 0));
 	}
@@ -67,13 +65,13 @@
 	}
 
 	/**
-	 * Keeps what arrives. Used by one thread.
+	 * Records received messages. Used by one thread.
 	 */
-	private final class Taking extends PeerChannel {
+	private final class RecordingChannel extends PeerChannel {
 
 		@Override
 		void messageReceived(ChannelHandlerContext context, PeerMessage message) {
-			FrameCounterTests.this.taken.add(message);
+			FrameCounterTests.this.received.add(message);
 		}
 
 	}
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
@@ -36,177 +36,176 @@
 
 class PeersTests {
 
-	private static final String OWN = "10.0.0.1:1";
+	private static final String OWN_ADDRESS = "10.0.0.1:1";
 
-	private static final byte[] PRESENT = { 1 };
+	private static final byte[] MEMBER_RECORD = { 1 };
 
 	private final NioEventLoopGroup group = new NioEventLoopGroup(1);
 
 	private final EventLoop loop = this.group.next();
 
-	private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+	private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
 
-	private String own = OWN;
+	private String ownAddress = OWN_ADDRESS;
 
 	private final TrafficCounter traffic = new TrafficCounter();
 
-	private final FastTimers clock = new FastTimers();
+	private final ImmediateTimers timers = new ImmediateTimers();
 
-	private final Peers peers = new Peers(this.loop, new Heard(), this.clock, this.traffic);
+	private final Peers peers = new Peers(this.loop, new RecordingListener(), this.timers, this.traffic);
 
 	private final List<Peers> others = new ArrayList<>();
 
 	private List<Member> members = List.of();
 
-	private String peer = "";
+	private String peerAddress = "";
 
 	@AfterEach
 	void close() {
 		this.group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
 	}
 
-	// A VM was taken away, and its address stays in the store. All relays would try it
-	// for ever, and so would each that comes; so it is told as out of reach.
+	// The address of a removed VM must not stay in the store, where every relay would
+	// keep connecting to it.
 	@Test
-	void relayThatIsAwayForLongIsToldAsOutOfReach() throws Exception {
-		String away;
+	void unreachableRelayIsReported() throws Exception {
+		String unreachable;
 		try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-			away = "127.0.0.1:" + socket.getLocalPort();
+			unreachable = "127.0.0.1:" + socket.getLocalPort();
 		}
-		onLoop(() -> this.peers.recordChanged(away, Optional.of(PRESENT)));
-		onLoop(() -> this.peers.send(away, new PeerMessage.SyncRequest()));
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("out of reach " + away);
-		onLoop(() -> this.peers.recordChanged(away, Optional.empty()));
+		onLoop(() -> this.peers.recordChanged(unreachable, Optional.of(MEMBER_RECORD)));
+		onLoop(() -> this.peers.send(unreachable, new PeerMessage.SyncRequest()));
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("unreachable " + unreachable);
+		onLoop(() -> this.peers.recordChanged(unreachable, Optional.empty()));
 		assertThat(onLoop(this.peers::knownCount)).isZero();
 	}
 
-	// Another relay can't reach this one and drops its address, but most others can. The
-	// address has to come back, or relays that start would not find this one.
+	// A relay that cannot reach this one may remove its address while others still reach
+	// it. Unless it is registered again, new relays cannot find this one.
 	@Test
-	void relayThatIsDroppedHearsOfIt() throws Exception {
-		onLoop(() -> this.peers.setLocalAddress(OWN));
-		onLoop(() -> this.peers.recordChanged(OWN, Optional.empty()));
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("forgotten");
+	void removalOfTheOwnAddressIsReported() throws Exception {
+		onLoop(() -> this.peers.setLocalAddress(OWN_ADDRESS));
+		onLoop(() -> this.peers.recordChanged(OWN_ADDRESS, Optional.empty()));
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("address removed");
 		onLoop(() -> this.peers.snapshotRead(Map.of()));
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("forgotten");
-		onLoop(() -> this.peers.snapshotRead(Map.of(OWN, PRESENT)));
-		assertThat(onLoop(this.heard::isEmpty)).isTrue();
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("address removed");
+		onLoop(() -> this.peers.snapshotRead(Map.of(OWN_ADDRESS, MEMBER_RECORD)));
+		assertThat(onLoop(this.received::isEmpty)).isTrue();
 	}
 
 	@Test
-	void relayThatIsLinkedIsToldAllThatItIsGiven() throws Exception {
-		open();
-		String address = opened();
+	void allEntriesAreReplicatedToAConnectedRelay() throws Exception {
+		bind();
+		String address = connectPeer();
 		List<LedgerEntry> entries = new ArrayList<>();
 		for (int i = 0; i < 50; i++) {
 			entries.add(new LedgerEntry.Settled("r" + i, "p", 1, Optional.empty()));
 		}
 		onLoop(() -> this.peers.replicate(address, entries));
 		for (int i = 0; i < 50; i++) {
-			assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("r" + i);
+			assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("r" + i);
 		}
 	}
 
-	// A site has many relays, and a program is kept by few. The others hear nothing of
-	// its
-	// turns, and have no link with a relay that has nothing to say to them.
+	// Only the replicas of a program receive its entries; relays without common programs
+	// need no link.
 	@Test
-	void entryIsToldToThoseAloneThatItIsFor() throws Exception {
-		open();
-		String keeper = listed();
-		String other = listed();
-		onLoop(() -> this.peers.replicate(List.of(keeper), reserved("r")));
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + keeper);
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("r");
+	void entryIsReplicatedOnlyToTheGivenRelays() throws Exception {
+		bind();
+		String replica = addPeer();
+		String other = addPeer();
+		onLoop(() -> this.peers.replicate(List.of(replica), reserved("r")));
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("connected " + replica);
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("r");
 		assertThat(onLoop(this.peers::connectedCount)).isOne();
 		onLoop(() -> this.peers.replicate(List.of(other), reserved("s")));
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + other);
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("s");
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("connected " + other);
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("s");
 	}
 
-	// The answer of another relay counts what it was told before the question.
+	// The response to a reservation request has to cover the entries sent before it.
 	@Test
-	void questionFollowsWhatWasToldBefore() throws Exception {
-		open();
-		String keeper = listed();
-		onLoop(() -> this.peers.replicate(List.of(keeper), reserved("r")));
-		onLoop(() -> this.peers.sendRequest(List.of(keeper),
+	void requestFollowsEntriesSentBefore() throws Exception {
+		bind();
+		String replica = addPeer();
+		onLoop(() -> this.peers.replicate(List.of(replica), reserved("r")));
+		onLoop(() -> this.peers.sendRequest(List.of(replica),
 				new PeerMessage.ReservationRequest("t", "p", 1, 2, false)));
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + keeper);
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("r");
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("asked t of p");
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("connected " + replica);
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("r");
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("requested t of p");
 	}
 
-	// One relay asks another and is answered on the connection that it made: a second one
-	// would cost each of them a start's share for each of the others.
+	// A response has to use the connection of its request; a second connection per pair
+	// of relays doubles the cost of a restart.
 	@Test
-	void answerComesOnTheConnectionOfTheQuestion() throws Exception {
-		open();
-		answered();
+	void responseUsesTheConnectionOfTheRequest() throws Exception {
+		bind();
+		sendUsage();
 		assertThat(onLoop(this.peers::connectedCount)).isOne();
 		assertThat(onLoop(this.others.getFirst()::connectedCount)).isOne();
 	}
 
-	// A relay drains: it leaves the list, and goes on asking keepers for the turns that
-	// it
-	// took. Cut off then, they would wait for the log instead.
+	// A draining relay leaves the list, but its turns in flight still need reservations.
+	// Without the link they would wait for the log.
 	@Test
-	void linkToARelayThatLeavesTheListHoldsUntilItEnds() throws Exception {
-		open();
-		answered();
-		String leaving = this.peer;
+	void linkToAnUnlistedRelayStaysOpen() throws Exception {
+		bind();
+		sendUsage();
+		String leaving = this.peerAddress;
 		onLoop(() -> this.peers.recordChanged(leaving, Optional.empty()));
 		assertThat(onLoop(this.peers::knownCount)).isZero();
 		onLoop(() -> this.others.getFirst()
-			.send(this.own, new PeerMessage.ReservationRequest("last", "p", 1, 2, false)));
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("asked last of p");
+			.send(this.ownAddress, new PeerMessage.ReservationRequest("last", "p", 1, 2, false)));
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("requested last of p");
 		onLoop(() -> this.peers.send(leaving, new PeerMessage.ReservationRequest("back", "p", 1, 2, false)));
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("asked back of p");
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("requested back of p");
 	}
 
-	// A connection goes silent for good without a reset: nothing comes back for what is
-	// sent. It is given up, though no error ever shows.
+	// A connection may stop delivering data without an error. It must be closed once a
+	// response is overdue.
 	@Test
-	void linkOnWhichNothingComesBackIsGivenUp() throws Exception {
-		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-			String address = "127.0.0.1:" + silent.getLocalPort();
-			onLoop(() -> this.peers.recordChanged(address, Optional.of(PRESENT)));
+	void linkWithAnOverdueResponseIsClosed() throws Exception {
+		try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+			String address = "127.0.0.1:" + unresponsive.getLocalPort();
+			onLoop(() -> this.peers.recordChanged(address, Optional.of(MEMBER_RECORD)));
 			onLoop(() -> this.peers.send(address, new PeerMessage.SyncRequest()));
-			assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + address);
+			assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("connected " + address);
 			onLoop(this.peers::checkLiveness);
 			assertThat(onLoop(this.peers::connectedCount)).isOne();
-			onLoop(() -> this.clock.schedule(Duration.ofMillis(2001), () -> {
+			onLoop(() -> this.timers.schedule(Duration.ofMillis(2001), () -> {
 			}));
 			onLoop(this.peers::checkLiveness);
-			assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("lost " + address);
+			assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("disconnected " + address);
 		}
 	}
 
 	@Test
-	void relaysAreListedWithWhatTheySayOfThemselves() throws Exception {
-		onLoop(() -> this.peers.setLocalAddress(OWN));
+	void membershipContainsTheDecodedRecords() throws Exception {
+		onLoop(() -> this.peers.setLocalAddress(OWN_ADDRESS));
 		Member other = new Member("10.0.0.2:1", "zone-b", 27);
-		onLoop(() -> this.peers.snapshotRead(Map.of(OWN, PRESENT, other.address(), RelayCodec.encode(other))));
-		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN), other);
+		onLoop(() -> this.peers
+			.snapshotRead(Map.of(OWN_ADDRESS, MEMBER_RECORD, other.address(), RelayCodec.encode(other))));
+		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN_ADDRESS), other);
 		onLoop(() -> this.peers.recordChanged(other.address(), Optional.empty()));
-		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN));
+		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN_ADDRESS));
 	}
 
-	// Another writer's record names no address. Taken for one, it would end the following
-	// of all.
+	// A record of another writer may have a key that is not an address. It must not stop
+	// the consumer.
 	@Test
-	void recordWithoutAnAddressIsNoRelay() throws Exception {
-		onLoop(() -> this.peers.setLocalAddress(OWN));
-		onLoop(() -> this.peers
-			.snapshotRead(Map.of(OWN, PRESENT, "nowhere", PRESENT, "10.0.0.1:", PRESENT, ":70000", PRESENT)));
-		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN));
+	void recordWithAnInvalidAddressIsIgnored() throws Exception {
+		onLoop(() -> this.peers.setLocalAddress(OWN_ADDRESS));
+		onLoop(() -> this.peers.snapshotRead(Map.of(OWN_ADDRESS, MEMBER_RECORD, "nowhere", MEMBER_RECORD, "10.0.0.1:",
+				MEMBER_RECORD, ":70000", MEMBER_RECORD)));
+		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN_ADDRESS));
 		assertThat(onLoop(this.peers::knownCount)).isZero();
 	}
 
 	@Test
-	void whatGoesOverALinkIsCounted() throws Exception {
-		open();
-		answered();
+	void trafficOfALinkIsCounted() throws Exception {
+		bind();
+		sendUsage();
 		List<Measurement> counted = new ArrayList<>();
 		onLoop(() -> this.traffic.publish(counted::add));
 		assertThat(counted).map(RelayTraffic.class::cast)
@@ -219,61 +218,62 @@
 		return new LedgerEntry.Reserved(request, "p", 1, "", List.of(), false);
 	}
 
-	private void answered() throws Exception {
-		opened();
+	private void sendUsage() throws Exception {
+		connectPeer();
 		while (onLoop(this.others.getFirst()::connectedCount) == 0) {
 			Thread.onSpinWait();
 		}
 		onLoop(() -> this.others.getFirst()
-			.send(this.own, new PeerMessage.Usage("t", 7, 0, true, List.of(new UpstreamLoad(1, 2, 3)))));
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("told t 7");
+			.send(this.ownAddress, new PeerMessage.Usage("t", 7, 0, true, List.of(new UpstreamLoad(1, 2, 3)))));
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("usage t 7");
 	}
 
-	private String opened() throws Exception {
-		String address = listed();
+	private String connectPeer() throws Exception {
+		String address = addPeer();
 		onLoop(() -> this.peers.send(address, new PeerMessage.Heartbeat()));
-		assertThat(this.heard.poll(20, TimeUnit.SECONDS)).isEqualTo("linked " + address);
+		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("connected " + address);
 		return address;
 	}
 
-	private String listed() throws Exception {
-		Peers other = new Peers(this.loop, new Heard(), new FastTimers(), new TrafficCounter());
+	private String addPeer() throws Exception {
+		Peers other = new Peers(this.loop, new RecordingListener(), new ImmediateTimers(), new TrafficCounter());
 		this.others.add(other);
 		InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
 		InetSocketAddress bound = (InetSocketAddress) other.bind(this.group, any).sync().channel().localAddress();
 		String address = "127.0.0.1:" + bound.getPort();
 		other.setLocalAddress(address);
-		onLoop(() -> this.peers.recordChanged(address, Optional.of(PRESENT)));
-		this.peer = address;
+		onLoop(() -> this.peers.recordChanged(address, Optional.of(MEMBER_RECORD)));
+		this.peerAddress = address;
 		return address;
 	}
 
-	private void open() throws Exception {
+	private void bind() throws Exception {
 		InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
 		InetSocketAddress bound = (InetSocketAddress) this.peers.bind(this.group, any).sync().channel().localAddress();
-		this.own = "127.0.0.1:" + bound.getPort();
-		onLoop(() -> this.peers.setLocalAddress(this.own));
+		this.ownAddress = "127.0.0.1:" + bound.getPort();
+		onLoop(() -> this.peers.setLocalAddress(this.ownAddress));
 	}
 
-	private void onLoop(Runnable step) throws Exception {
-		this.loop.submit(step).get();
+	private void onLoop(Runnable task) throws Exception {
+		this.loop.submit(task).get();
 	}
 
-	private <T> T onLoop(Callable<T> step) throws Exception {
-		return this.loop.submit(step).get();
+	private <T> T onLoop(Callable<T> task) throws Exception {
+		return this.loop.submit(task).get();
 	}
 
 	/**
-	 * A clock on which each pause is over at once. Used by the event loop's thread.
+	 * Runs scheduled tasks at once and advances the clock by their delay. Used by the
+	 * event loop's thread.
 	 */
-	private final class FastTimers implements Timers {
+	private final class ImmediateTimers implements Timers {
 
 		private long now;
 
 		@Override
-		public void schedule(Duration delay, Runnable step) {
+		public void schedule(Duration delay, Runnable task) {
 			this.now += delay.toMillis();
-			PeersTests.this.loop.execute(step);
+			PeersTests.this.loop.execute(task);
 		}
 
 		@Override
@@ -284,23 +284,23 @@
 	}
 
 	/**
-	 * Keeps what was heard. Used by the event loop's thread.
+	 * Records what the listener receives. Used by the event loop's thread.
 	 */
-	private final class Heard implements PeerListener {
+	private final class RecordingListener implements PeerListener {
 
 		@Override
 		public void permitsRequested(String peer, PermitRequest request) {
-			PeersTests.this.heard.add("permits asked by " + peer);
+			PeersTests.this.received.add("permits requested by " + peer);
 		}
 
 		@Override
 		public void permitsGranted(String peer, PermitReply reply) {
-			PeersTests.this.heard.add("permits granted by " + peer);
+			PeersTests.this.received.add("permits granted by " + peer);
 		}
 
 		@Override
 		public void entriesReceived(String peer, List<LedgerEntry> entries) {
-			entries.forEach((entry) -> PeersTests.this.heard.add(entry.request()));
+			entries.forEach((entry) -> PeersTests.this.received.add(entry.request()));
 		}
 
 		@Override
@@ -317,12 +317,12 @@
 
 		@Override
 		public void textsRequested(String peer, Set<String> requests) {
-			PeersTests.this.heard.add("texts of " + requests);
+			PeersTests.this.received.add("texts of " + requests);
 		}
 
 		@Override
 		public void textsReceived(List<TurnText> texts) {
-			texts.forEach((turn) -> PeersTests.this.heard.add("text of " + turn.request()));
+			texts.forEach((turn) -> PeersTests.this.received.add("text of " + turn.request()));
 		}
 
 		@Override
@@ -331,17 +331,17 @@
 
 		@Override
 		public void reservationRequested(String peer, PeerMessage.ReservationRequest request) {
-			PeersTests.this.heard.add("asked " + request.request() + " of " + request.program());
+			PeersTests.this.received.add("requested " + request.request() + " of " + request.program());
 		}
 
 		@Override
 		public void usageReceived(String peer, PeerMessage.Usage usage) {
-			PeersTests.this.heard.add("told " + usage.request() + " " + usage.tokens());
+			PeersTests.this.received.add("usage " + usage.request() + " " + usage.tokens());
 		}
 
 		@Override
 		public void usageUnavailable(String peer, String request) {
-			PeersTests.this.heard.add("unsure " + request);
+			PeersTests.this.received.add("usage unavailable " + request);
 		}
 
 		@Override
@@ -355,34 +355,34 @@
 
 		@Override
 		public void logDecisionReceived(PeerMessage.LogDecision decision) {
-			PeersTests.this.heard.add("place " + decision.request() + " " + decision.admitted());
+			PeersTests.this.received.add("decision " + decision.request() + " " + decision.admitted());
 		}
 
 		@Override
 		public void syncCompleted(String peer) {
-			PeersTests.this.heard.add("all told");
+			PeersTests.this.received.add("sync completed");
 		}
 
 		@Override
 		public void peerConnected(String peer) {
-			if (!peer.equals(PeersTests.this.own)) {
-				PeersTests.this.heard.add("linked " + peer);
+			if (!peer.equals(PeersTests.this.ownAddress)) {
+				PeersTests.this.received.add("connected " + peer);
 			}
 		}
 
 		@Override
 		public void peerDisconnected(String peer, String reason) {
-			PeersTests.this.heard.add("lost " + peer);
+			PeersTests.this.received.add("disconnected " + peer);
 		}
 
 		@Override
 		public void peerUnreachable(String peer) {
-			PeersTests.this.heard.add("out of reach " + peer);
+			PeersTests.this.received.add("unreachable " + peer);
 		}
 
 		@Override
 		public void addressRemoved() {
-			PeersTests.this.heard.add("forgotten");
+			PeersTests.this.received.add("address removed");
 		}
 
 	}
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/process/PauseDetectorTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/process/PauseDetectorTests.java
@@ -8,32 +8,33 @@
 
 class PauseDetectorTests {
 
-	private final PauseDetector watch = new PauseDetector(Duration.ofMillis(250));
+	private final PauseDetector detector = new PauseDetector(Duration.ofMillis(250));
 
 	@Test
-	void firstLookFindsNoSleep() {
-		assertThat(this.watch.check(900_000, 1_700_000_000_000L)).isEmpty();
+	void firstCheckDetectsNoPause() {
+		assertThat(this.detector.check(900_000, 1_700_000_000_000L)).isEmpty();
 	}
 
 	@Test
-	void regularAndSlightlyLateLooksFindNoSleep() {
-		this.watch.check(1000, 5000);
-		assertThat(this.watch.check(1250, 5250)).isEmpty();
-		assertThat(this.watch.check(1800, 5800)).isEmpty();
+	void timelyChecksDetectNoPause() {
+		this.detector.check(1000, 5000);
+		assertThat(this.detector.check(1250, 5250)).isEmpty();
+		assertThat(this.detector.check(1800, 5800)).isEmpty();
 	}
 
 	@Test
-	void frozenProcessIsFoundByTheSteadyClock() {
-		this.watch.check(1000, 5000);
-		assertThat(this.watch.check(5000, 9000)).contains(Duration.ofSeconds(4));
-		assertThat(this.watch.check(5010, 9010)).isEmpty();
+	void pauseIsDetectedByTheMonotonicClock() {
+		this.detector.check(1000, 5000);
+		assertThat(this.detector.check(5000, 9000)).contains(Duration.ofSeconds(4));
+		assertThat(this.detector.check(5010, 9010)).isEmpty();
 	}
 
-	// A suspended VM's steady clock stands still: only the clock of the day tells.
+	// The monotonic clock of a suspended VM stands still; only the wall clock shows the
+	// pause.
 	@Test
-	void suspendedProcessIsFoundByTheClockOfTheDay() {
-		this.watch.check(1000, 5000);
-		assertThat(this.watch.check(1100, 8100)).contains(Duration.ofMillis(3100));
+	void suspensionIsDetectedByTheWallClock() {
+		this.detector.check(1000, 5000);
+		assertThat(this.detector.check(1100, 8100)).contains(Duration.ofMillis(3100));
 	}
 
 }
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/process/TimerDelayMonitorTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/process/TimerDelayMonitorTests.java
@@ -16,56 +16,55 @@
 
 	private final List<Measurement> measured = new ArrayList<>();
 
-	private final List<Notice> told = new ArrayList<>();
+	private final List<Notice> notices = new ArrayList<>();
 
-	private final TimerDelayMonitor watch = new TimerDelayMonitor(this.measured::add, this.told::add);
+	private final TimerDelayMonitor monitor = new TimerDelayMonitor(this.measured::add, this.notices::add);
 
 	@Test
-	void firstRunWasNotPlanned() {
-		this.watch.recordRun(900_000);
+	void firstRunIsNotMeasured() {
+		this.monitor.recordRun(900_000);
 		assertThat(this.measured).isEmpty();
-		assertThat(this.told).isEmpty();
+		assertThat(this.notices).isEmpty();
 	}
 
 	@Test
-	void everyRunIsMeasuredAndOnlyALateOneTold() {
+	void everyRunIsMeasuredAndOnlyLongDelaysAreReported() {
 		run(1000, 0);
 		run(1250, 99);
 		run(1600, 100);
-		assertThat(this.measured).containsExactly(ran(0), ran(99), ran(100));
-		assertThat(this.told).containsExactly(late(100));
+		assertThat(this.measured).containsExactly(measurement(0), measurement(99), measurement(100));
+		assertThat(this.notices).containsExactly(delayNotice(100));
 	}
 
 	@Test
-	void runBeforeItsTimeIsNotLate() {
+	void earlyRunHasNoDelay() {
 		run(1000, -1);
-		assertThat(this.measured).containsExactly(ran(0));
+		assertThat(this.measured).containsExactly(measurement(0));
 	}
 
-	// A relay is starved for seconds, and each of its timers is late. One line a second
-	// says so, by the worst of them; the worst of the last second is told too, although
-	// the timer that tells it is on time again.
+	// A starved relay must write at most one notice a second, with the maximum delay. The
+	// maximum of the last second must be reported even if the next run is on time.
 	@Test
-	void latenessWithinASecondIsToldByItsLargest() {
+	void maximumDelayIsReportedOncePerSecond() {
 		run(1000, 200);
 		run(1450, 700);
 		run(2100, 99);
-		assertThat(this.told).containsExactly(late(200));
+		assertThat(this.notices).containsExactly(delayNotice(200));
 		run(2200, 0);
 		run(3400, 0);
-		assertThat(this.told).containsExactly(late(200), late(700));
+		assertThat(this.notices).containsExactly(delayNotice(200), delayNotice(700));
 	}
 
-	private void run(long planned, long late) {
-		this.watch.expectRun(planned);
-		this.watch.recordRun(planned + late);
+	private void run(long expectedAt, long delay) {
+		this.monitor.expectRun(expectedAt);
+		this.monitor.recordRun(expectedAt + delay);
 	}
 
-	private static Measurement ran(long late) {
-		return new Measurement.TimerRan(Duration.ofMillis(late));
+	private static Measurement measurement(long delay) {
+		return new Measurement.TimerRan(Duration.ofMillis(delay));
 	}
 
-	private static Notice late(long milliseconds) {
+	private static Notice delayNotice(long milliseconds) {
 		return NoticeCode.RELAY_LATE.with(FieldName.MILLISECONDS, milliseconds);
 	}
 
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/DroppedEntryReporterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/DroppedEntryReporterTests.java
@@ -13,40 +13,39 @@
 
 class DroppedEntryReporterTests {
 
-	private final FakeStore time = new FakeStore();
+	private final FakeStore timers = new FakeStore();
 
-	private final List<Notice> told = new ArrayList<>();
+	private final List<Notice> notices = new ArrayList<>();
 
 	private final List<Measurement> measured = new ArrayList<>();
 
-	private final DroppedEntryReporter givenUp = new DroppedEntryReporter(this.time, this.told::add,
+	private final DroppedEntryReporter reporter = new DroppedEntryReporter(this.timers, this.notices::add,
 			this.measured::add);
 
 	@Test
-	void firstIsToldAtOnceAndAllAreCounted() {
-		this.givenUp.recordDropped(2);
-		this.givenUp.recordDropped(1);
-		assertThat(this.told).containsExactly(notice(2));
+	void firstDropIsReportedAtOnceAndAllAreMeasured() {
+		this.reporter.recordDropped(2);
+		this.reporter.recordDropped(1);
+		assertThat(this.notices).containsExactly(notice(2));
 		assertThat(this.measured).containsExactly(new Measurement.EntriesGivenUp(2), new Measurement.EntriesGivenUp(1));
 	}
 
-	// A store is away, and each entry that comes drops an older one, hundreds a second.
-	// One line a second says how many, and the last ones are told too, although nothing
-	// comes after them.
+	// During an outage each new entry may drop an older one. At most one notice a second
+	// is written, and the last drops must be reported even if none follow.
 	@Test
-	void laterOnesAreToldOnceASecond() {
-		this.givenUp.recordDropped(2);
-		this.givenUp.recordDropped(3);
-		this.givenUp.recordDropped(4);
-		this.time.pass(999);
-		assertThat(this.told).containsExactly(notice(2));
-		this.time.pass(1);
-		assertThat(this.told).containsExactly(notice(2), notice(7));
-		this.time.pass(1000);
-		this.time.pass(1000);
-		assertThat(this.told).hasSize(2);
-		this.givenUp.recordDropped(1);
-		assertThat(this.told).containsExactly(notice(2), notice(7), notice(1));
+	void laterDropsAreReportedOncePerSecond() {
+		this.reporter.recordDropped(2);
+		this.reporter.recordDropped(3);
+		this.reporter.recordDropped(4);
+		this.timers.advance(999);
+		assertThat(this.notices).containsExactly(notice(2));
+		this.timers.advance(1);
+		assertThat(this.notices).containsExactly(notice(2), notice(7));
+		this.timers.advance(1000);
+		this.timers.advance(1000);
+		assertThat(this.notices).hasSize(2);
+		this.reporter.recordDropped(1);
+		assertThat(this.notices).containsExactly(notice(2), notice(7), notice(1));
 	}
 
 	private static Notice notice(long entries) {
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryReaderTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryReaderTests.java
@@ -17,140 +17,136 @@
 
 	private final FakeStore store = new FakeStore();
 
-	private final List<LedgerEntry> read = new ArrayList<>();
+	private final List<LedgerEntry> entries = new ArrayList<>();
 
-	private int caughtUp;
+	private int caughtUpCount;
 
-	private Optional<Duration> age = Optional.empty();
+	private Optional<Duration> idle = Optional.empty();
 
-	private boolean alone;
+	private boolean isolated;
 
 	private final EntryReader reader = new EntryReader(this.store, this.store, new SplittableRandom(1),
-			this.read::addAll, (offset, took, age) -> {
-				this.caughtUp++;
-				this.age = age;
-			}, (well) -> {
-			}, () -> this.alone);
+			this.entries::addAll, (offset, duration, idleTime) -> {
+				this.caughtUpCount++;
+				this.idle = idleTime;
+			}, (succeeded) -> {
+			}, () -> this.isolated);
 
 	@Test
-	void entriesAreReadUpToTheEndWithoutAPause() {
+	void entriesAreReadUpToTheEndWithoutDelay() {
 		this.reader.read();
 		answer(1, 2, settled("r1"));
-		assertThat(this.caughtUp).isZero();
+		assertThat(this.caughtUpCount).isZero();
 		answer(2, 2, settled("r2"));
-		assertThat(this.caughtUp).isEqualTo(1);
-		assertThat(this.read).hasSize(2);
-		assertThat(this.store.reads).containsExactly(0L, 1L);
+		assertThat(this.caughtUpCount).isEqualTo(1);
+		assertThat(this.entries).hasSize(2);
+		assertThat(this.store.readOffsets).containsExactly(0L, 1L);
 	}
 
-	// The links to most other relays are down, so only the log tells what they give to
-	// programs. It is read often then, and seldom while the links tell the same sooner.
+	// While most links are down, the log is the only source of other relays' entries and
+	// must be polled more often.
 	@Test
-	void logIsReadOftenWhileMostLinksAreDown() {
+	void logIsPolledMoreOftenWhileIsolated() {
 		this.reader.read();
 		answer(0, 0);
-		this.store.pass(100);
-		assertThat(this.store.reads).hasSize(1);
-		this.store.pass(400);
-		assertThat(this.store.reads).hasSize(2);
-		this.alone = true;
+		this.store.advance(100);
+		assertThat(this.store.readOffsets).hasSize(1);
+		this.store.advance(400);
+		assertThat(this.store.readOffsets).hasSize(2);
+		this.isolated = true;
 		answer(0, 0);
-		this.store.pass(100);
-		assertThat(this.store.reads).hasSize(3);
+		this.store.advance(100);
+		assertThat(this.store.readOffsets).hasSize(3);
 	}
 
-	// A read was under way when the process fell asleep, and its answer is as old as
-	// that. Only a read that began after the process woke tells what happened meanwhile.
+	// The response to a read that began before a pause may be as old as the pause. Only a
+	// later read may complete a catch-up.
 	@Test
-	void readFromBeforeASleepDoesNotCatchUp() {
+	void readBeforeAPauseDoesNotCompleteCatchUp() {
 		this.reader.read();
 		answer(0, 0);
-		this.store.pass(500);
+		this.store.advance(500);
 		this.reader.catchUp();
 		answer(0, 0);
-		assertThat(this.caughtUp).isEqualTo(1);
+		assertThat(this.caughtUpCount).isEqualTo(1);
 		answer(1, 1, settled("r1"));
-		assertThat(this.caughtUp).isEqualTo(2);
+		assertThat(this.caughtUpCount).isEqualTo(2);
 	}
 
-	// All relays were lost in an outage of eight seconds, and one of them started sooner
-	// than this one. It has written by now, so the newest entry is new; taken for all,
-	// this
-	// one would believe that nothing was given without the log, and give it once more.
+	// All relays were lost in an outage, and others restarted before this one. Their
+	// recent entries must not hide the outage, or budgets granted during it would be
+	// granted again.
 	@Test
-	void outageBeforeTheLossOfAllShowsThoughOthersHaveWrittenSince() {
+	void idleTimeIncludesAnOutageBeforeRecentWrites() {
 		this.reader.read();
 		long now = this.store.wallClockMillis();
 		answer(1, 3, List.of(written("r1", now - 9_000)));
 		answer(3, 3, List.of(written("r2", now - 500), written("r3", now - 100)));
-		assertThat(this.age).contains(Duration.ofMillis(8_500));
+		assertThat(this.idle).contains(Duration.ofMillis(8_500));
 	}
 
-	// The store was away for five seconds and back for a moment when all relays were
-	// lost.
-	// One of them had written what had waited; what the others held is in no log. Nothing
-	// in
-	// the times of the entries shows it but how long they waited.
+	// The outage ended just before all relays were lost, and only one of them had
+	// appended its queued entries. Only their append delays show the outage.
 	@Test
-	void outageThatEndedJustBeforeTheLossOfAllShows() {
+	void idleTimeIncludesAnOutageThatJustEnded() {
 		this.reader.read();
 		long now = this.store.wallClockMillis();
-		answer(3, 3,
-				List.of(written("r1", now - 6_500), late("r2", now - 6_200, 4_700), late("r3", now - 3_000, 1_500)));
-		assertThat(this.age).contains(Duration.ofMillis(4_700));
+		answer(3, 3, List.of(written("r1", now - 6_500), delayed("r2", now - 6_200, 4_700),
+				delayed("r3", now - 3_000, 1_500)));
+		assertThat(this.idle).contains(Duration.ofMillis(4_700));
 	}
 
 	@Test
-	void outageAfterWhichAllHaveWrittenDoesNotCount() {
+	void idleTimeExcludesAnOutageAfterTheBacklogWasFlushed() {
 		this.reader.read();
 		long now = this.store.wallClockMillis();
-		answer(5, 5, List.of(written("r1", now - 9_000), late("r2", now - 8_000, 4_000), written("r3", now - 5_900),
+		answer(5, 5, List.of(written("r1", now - 9_000), delayed("r2", now - 8_000, 4_000), written("r3", now - 5_900),
 				written("r4", now - 3_600), written("r5", now - 1_900)));
-		assertThat(this.age).contains(Duration.ofMillis(2_300));
+		assertThat(this.idle).contains(Duration.ofMillis(2_300));
 	}
 
 	@Test
-	void ageOfALogThatWasWrittenToAllTheTimeIsThatOfItsNewestEntry() {
+	void idleTimeOfAnActiveLogIsTheAgeOfItsLatestEntry() {
 		this.reader.read();
 		long now = this.store.wallClockMillis();
 		answer(2, 2, List.of(written("r1", now - 900), written("r2", now - 700)));
-		assertThat(this.age).contains(Duration.ofMillis(700));
+		assertThat(this.idle).contains(Duration.ofMillis(700));
 	}
 
 	@Test
 	void deletedEntriesAreSkipped() {
 		this.reader.read();
-		this.store.readAnswers.poll().accept(new Store.ReadResult.Deleted(7));
-		assertThat(this.store.reads).containsExactly(0L, 7L);
+		this.store.readCallbacks.poll().accept(new Store.ReadResult.Deleted(7));
+		assertThat(this.store.readOffsets).containsExactly(0L, 7L);
 	}
 
 	@Test
-	void failedReadIsMadeAgainAfterAPause() {
+	void failedReadIsRetriedAfterADelay() {
 		this.reader.read();
-		this.store.readAnswers.poll().accept(new Store.ReadResult.Failed("no answer"));
-		assertThat(this.store.reads).hasSize(1);
-		this.store.pass(1000);
-		assertThat(this.store.reads).containsExactly(0L, 0L);
+		this.store.readCallbacks.poll().accept(new Store.ReadResult.Failed("no answer"));
+		assertThat(this.store.readOffsets).hasSize(1);
+		this.store.advance(1000);
+		assertThat(this.store.readOffsets).containsExactly(0L, 0L);
 	}
 
-	private void answer(long next, long end, LedgerEntry... entries) {
-		answer(next, end, Stream.of(entries).map(RelayCodec::encode).toList());
+	private void answer(long nextOffset, long endOffset, LedgerEntry... entries) {
+		answer(nextOffset, endOffset, Stream.of(entries).map(RelayCodec::encode).toList());
 	}
 
-	private void answer(long next, long end, List<byte[]> entries) {
+	private void answer(long nextOffset, long endOffset, List<byte[]> entries) {
 		List<Store.StoredRecord> records = new ArrayList<>();
 		for (byte[] entry : entries) {
-			records.add(new Store.StoredRecord(next - 1, Optional.empty(), Optional.of(entry)));
+			records.add(new Store.StoredRecord(nextOffset - 1, Optional.empty(), Optional.of(entry)));
 		}
-		this.store.readAnswers.poll().accept(new Store.ReadResult.Records(records, next, end));
+		this.store.readCallbacks.poll().accept(new Store.ReadResult.Records(records, nextOffset, endOffset));
 	}
 
-	private static byte[] written(String request, long at) {
-		return RelayCodec.encode(settled(request), at);
+	private static byte[] written(String request, long writtenAt) {
+		return RelayCodec.encode(settled(request), writtenAt);
 	}
 
-	private static byte[] late(String request, long at, long milliseconds) {
-		return RelayCodec.withAppendDelay(written(request, at), Duration.ofMillis(milliseconds));
+	private static byte[] delayed(String request, long writtenAt, long delayMillis) {
+		return RelayCodec.withAppendDelay(written(request, writtenAt), Duration.ofMillis(delayMillis));
 	}
 
 	private static LedgerEntry settled(String request) {
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/FakeStore.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/FakeStore.java
@@ -9,33 +9,33 @@
 import java.util.function.Consumer;
 
 /**
- * A store whose answers the test gives, and a clock that the test moves. Used by one
- * thread.
+ * Store and timers controlled by the test: the test completes calls and advances the
+ * clock. Used by one thread.
  */
 final class FakeStore implements Store, Timers {
 
-	private static final long FIRST_TIME_OF_DAY = 1_790_000_000_000L;
+	private static final long INITIAL_WALL_CLOCK_MILLIS = 1_790_000_000_000L;
 
 	final List<List<byte[]>> appends = new ArrayList<>();
 
-	final Deque<Consumer<AppendResult>> appendAnswers = new ArrayDeque<>();
+	final Deque<Consumer<AppendResult>> appendCallbacks = new ArrayDeque<>();
 
-	final List<Long> reads = new ArrayList<>();
+	final List<Long> readOffsets = new ArrayList<>();
 
-	final List<Integer> textBytes = new ArrayList<>();
+	final List<Integer> textReadBytes = new ArrayList<>();
 
-	final Deque<Consumer<ReadResult>> readAnswers = new ArrayDeque<>();
+	final Deque<Consumer<ReadResult>> readCallbacks = new ArrayDeque<>();
 
-	final Deque<Consumer<LatestResult>> newestAnswers = new ArrayDeque<>();
+	final Deque<Consumer<LatestResult>> latestCallbacks = new ArrayDeque<>();
 
-	private final List<Step> steps = new ArrayList<>();
+	private final List<Task> tasks = new ArrayList<>();
 
 	private long now;
 
 	@Override
 	public void append(Topic topic, List<byte[]> records, Consumer<AppendResult> callback) {
 		this.appends.add(records);
-		this.appendAnswers.add(callback);
+		this.appendCallbacks.add(callback);
 	}
 
 	@Override
@@ -45,34 +45,34 @@
 
 	@Override
 	public void readTexts(int partition, long from, int maxBytes, Consumer<ReadResult> callback) {
-		this.textBytes.add(maxBytes);
+		this.textReadBytes.add(maxBytes);
 		read(Topic.TEXTS, from, Duration.ZERO, callback);
 	}
 
 	@Override
 	public void put(Topic topic, String key, Optional<byte[]> value, Consumer<AppendResult> callback) {
-		this.appendAnswers.add(callback);
+		this.appendCallbacks.add(callback);
 	}
 
 	@Override
 	public void read(Topic topic, long from, Duration maxWait, Consumer<ReadResult> callback) {
-		this.reads.add(from);
-		this.readAnswers.add(callback);
+		this.readOffsets.add(from);
+		this.readCallbacks.add(callback);
 	}
 
 	@Override
 	public void readLatest(Topic topic, Consumer<LatestResult> callback) {
-		this.newestAnswers.add(callback);
+		this.latestCallbacks.add(callback);
 	}
 
 	@Override
-	public void schedule(Duration delay, Runnable step) {
-		this.steps.add(new Step(this.now + delay.toMillis(), step));
+	public void schedule(Duration delay, Runnable task) {
+		this.tasks.add(new Task(this.now + delay.toMillis(), task));
 	}
 
 	@Override
 	public long wallClockMillis() {
-		return FIRST_TIME_OF_DAY + now();
+		return INITIAL_WALL_CLOCK_MILLIS + now();
 	}
 
 	@Override
@@ -80,20 +80,20 @@
 		return this.now;
 	}
 
-	void pass(long milliseconds) {
+	void advance(long milliseconds) {
 		this.now += milliseconds;
-		List<Step> due = this.steps.stream().filter((step) -> step.at() <= this.now).toList();
-		this.steps.removeAll(due);
-		due.forEach((step) -> step.run().run());
+		List<Task> due = this.tasks.stream().filter((task) -> task.at() <= this.now).toList();
+		this.tasks.removeAll(due);
+		due.forEach((task) -> task.run().run());
 	}
 
 	/**
-	 * A step that waits for its time. Immutable.
+	 * A scheduled task. Immutable.
 	 *
-	 * @param at when
-	 * @param run the step
+	 * @param at when to run it
+	 * @param run the task
 	 */
-	private record Step(long at, Runnable run) {
+	private record Task(long at, Runnable run) {
 
 	}
 
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/MeteredStoreTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/MeteredStoreTests.java
@@ -19,42 +19,42 @@
 
 	private final TrafficCounter traffic = new TrafficCounter();
 
-	private final MeteredStore counted = new MeteredStore(this.store, this.traffic);
+	private final MeteredStore metered = new MeteredStore(this.store, this.traffic);
 
-	private final List<Object> answers = new ArrayList<>();
+	private final List<Object> results = new ArrayList<>();
 
-	// The answer to an append is lost and the append made again: the link to the store
-	// carried the records twice, whatever the store made of them.
+	// An append that is retried after a lost response is sent twice and must be counted
+	// twice.
 	@Test
-	void appendIsCountedWhateverBecomesOfIt() {
+	void appendIsCountedWhateverItsResult() {
 		List<byte[]> records = List.of(new byte[10], new byte[5]);
 		Store.AppendResult lost = new Store.AppendResult.Unknown("no answer");
-		this.counted.append(Topic.ENTRIES, records, this.answers::add);
-		this.store.appendAnswers.poll().accept(lost);
-		this.counted.append(Topic.ENTRIES, records, this.answers::add);
-		this.counted.put(Topic.RELAYS, "key", Optional.of(new byte[1]), this.answers::add);
-		this.counted.put(Topic.RELAYS, "key", Optional.empty(), this.answers::add);
+		this.metered.append(Topic.ENTRIES, records, this.results::add);
+		this.store.appendCallbacks.poll().accept(lost);
+		this.metered.append(Topic.ENTRIES, records, this.results::add);
+		this.metered.put(Topic.RELAYS, "key", Optional.of(new byte[1]), this.results::add);
+		this.metered.put(Topic.RELAYS, "key", Optional.empty(), this.results::add);
 		assertThat(published()).contains(new RelayTraffic(Kind.STORE_APPENDED, 31, 6),
 				new RelayTraffic(Kind.STORE_READ, 0, 0));
-		assertThat(this.answers).containsExactly(lost);
+		assertThat(this.results).containsExactly(lost);
 		assertThat(this.store.appends).containsExactly(records, records);
 	}
 
 	@Test
-	void recordsOfAnswersAreCountedAndPassedOn() {
+	void recordsReadAreCountedAndForwarded() {
 		Store.ReadResult read = new Store.ReadResult.Records(List.of(stored(3), stored(4)), 2, 2);
 		Store.ReadResult failed = new Store.ReadResult.Failed("away");
 		Store.LatestResult newest = new Store.LatestResult.Records(List.of(stored(5)), 3);
-		this.counted.read(Topic.ENTRIES, 0, Duration.ZERO, this.answers::add);
-		this.counted.read(Topic.ENTRIES, 2, Duration.ZERO, this.answers::add);
-		this.counted.readLatest(Topic.RELAYS, this.answers::add);
-		this.store.readAnswers.poll().accept(read);
-		this.store.readAnswers.poll().accept(failed);
-		this.store.newestAnswers.poll().accept(newest);
+		this.metered.read(Topic.ENTRIES, 0, Duration.ZERO, this.results::add);
+		this.metered.read(Topic.ENTRIES, 2, Duration.ZERO, this.results::add);
+		this.metered.readLatest(Topic.RELAYS, this.results::add);
+		this.store.readCallbacks.poll().accept(read);
+		this.store.readCallbacks.poll().accept(failed);
+		this.store.latestCallbacks.poll().accept(newest);
 		assertThat(published()).contains(new RelayTraffic(Kind.STORE_READ, 12, 3),
 				new RelayTraffic(Kind.STORE_APPENDED, 0, 0));
-		assertThat(this.answers).containsExactly(read, failed, newest);
-		assertThat(this.store.reads).containsExactly(0L, 2L);
+		assertThat(this.results).containsExactly(read, failed, newest);
+		assertThat(this.store.readOffsets).containsExactly(0L, 2L);
 	}
 
 	private static Store.StoredRecord stored(int bytes) {
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextReaderTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextReaderTests.java
@@ -18,103 +18,102 @@
 
 	private final FakeStore store = new FakeStore();
 
-	private final List<Optional<String>> found = new ArrayList<>();
+	private final List<Optional<String>> results = new ArrayList<>();
 
 	private final TextReader reader = new TextReader(this.store);
 
 	@Test
-	void textIsFoundWhereItIsSaidToBe() {
-		read(place(5));
-		assertThat(this.store.reads).containsExactly(5L);
-		this.store.readAnswers.poll().accept(records(5, 6, "t"));
-		assertThat(this.found).containsExactly(Optional.of("text of t"));
+	void textIsFoundAtItsLocation() {
+		read(location(5));
+		assertThat(this.store.readOffsets).containsExactly(5L);
+		this.store.readCallbacks.poll().accept(records(5, 6, "t"));
+		assertThat(this.results).containsExactly(Optional.of("text of t"));
 	}
 
-	// Two relays share a partition, and another one's texts came in between.
+	// Relays share partitions, so another relay's texts may precede the one searched for.
 	@Test
-	void textIsLookedForBehindWhatOthersWrote() {
-		read(place(5));
-		this.store.readAnswers.poll().accept(records(5, 9, "a", "b"));
-		assertThat(this.store.reads).containsExactly(5L, 7L);
-		this.store.readAnswers.poll().accept(records(7, 9, "t", "c"));
-		assertThat(this.found).containsExactly(Optional.of("text of t"));
+	void textIsFoundBehindTextsOfOtherRelays() {
+		read(location(5));
+		this.store.readCallbacks.poll().accept(records(5, 9, "a", "b"));
+		assertThat(this.store.readOffsets).containsExactly(5L, 7L);
+		this.store.readCallbacks.poll().accept(records(7, 9, "t", "c"));
+		assertThat(this.results).containsExactly(Optional.of("text of t"));
 	}
 
-	// A relay told where its text would be and could not write it there, and another one
-	// wrote it for it.
+	// A relay may publish a location, fail to write the text there, and have another
+	// relay write it.
 	@Test
-	void textIsLookedForAtTheNextPlaceWhereTheFirstHasIt() {
-		read(place(5), place(50));
-		this.store.readAnswers.poll().accept(records(5, 6, "a"));
-		this.store.readAnswers.poll().accept(records(50, 51, "t"));
-		assertThat(this.found).containsExactly(Optional.of("text of t"));
+	void textIsFoundAtTheSecondLocation() {
+		read(location(5), location(50));
+		this.store.readCallbacks.poll().accept(records(5, 6, "a"));
+		this.store.readCallbacks.poll().accept(records(50, 51, "t"));
+		assertThat(this.results).containsExactly(Optional.of("text of t"));
 	}
 
-	// The store was away for seconds. All texts that waited for it were told to stand
-	// where
-	// their partition had ended before, so the last one stands far behind that.
+	// After an outage all queued texts are appended behind the location published for
+	// them, so the last one is far behind it.
 	@Test
-	void textIsLookedForBehindAllThatWaitedForTheStore() {
-		read(place(5));
-		while (!this.store.readAnswers.isEmpty()) {
-			this.store.readAnswers.poll().accept(records(5, 1000, "other"));
+	void searchCoversTheBacklogOfAnOutage() {
+		read(location(5));
+		while (!this.store.readCallbacks.isEmpty()) {
+			this.store.readCallbacks.poll().accept(records(5, 1000, "other"));
 		}
-		assertThat(this.store.textBytes.stream().mapToInt(Integer::intValue).sum()).isGreaterThan(4_000_000);
+		assertThat(this.store.textReadBytes.stream().mapToInt(Integer::intValue).sum()).isGreaterThan(4_000_000);
 	}
 
 	@Test
-	void textThatIsNowhereIsToldAsNotFoundAfterABoundedNumberOfCalls() {
-		read(place(0));
+	void missingTextIsReportedAfterABoundedNumberOfCalls() {
+		read(location(0));
 		int calls = 0;
-		while (!this.store.readAnswers.isEmpty()) {
-			this.store.readAnswers.poll().accept(records(calls, 1000, "other"));
+		while (!this.store.readCallbacks.isEmpty()) {
+			this.store.readCallbacks.poll().accept(records(calls, 1000, "other"));
 			calls++;
 		}
-		assertThat(this.found).containsExactly(Optional.empty());
+		assertThat(this.results).containsExactly(Optional.empty());
 		assertThat(calls).isLessThan(10);
 	}
 
-	// A relay has kept no turn for some seconds, and one that shares its partition has
-	// kept sixty. Its next text stands behind them all, and its caller has seen the end:
-	// the text must be found, with as many bytes a call as the reader asks for.
+	// Another relay of the same partition wrote sixty texts since the published location.
+	// The text behind them must still be found.
 	@Test
-	void textIsFoundBehindWhatAnotherRelayWroteInSeconds() {
+	void textIsFoundBehindManyTextsOfAnotherRelay() {
 		int size = 4096;
 		int others = 60;
 		read(new TextLocation(Optional.empty(), size, 3, 5));
-		while (!this.store.readAnswers.isEmpty()) {
-			int next = this.store.reads.getLast().intValue() - 5;
-			int most = Math.max(1, this.store.textBytes.getLast() / size);
+		while (!this.store.readCallbacks.isEmpty()) {
+			int next = this.store.readOffsets.getLast().intValue() - 5;
+			int most = Math.max(1, this.store.textReadBytes.getLast() / size);
 			String[] turns = IntStream.range(next, Math.min(next + most, others + 1))
 				.mapToObj((turn) -> (turn < others) ? "other" : "t")
 				.toArray(String[]::new);
-			this.store.readAnswers.poll().accept(records(5 + next, 5 + others + 1, turns));
+			this.store.readCallbacks.poll().accept(records(5 + next, 5 + others + 1, turns));
 		}
-		assertThat(this.found).containsExactly(Optional.of("text of t"));
+		assertThat(this.results).containsExactly(Optional.of("text of t"));
 	}
 
 	@Test
-	void recordsThatAreNoTextsArePassedOver() {
-		read(place(5));
+	void undecodableRecordsAreSkipped() {
+		read(location(5));
 		StoredRecord unreadable = new StoredRecord(5, Optional.empty(), Optional.of(new byte[] { 1 }));
 		StoredRecord empty = new StoredRecord(6, Optional.empty(), Optional.empty());
-		this.store.readAnswers.poll().accept(new Store.ReadResult.Records(List.of(unreadable, empty), 7, 8));
-		this.store.readAnswers.poll().accept(records(7, 8, "t"));
-		assertThat(this.found).containsExactly(Optional.of("text of t"));
+		this.store.readCallbacks.poll().accept(new Store.ReadResult.Records(List.of(unreadable, empty), 7, 8));
+		this.store.readCallbacks.poll().accept(records(7, 8, "t"));
+		assertThat(this.results).containsExactly(Optional.of("text of t"));
 	}
 
 	@Test
-	void failureOfTheStoreIsToldAsNotFound() {
-		read(place(5));
-		this.store.readAnswers.poll().accept(new Store.ReadResult.Failed("status 503"));
-		assertThat(this.found).containsExactly(Optional.empty());
+	void failedReadIsReportedAsNotFound() {
+		read(location(5));
+		this.store.readCallbacks.poll().accept(new Store.ReadResult.Failed("status 503"));
+		assertThat(this.results).containsExactly(Optional.empty());
 	}
 
-	private void read(TextLocation... places) {
-		this.reader.read("t", List.of(places), (text) -> this.found.add(text.map((kept) -> new String(kept.output()))));
+	private void read(TextLocation... locations) {
+		this.reader.read("t", List.of(locations),
+				(text) -> this.results.add(text.map((turn) -> new String(turn.output()))));
 	}
 
-	private static TextLocation place(long from) {
+	private static TextLocation location(long from) {
 		return new TextLocation(Optional.empty(), 9, 3, from);
 	}
 
