--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -81,7 +81,7 @@
 		this.state = state;
 		this.ends = ends;
 		this.admitted = admitted;
-		this.buckets = new TeamBuckets(state.tolerance);
+		this.buckets = new TeamBuckets(state.quotaTolerance);
 	}
 
 	/**
@@ -183,11 +183,11 @@
 	}
 
 	private List<String> counting(String team) {
-		return this.state.keepers.known() ? this.state.keepers.of(team) : List.of(this.state.name);
+		return this.state.replicas.hasMembers() ? this.state.replicas.replicasOf(team) : List.of(this.state.name);
 	}
 
 	private Optional<Quota> quota(String team) {
-		return this.state.table.flatMap(RouteTable::teams)
+		return this.state.routeTable.flatMap(RouteTable::teams)
 			.flatMap((teams) -> teams.findByName(team))
 			.flatMap(Team::quota);
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/SiteRules.java
@@ -32,8 +32,8 @@
 		if (!this.state.ledgerComplete && this.state.caughtUp) {
 			lookWhetherComplete();
 		}
-		boolean now = this.state.table.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
-				&& this.state.membershipKnown() && this.state.reach != Connectivity.NOTHING
+		boolean now = this.state.routeTable.isPresent() && this.state.upstreams.initialized() && this.state.caughtUp
+				&& this.state.membershipKnown() && this.state.connectivity != Connectivity.NOTHING
 				&& this.state.textEndOffset >= 0;
 		if (now != this.state.ready) {
 			this.state.ready = now;
@@ -51,7 +51,7 @@
 			complete();
 			return;
 		}
-		Duration longest = this.state.table.stream()
+		Duration longest = this.state.routeTable.stream()
 			.flatMap((table) -> table.routes().stream())
 			.map(Route::retention)
 			.max(Duration::compareTo)
@@ -62,10 +62,10 @@
 	}
 
 	void routeTableUpdated(RouteTable read) {
-		if (this.state.table.isPresent() && this.state.table.get().version() >= read.version()) {
+		if (this.state.routeTable.isPresent() && this.state.routeTable.get().version() >= read.version()) {
 			return;
 		}
-		this.state.table = Optional.of(read);
+		this.state.routeTable = Optional.of(read);
 		this.state.emit(new RelayEffect.ApplyLimits(read.limits()));
 		this.state.report(RelayNotices.routesAccepted(read));
 	}
@@ -114,7 +114,7 @@
 	void processResumed(Duration slept) {
 		this.state.report(RelayNotices.processResumed(slept));
 		if (this.state.caughtUp) {
-			this.state.stale = true;
+			this.state.logStale = true;
 			this.state.emit(new RelayEffect.CatchUp());
 		}
 	}
@@ -134,11 +134,11 @@
 	 * @param peer the other relay
 	 */
 	void sendSync(String peer) {
-		List<LedgerEntry> entries = this.state.unlogged.all();
-		if (this.state.keepers.knows(peer)) {
+		List<LedgerEntry> entries = this.state.uncommitted.all();
+		if (this.state.replicas.contains(peer)) {
 			entries = entries.stream()
-				.filter((entry) -> entry.ofProgram()
-					.filter((program) -> this.state.keepers.of(program).contains(peer))
+				.filter((entry) -> entry.findProgram()
+					.filter((program) -> this.state.replicas.replicasOf(program).contains(peer))
 					.isPresent())
 				.toList();
 		}
@@ -182,11 +182,11 @@
 	 * @param reach what it reaches
 	 */
 	void connectivityChanged(Connectivity reach) {
-		this.state.reach = reach;
+		this.state.connectivity = reach;
 		this.state.report(RelayNotices.connectivityChanged(reach));
 		if (reach != Connectivity.LOG) {
-			List.copyOf(this.state.contending.values())
-				.forEach((number) -> this.budgets.orderDue(this.state.exchanges.get(number)));
+			List.copyOf(this.state.conditionalReservations.values())
+				.forEach((number) -> this.budgets.decisionTimedOut(this.state.exchanges.get(number)));
 		}
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
@@ -156,8 +156,9 @@
 		this.peers = new Peers(this.loop, new PeerEvents(), this.timers, this.traffic);
 		this.connectivityMonitor = new ConnectivityMonitor(this.timers, this.peers, this::on);
 		DroppedEntryReporter dropReporter = new DroppedEntryReporter(this.timers, this.notices, setup.measurements());
-		this.writer = new EntryWriter(this.store, this.timers, this.random, this::turnsStored, this::contendersStored,
-				this.connectivityMonitor::storeCallCompleted, dropReporter::recordDropped);
+		this.writer = new EntryWriter(this.store, this.timers, this.random, this::turnsStored,
+				this::conditionalReservationsStored, this.connectivityMonitor::storeCallCompleted,
+				dropReporter::recordDropped);
 		this.reader = new EntryReader(this.store, this.timers, this.random, this::entriesRead, this::caughtUp,
 				this.connectivityMonitor::storeCallCompleted, this.connectivityMonitor::isolated);
 		this.textWriter = new TextWriter(this.store, this.timers, this.random, setup.settings().textPartition(),
@@ -382,7 +383,7 @@
 		on(new RelayEvent.EntriesReceived(this.timers.now(), entries, Optional.empty()));
 	}
 
-	private void contendersStored() {
+	private void conditionalReservationsStored() {
 		this.reader.read();
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
@@ -41,7 +41,7 @@
 
 	private final Consumer<Set<String>> turnsStored;
 
-	private final Runnable contendersStored;
+	private final Runnable conditionalReservationsStored;
 
 	private final AppendQueue<LedgerEntry> queue;
 
@@ -53,15 +53,16 @@
 	 * @param timers schedules appends
 	 * @param random the source of retry jitter
 	 * @param turnsStored receives the stored turns whose settlements were acknowledged
-	 * @param contendersStored runs when contending reservations were acknowledged
+	 * @param conditionalReservationsStored runs when conditional reservations were
+	 * acknowledged
 	 * @param callListener receives whether each call to the store succeeded
 	 * @param dropListener receives the number of entries whenever some are dropped
 	 */
 	public EntryWriter(Store store, Timers timers, RandomGenerator random, Consumer<Set<String>> turnsStored,
-			Runnable contendersStored, Consumer<Boolean> callListener, IntConsumer dropListener) {
+			Runnable conditionalReservationsStored, Consumer<Boolean> callListener, IntConsumer dropListener) {
 		this.timers = timers;
 		this.turnsStored = turnsStored;
-		this.contendersStored = contendersStored;
+		this.conditionalReservationsStored = conditionalReservationsStored;
 		this.queue = new AppendQueue<>((records, callback) -> store.append(Topic.ENTRIES, records, callback),
 				EntryWriter::stampDelay, timers, random, MAX_QUEUED_BYTES,
 				(entries, offset, latency) -> stored(entries), callListener, dropListener);
@@ -105,9 +106,9 @@
 
 	private static boolean needsImmediateFlush(LedgerEntry entry) {
 		return switch (entry) {
-			case LedgerEntry.Reserved reserved -> reserved.contending();
-			case LedgerEntry.Settled settled -> settled.text().isPresent();
-			case LedgerEntry.Blamed ignored -> false;
+			case LedgerEntry.Reserved reserved -> reserved.conditional();
+			case LedgerEntry.Settled settled -> settled.textLocation().isPresent();
+			case LedgerEntry.UpstreamFailed ignored -> false;
 		};
 	}
 
@@ -123,11 +124,12 @@
 
 	private void stored(List<LedgerEntry> entries) {
 		Set<String> turns = new HashSet<>();
-		boolean contenders = false;
+		boolean conditionalReservations = false;
 		for (LedgerEntry written : entries) {
 			switch (written) {
-				case LedgerEntry.Settled settled when settled.text().isPresent() -> turns.add(settled.request());
-				case LedgerEntry.Reserved reserved when reserved.contending() -> contenders = true;
+				case LedgerEntry.Settled settled when settled.textLocation().isPresent() ->
+					turns.add(settled.request());
+				case LedgerEntry.Reserved reserved when reserved.conditional() -> conditionalReservations = true;
 				default -> {
 				}
 			}
@@ -135,8 +137,8 @@
 		if (!turns.isEmpty()) {
 			this.turnsStored.accept(turns);
 		}
-		if (contenders) {
-			this.contendersStored.run();
+		if (conditionalReservations) {
+			this.conditionalReservationsStored.run();
 		}
 	}
 
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryWriterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryWriterTests.java
@@ -25,10 +25,10 @@
 
 	private final List<Integer> dropped = new ArrayList<>();
 
-	private int contenders;
+	private int conditionalReservations;
 
 	private final EntryWriter writer = new EntryWriter(this.store, this.store, new SplittableRandom(1),
-			this.storedTurns::addAll, () -> this.contenders++, (succeeded) -> {
+			this.storedTurns::addAll, () -> this.conditionalReservations++, (succeeded) -> {
 			}, this.dropped::add);
 
 	@Test
@@ -63,10 +63,10 @@
 	}
 
 	@Test
-	void storedContendingReservationIsReported() {
+	void storedConditionalReservationIsReported() {
 		this.writer.write(new LedgerEntry.Reserved("a", "p", 9, "", List.of(), true));
 		this.store.appendCallbacks.poll().accept(new Store.AppendResult.Success(0));
-		assertThat(this.contenders).isEqualTo(1);
+		assertThat(this.conditionalReservations).isEqualTo(1);
 		assertThat(this.storedTurns).isEmpty();
 	}
 
