--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
@@ -7,11 +7,11 @@
 import java.util.Optional;
 import java.util.zip.CRC32C;
 
-import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.core.relay.RelayEffect;
 import io.lentilslip.core.relay.RelayEvent;
 import io.lentilslip.core.relay.RelayEvent.FailureCause;
 import io.lentilslip.core.relay.RequestHead;
+import io.lentilslip.core.relay.ResponseHead;
 import io.lentilslip.relay.http.CallerConnection;
 import io.lentilslip.relay.http.CallerListener;
 import io.lentilslip.relay.http.Dialect;
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/StoreDecoder.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/StoreDecoder.java
@@ -1,9 +1,9 @@
 package io.lentilslip.relay.process;
 
-import io.lentilslip.core.relay.UpstreamRecordError;
 import io.lentilslip.core.relay.RouteTable;
 import io.lentilslip.core.relay.RouteTableError;
 import io.lentilslip.core.relay.Upstream;
+import io.lentilslip.core.relay.UpstreamRecordError;
 import io.vavr.control.Either;
 
 /**
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryReader.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryReader.java
@@ -11,8 +11,8 @@
 
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.wire.relay.DecodedEntry;
-import io.lentilslip.wire.relay.RelayCodec;
 import io.lentilslip.wire.relay.EntryTimestamp;
+import io.lentilslip.wire.relay.RelayCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PeerMessage.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/PeerMessage.java
@@ -5,8 +5,8 @@
 
 import io.lentilslip.core.quota.PermitReply;
 import io.lentilslip.core.quota.PermitRequest;
-import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.LedgerEntry;
+import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.core.relay.UpstreamLoad;
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/relay/RelayCodec.java
@@ -9,12 +9,12 @@
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
-import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.core.relay.Member;
-import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.PromptPart;
+import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.TextLocation;
+import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.core.relay.UpstreamLoad;
 import io.lentilslip.wire.generated.RelayProtocol;
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayCodecTests.java
@@ -8,12 +8,12 @@
 import io.lentilslip.core.quota.PermitReply;
 import io.lentilslip.core.quota.PermitRequest;
 import io.lentilslip.core.quota.Quota;
-import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.core.relay.Member;
-import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.PromptPart;
+import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.TextLocation;
+import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.core.relay.UpstreamLoad;
 import net.jqwik.api.ForAll;
@@ -26,9 +26,9 @@
 class RelayCodecTests {
 
 	@Property(tries = 200)
-	void reservationsRoundTrip(@ForAll int tokens, @ForAll long part, @ForAll boolean contending) {
-		LedgerEntry entry = new LedgerEntry.Reserved("r", "p", tokens, contending ? "" : "u",
-				List.of(new PromptPart(part, 7)), contending);
+	void reservationsRoundTrip(@ForAll int tokens, @ForAll long part, @ForAll boolean conditional) {
+		LedgerEntry entry = new LedgerEntry.Reserved("r", "p", tokens, conditional ? "" : "u",
+				List.of(new PromptPart(part, 7)), conditional);
 		assertThat(RelayCodec.decodeEntry(RelayCodec.encode(entry)).entry().get()).isEqualTo(entry);
 	}
 
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/relay/RelayFuzzTests.java
@@ -8,12 +8,12 @@
 import java.util.Random;
 import java.util.Set;
 
-import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.LedgerEntry;
 import io.lentilslip.core.relay.Member;
-import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.PromptPart;
+import io.lentilslip.core.relay.StoredTurn;
 import io.lentilslip.core.relay.TextLocation;
+import io.lentilslip.core.relay.TurnLocation;
 import io.lentilslip.core.relay.TurnText;
 import io.lentilslip.core.relay.UpstreamLoad;
 import org.junit.jupiter.api.Test;
