--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
@@ -85,8 +85,8 @@
 			case RelayEffect.CancelAttempt cancel -> this.upstreams.cancel(cancel.exchange(), cancel.attempt());
 			case RelayEffect.SendResponse response -> remove(response.exchange())
 				.ifPresent((exchange) -> exchange.connection().respond(response.head(), response.body()));
-			case RelayEffect.OpenStream open ->
-				find(open.exchange()).ifPresent((exchange) -> exchange.connection().startStream(open.head()));
+			case RelayEffect.OpenStream opening ->
+				find(opening.exchange()).ifPresent((exchange) -> exchange.connection().startStream(opening.head()));
 			case RelayEffect.ForwardStreamEvent event ->
 				find(event.exchange()).ifPresent((exchange) -> exchange.connection().writeContent(event.raw()));
 			case RelayEffect.EndStream end ->
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
@@ -312,7 +312,8 @@
 				this.peers.replicate(append.replicas(), append.entry());
 				this.writer.write(append.entry());
 			}
-			case RelayEffect.StoreText store -> this.textWriter.write(new TurnText(store.request(), store.text()));
+			case RelayEffect.StoreText storeText ->
+				this.textWriter.write(new TurnText(storeText.request(), storeText.text()));
 			case RelayEffect.ReadText read -> this.textReader.read(read.request(), read.locations(),
 					(text) -> on(new RelayEvent.TextRead(this.timers.now(), read.request(), text)));
 			case RelayEffect.RequestTextLocations request ->
