--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextReaderTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextReaderTests.java
@@ -82,8 +82,8 @@
 		read(new TextLocation(Optional.empty(), size, 3, 5));
 		while (!this.store.readCallbacks.isEmpty()) {
 			int next = this.store.readOffsets.getLast().intValue() - 5;
-			int most = Math.max(1, this.store.textReadBytes.getLast() / size);
-			String[] turns = IntStream.range(next, Math.min(next + most, others + 1))
+			int batch = Math.max(1, this.store.textReadBytes.getLast() / size);
+			String[] turns = IntStream.range(next, Math.min(next + batch, others + 1))
 				.mapToObj((turn) -> (turn < others) ? "other" : "t")
 				.toArray(String[]::new);
 			this.store.readCallbacks.poll().accept(records(5 + next, 5 + others + 1, turns));
