--- a/lentilslip-core/src/main/java/io/lentilslip/core/budget/Account.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/budget/Account.java
@@ -23,57 +23,57 @@
 	/**
 	 * The most calls that wait for a slice.
 	 */
-	public static final int MOST_WAITING = 1000;
+	public static final int MAX_WAITING_CALLS = 1000;
 
 	/**
 	 * How long tokens may lie unused before they go back.
 	 */
-	public static final Duration IDLE_TIME = Duration.ofSeconds(2);
+	public static final Duration IDLE_TIMEOUT = Duration.ofSeconds(2);
 
 	/**
 	 * How often the log is asked for tokens that are not there, while calls wait.
 	 */
-	public static final Duration ASKING_TIME = Duration.ofSeconds(1);
+	public static final Duration RETRY_INTERVAL = Duration.ofSeconds(1);
 
 	private final Duration period;
 
-	private final long index;
+	private final long periodIndex;
 
 	private final long available;
 
 	private final long overdraft;
 
-	private final long surplus;
+	private final long tokensToReturn;
 
-	private final Map<K, Held> held;
+	private final Map<K, Hold> held;
 
-	private final Queue<Wish<K>> waiting;
+	private final Queue<WaitingCall<K>> waiting;
 
 	private final long waitingTokens;
 
-	private final Optional<Question> underWay;
+	private final Optional<PendingRecord> inFlight;
 
 	private final Instant decided;
 
-	private final SliceSize size;
+	private final SliceSize sliceSize;
 
-	private final Instant used;
+	private final Instant lastUsedAt;
 
 	private final boolean exhausted;
 
 	private Account(Draft<K> draft) {
 		this.period = draft.period;
-		this.index = draft.index;
+		this.periodIndex = draft.periodIndex;
 		this.available = draft.available;
 		this.overdraft = draft.overdraft;
-		this.surplus = draft.surplus;
+		this.tokensToReturn = draft.tokensToReturn;
 		this.held = draft.held;
 		this.waiting = draft.waiting;
 		this.waitingTokens = draft.waitingTokens;
-		this.underWay = draft.underWay;
-		this.decided = draft.decided;
-		this.size = draft.size;
-		this.used = draft.used;
+		this.inFlight = draft.inFlight;
+		this.decided = draft.lastDecidedAt;
+		this.sliceSize = draft.sliceSize;
+		this.lastUsedAt = draft.lastUsedAt;
 		this.exhausted = draft.exhausted;
 	}
 
@@ -81,10 +81,10 @@
 	 * Returns an account that holds nothing.
 	 * @param <K> the type of what identifies a call
 	 * @param period the length of a period
-	 * @param index the number of the present period
+	 * @param periodIndex the number of the present period
 	 * @return an empty account
 	 */
-	public static <K> Account<K> in(Duration period, long index) {
+	public static <K> Account<K> create(Duration period, long index) {
 		return new Account<>(new Draft<>(period, index));
 	}
 
@@ -95,15 +95,15 @@
 	 * @param number the number of the period
 	 * @return the account, the same one unless the period is a later one
 	 */
-	public Account<K> at(Duration length, long number) {
-		if (length.equals(this.period) && number <= this.index) {
+	public Account<K> advanceTo(Duration length, long number) {
+		if (length.equals(this.period) && number <= this.periodIndex) {
 			return this;
 		}
 		Draft<K> draft = new Draft<>(this);
 		draft.period = length;
-		draft.index = number;
+		draft.periodIndex = number;
 		draft.available = 0;
-		draft.surplus = 0;
+		draft.tokensToReturn = 0;
 		draft.exhausted = false;
 		return new Account<>(draft);
 	}
@@ -113,7 +113,7 @@
 	 * @param tokens its estimate
 	 * @return whether the slices pay for it and no call waits before it
 	 */
-	public boolean mayRun(long tokens) {
+	public boolean canHold(long tokens) {
 		return this.waiting.isEmpty() && this.overdraft == 0 && this.available >= tokens;
 	}
 
@@ -124,11 +124,11 @@
 	 * @param now the time of this process
 	 * @return the account
 	 */
-	public Account<K> running(K call, long tokens, Instant now) {
+	public Account<K> hold(K call, long tokens, Instant now) {
 		Draft<K> draft = new Draft<>(this);
 		draft.available = this.available - tokens;
-		draft.held = this.held.put(call, new Held(tokens, this.period, this.index));
-		draft.used = now;
+		draft.held = this.held.put(call, new Hold(tokens, this.period, this.periodIndex));
+		draft.lastUsedAt = now;
 		return new Account<>(draft);
 	}
 
@@ -137,7 +137,7 @@
 	 * @return whether the bound is reached
 	 */
 	public boolean isFull() {
-		return this.waiting.size() >= MOST_WAITING;
+		return this.waiting.size() >= MAX_WAITING_CALLS;
 	}
 
 	/**
@@ -148,7 +148,7 @@
 	 */
 	public Account<K> waiting(K call, long tokens) {
 		Draft<K> draft = new Draft<>(this);
-		draft.waiting = this.waiting.enqueue(new Wish<>(call, tokens));
+		draft.waiting = this.waiting.enqueue(new WaitingCall<>(call, tokens));
 		draft.waitingTokens = this.waitingTokens + tokens;
 		return new Account<>(draft);
 	}
@@ -157,7 +157,7 @@
 	 * Returns the first waiting call if the slices pay for it.
 	 * @return the call, or an empty result
 	 */
-	public Optional<Wish<K>> ready() {
+	public Optional<WaitingCall<K>> nextReady() {
 		return this.waiting.headOption()
 			.filter((wish) -> this.overdraft == 0 && this.available >= wish.tokens())
 			.toJavaOptional();
@@ -167,7 +167,7 @@
 	 * Returns the calls that wait for a slice, in their order.
 	 * @return the calls
 	 */
-	public Queue<Wish<K>> waiting() {
+	public Queue<WaitingCall<K>> waiting() {
 		return this.waiting;
 	}
 
@@ -176,8 +176,8 @@
 	 * @param call the call
 	 * @return the tokens, 0 for a call that does not wait
 	 */
-	public long wantedFor(K call) {
-		return this.waiting.find((each) -> each.call().equals(call)).map(Wish::tokens).getOrElse(0L);
+	public long waitingTokensOf(K call) {
+		return this.waiting.find((each) -> each.call().equals(call)).map(WaitingCall::tokens).getOrElse(0L);
 	}
 
 	/**
@@ -185,8 +185,8 @@
 	 * @param call the call
 	 * @return the account
 	 */
-	public Account<K> withdrawn(K call) {
-		Optional<Wish<K>> wish = this.waiting.find((each) -> each.call().equals(call)).toJavaOptional();
+	public Account<K> removeWaiting(K call) {
+		Optional<WaitingCall<K>> wish = this.waiting.find((each) -> each.call().equals(call)).toJavaOptional();
 		if (wish.isEmpty()) {
 			return this;
 		}
@@ -202,7 +202,7 @@
 	 * @return the tokens, 0 for a call that does not run
 	 */
 	public long heldFor(K call) {
-		return this.held.get(call).map(Held::tokens).getOrElse(0L);
+		return this.held.get(call).map(Hold::tokens).getOrElse(0L);
 	}
 
 	/**
@@ -213,13 +213,13 @@
 	 * @param tokens the tokens that it took
 	 * @return the account
 	 */
-	public Account<K> settled(K call, long tokens) {
-		Optional<Held> ended = this.held.get(call).toJavaOptional();
+	public Account<K> settle(K call, long tokens) {
+		Optional<Hold> ended = this.held.get(call).toJavaOptional();
 		if (ended.isEmpty()) {
 			return this;
 		}
 		long rest = ended.get().tokens() - tokens;
-		boolean over = ended.get().index() != this.index || !ended.get().period().equals(this.period);
+		boolean over = ended.get().index() != this.periodIndex || !ended.get().period().equals(this.period);
 		Draft<K> draft = new Draft<>(this);
 		draft.held = this.held.remove(call);
 		draft.add((over) ? Math.min(0, rest) : rest);
@@ -234,15 +234,15 @@
 	 * @param now the time of this process
 	 * @return the account
 	 */
-	public Account<K> granted(Duration length, long number, long tokens, Instant now) {
-		Account<K> current = at(length, number);
-		if (number < current.index) {
+	public Account<K> addSlice(Duration length, long number, long tokens, Instant now) {
+		Account<K> current = advanceTo(length, number);
+		if (number < current.periodIndex) {
 			return current;
 		}
 		Draft<K> draft = new Draft<>(current);
 		draft.add(tokens);
-		draft.size = new SliceSize(tokens, now);
-		draft.used = now;
+		draft.sliceSize = new SliceSize(tokens, now);
+		draft.lastUsedAt = now;
 		return new Account<>(draft);
 	}
 
@@ -254,18 +254,18 @@
 	 * @return the tokens, or an empty result if none are needed or the log said a short
 	 * time ago that none are left
 	 */
-	public Optional<Long> wanted(long left, long limit, Instant now) {
+	public Optional<Long> tokensToReserve(long left, long limit, Instant now) {
 		if (this.waiting.isEmpty()) {
 			return Optional.empty();
 		}
 		long lacking = this.overdraft - this.available;
 		long first = this.waiting.head().tokens() + lacking;
 		if (first > left) {
-			return wantedBeyond(first, left, limit, now);
+			return tokensBeyondRemaining(first, left, limit, now);
 		}
 		return Optional.of(first)
 			.filter((tokens) -> tokens > 0)
-			.map((tokens) -> this.size.toAsk(tokens, this.waitingTokens + lacking, left, limit, now));
+			.map((tokens) -> this.sliceSize.nextSize(tokens, this.waitingTokens + lacking, left, limit, now));
 	}
 
 	// What is left goes to the overdraft at least: an overdraft greater than any budget
@@ -273,12 +273,12 @@
 	// then all the same. A process that has read nothing new for long is late in the
 	// log's time and would else refuse calls for a period that is over; the answer tells
 	// it the time.
-	private Optional<Long> wantedBeyond(long first, long left, long limit, Instant now) {
+	private Optional<Long> tokensBeyondRemaining(long first, long left, long limit, Instant now) {
 		if (this.overdraft > 0 && left > 0) {
 			return Optional.of(Math.min(this.overdraft, left));
 		}
 		long least = (first > limit && this.overdraft > 0) ? Math.min(this.overdraft, limit) : first;
-		boolean late = Duration.between(this.decided, now).compareTo(ASKING_TIME) >= 0;
+		boolean late = Duration.between(this.decided, now).compareTo(RETRY_INTERVAL) >= 0;
 		return Optional.of(least).filter((tokens) -> late && tokens > 0 && tokens <= limit);
 	}
 
@@ -288,7 +288,7 @@
 	 * @param left what is left of the budget, as far as is known
 	 * @return whether it lacks tokens
 	 */
-	public boolean lacks(long tokens, long left) {
+	public boolean needsReturnedTokens(long tokens, long left) {
 		return tokens + this.overdraft - this.available > left;
 	}
 
@@ -298,9 +298,9 @@
 	 * @param now the time of this process
 	 * @return the account
 	 */
-	public Account<K> asked(long sequence, Instant now) {
+	public Account<K> recordSent(long sequence, Instant now) {
 		Draft<K> draft = new Draft<>(this);
-		draft.underWay = Optional.of(new Question(sequence, now));
+		draft.inFlight = Optional.of(new PendingRecord(sequence, now));
 		return new Account<>(draft);
 	}
 
@@ -311,12 +311,12 @@
 	 * @return the account
 	 */
 	public Account<K> decided(long sequence, Instant now) {
-		if (!awaits(sequence)) {
+		if (!isInFlight(sequence)) {
 			return this;
 		}
 		Draft<K> draft = new Draft<>(this);
-		draft.underWay = Optional.empty();
-		draft.decided = now;
+		draft.inFlight = Optional.empty();
+		draft.lastDecidedAt = now;
 		return new Account<>(draft);
 	}
 
@@ -325,16 +325,16 @@
 	 * @param sequence the sequence of the record
 	 * @return whether the log has not decided on it
 	 */
-	public boolean awaits(long sequence) {
-		return this.underWay.filter((question) -> question.sequence() == sequence).isPresent();
+	public boolean isInFlight(long sequence) {
+		return this.inFlight.filter((question) -> question.sequence() == sequence).isPresent();
 	}
 
 	/**
 	 * Returns since when a record is under way.
 	 * @return when it was sent first, or an empty result if none is under way
 	 */
-	public Optional<Instant> askingSince() {
-		return this.underWay.map(Question::sent);
+	public Optional<Instant> inFlightSince() {
+		return this.inFlight.map(PendingRecord::sent);
 	}
 
 	/**
@@ -342,9 +342,9 @@
 	 * @param now the time of this process
 	 * @return the account
 	 */
-	public Account<K> afterIdling(Instant now) {
-		boolean idle = this.waiting.isEmpty() && Duration.between(this.used, now).compareTo(IDLE_TIME) >= 0;
-		return (idle && this.available > 0) ? settingAside() : this;
+	public Account<K> releaseIfIdle(Instant now) {
+		boolean idle = this.waiting.isEmpty() && Duration.between(this.lastUsedAt, now).compareTo(IDLE_TIMEOUT) >= 0;
+		return (idle && this.available > 0) ? releaseAvailable() : this;
 	}
 
 	/**
@@ -352,11 +352,11 @@
 	 * that was lowered below what is reserved.
 	 * @return the account
 	 */
-	public Account<K> settingAside() {
+	public Account<K> releaseAvailable() {
 		Draft<K> draft = new Draft<>(this);
-		draft.surplus = this.surplus + this.available;
+		draft.tokensToReturn = this.tokensToReturn + this.available;
 		draft.available = 0;
-		draft.size = SliceSize.FIRST;
+		draft.sliceSize = SliceSize.INITIAL;
 		return new Account<>(draft);
 	}
 
@@ -364,8 +364,8 @@
 	 * Returns the tokens set aside to go back.
 	 * @return the tokens
 	 */
-	public long surplus() {
-		return this.surplus;
+	public long tokensToReturn() {
+		return this.tokensToReturn;
 	}
 
 	/**
@@ -374,9 +374,9 @@
 	 * @param now the time of this process
 	 * @return the account
 	 */
-	public Account<K> returning(long sequence, Instant now) {
-		Draft<K> draft = new Draft<>(asked(sequence, now));
-		draft.surplus = 0;
+	public Account<K> returnSent(long sequence, Instant now) {
+		Draft<K> draft = new Draft<>(recordSent(sequence, now));
+		draft.tokensToReturn = 0;
 		return new Account<>(draft);
 	}
 
@@ -385,11 +385,11 @@
 	 * slices is not known.
 	 * @return the account without slices
 	 */
-	public Account<K> withoutSlices() {
+	public Account<K> discardSlices() {
 		Draft<K> draft = new Draft<>(this);
 		draft.available = 0;
-		draft.surplus = 0;
-		draft.underWay = Optional.empty();
+		draft.tokensToReturn = 0;
+		draft.inFlight = Optional.empty();
 		return new Account<>(draft);
 	}
 
@@ -431,8 +431,8 @@
 	 * Returns the number of the period.
 	 * @return the number
 	 */
-	public long index() {
-		return this.index;
+	public long periodIndex() {
+		return this.periodIndex;
 	}
 
 	/**
@@ -450,7 +450,7 @@
 	 * @param call the call
 	 * @param tokens its estimate
 	 */
-	public record Wish<K>(K call, long tokens) {
+	public record WaitingCall<K>(K call, long tokens) {
 
 	}
 
@@ -460,7 +460,7 @@
 	 * @param sequence its sequence
 	 * @param sent when it was sent first
 	 */
-	private record Question(long sequence, Instant sent) {
+	private record PendingRecord(long sequence, Instant sent) {
 
 	}
 
@@ -469,9 +469,9 @@
 	 *
 	 * @param tokens the tokens
 	 * @param period the length of the period they are of
-	 * @param index the number of the period they are of
+	 * @param periodIndex the number of the period they are of
 	 */
-	private record Held(long tokens, Duration period, long index) {
+	private record Hold(long tokens, Duration period, long index) {
 
 	}
 
@@ -484,48 +484,48 @@
 
 		private Duration period;
 
-		private long index;
+		private long periodIndex;
 
 		private long available;
 
 		private long overdraft;
 
-		private long surplus;
+		private long tokensToReturn;
 
-		private Map<K, Held> held = HashMap.empty();
+		private Map<K, Hold> held = HashMap.empty();
 
-		private Queue<Wish<K>> waiting = Queue.empty();
+		private Queue<WaitingCall<K>> waiting = Queue.empty();
 
 		private long waitingTokens;
 
-		private Optional<Question> underWay = Optional.empty();
+		private Optional<PendingRecord> inFlight = Optional.empty();
 
-		private Instant decided = Instant.EPOCH;
+		private Instant lastDecidedAt = Instant.EPOCH;
 
-		private SliceSize size = SliceSize.FIRST;
+		private SliceSize sliceSize = SliceSize.INITIAL;
 
-		private Instant used = Instant.EPOCH;
+		private Instant lastUsedAt = Instant.EPOCH;
 
 		private boolean exhausted;
 
 		Draft(Duration period, long index) {
 			this.period = period;
-			this.index = index;
+			this.periodIndex = index;
 		}
 
 		Draft(Account<K> account) {
 			this.period = account.period;
-			this.index = account.index;
+			this.periodIndex = account.periodIndex;
 			this.available = account.available;
 			this.overdraft = account.overdraft;
-			this.surplus = account.surplus;
+			this.tokensToReturn = account.tokensToReturn;
 			this.held = account.held;
 			this.waiting = account.waiting;
 			this.waitingTokens = account.waitingTokens;
-			this.underWay = account.underWay;
-			this.decided = account.decided;
-			this.size = account.size;
-			this.used = account.used;
+			this.inFlight = account.inFlight;
+			this.lastDecidedAt = account.decided;
+			this.sliceSize = account.sliceSize;
+			this.lastUsedAt = account.lastUsedAt;
 			this.exhausted = account.exhausted;
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/budget/LogClock.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/budget/LogClock.java
@@ -9,14 +9,14 @@
  * the freshest of the latest records took to arrive, and off by the drift of the two
  * clocks since then. Immutable and safe for use by several threads.
  *
- * @param lead how far the log's clock is ahead of this process's clock
- * @param set the time of this process when the last record was read
+ * @param offset how far the log's clock is ahead of this process's clock
+ * @param readAt the time of this process when the last record was read
  */
-public record LogClock(Duration lead, Instant set) {
+public record LogClock(Duration offset, Instant readAt) {
 
 	// A clock of a process that runs fast would make the lead too great for ever, since
 	// only the greatest one seen counts. So it shrinks, faster than clocks drift.
-	private static final int SHRINKING = 1000;
+	private static final int DECAY_DIVISOR = 1000;
 
 	/**
 	 * Returns the clock after a record was read.
@@ -25,14 +25,14 @@
 	 * @param now the time of this process
 	 * @return the clock
 	 */
-	public static LogClock after(Optional<LogClock> before, Instant time, Instant now) {
+	public static LogClock update(Optional<LogClock> before, Instant time, Instant now) {
 		Duration seen = Duration.between(now, time);
-		Duration known = before.map((clock) -> clock.leadAt(now)).orElse(seen);
+		Duration known = before.map((clock) -> clock.offsetAt(now)).orElse(seen);
 		return new LogClock((known.compareTo(seen) > 0) ? known : seen, now);
 	}
 
-	private Duration leadAt(Instant now) {
-		return this.lead.minus(Duration.between(this.set, now).dividedBy(SHRINKING));
+	private Duration offsetAt(Instant now) {
+		return this.offset.minus(Duration.between(this.readAt, now).dividedBy(DECAY_DIVISOR));
 	}
 
 	/**
@@ -40,8 +40,8 @@
 	 * @param now the time of this process
 	 * @return the log's time, as far as is known
 	 */
-	public Instant at(Instant now) {
-		return now.plus(this.lead);
+	public Instant logTime(Instant now) {
+		return now.plus(this.offset);
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
@@ -35,7 +35,7 @@
 	 * How long a call waits for a slice. Tokens that lie unused in other entries are back
 	 * by then.
 	 */
-	static final Duration SLICE_WAIT = Account.IDLE_TIME.plusSeconds(2);
+	static final Duration SLICE_WAIT = Account.IDLE_TIMEOUT.plusSeconds(2);
 
 	/**
 	 * The longest period that the log decides on. A longer one is cut into equal parts:
@@ -73,8 +73,8 @@
 			return;
 		}
 		Account<Ticket> account = accountOf(group, terms.get());
-		if (account.mayRun(tokens)) {
-			this.draft.put(group, account.running(call.ticket(), tokens, this.draft.now));
+		if (account.canHold(tokens)) {
+			this.draft.put(group, account.hold(call.ticket(), tokens, this.draft.now));
 			this.routes.go(call);
 			return;
 		}
@@ -102,7 +102,7 @@
 				.of(CallFailure.notRun(FailureCause.QUEUE_FULL, "Too many requests wait for the budget of their group.")
 					.retryAfter(RETRY_SOON));
 		}
-		if (account.isExhausted() && account.lacks(tokens, leftOf(group, terms, account))) {
+		if (account.isExhausted() && account.needsReturnedTokens(tokens, leftOf(group, terms, account))) {
 			return Optional.of(exhausted(terms));
 		}
 		return Optional.empty();
@@ -123,7 +123,8 @@
 	private Duration untilTurnover(Terms terms) {
 		long length = terms.period().toMillis();
 		return this.draft.clock
-			.map((clock) -> Duration.ofMillis(length - Math.floorMod(clock.at(this.draft.now).toEpochMilli(), length)))
+			.map((clock) -> Duration
+				.ofMillis(length - Math.floorMod(clock.logTime(this.draft.now).toEpochMilli(), length)))
 			.orElse(RETRY_SOON);
 	}
 
@@ -138,7 +139,7 @@
 		}
 		GroupName group = call.request().group();
 		for (Account<Ticket> account : this.draft.accounts.get(group)) {
-			this.draft.put(group, account.withdrawn(call.ticket()));
+			this.draft.put(group, account.removeWaiting(call.ticket()));
 		}
 		this.routes.refuseUnsent(call, failure);
 	}
@@ -190,13 +191,13 @@
 	private Account<Ticket> accountOf(GroupName group, Terms terms) {
 		long index = indexOf(group, terms);
 		return this.draft.accounts.get(group)
-			.map((account) -> account.at(terms.period(), index))
-			.getOrElse(() -> Account.in(terms.period(), index));
+			.map((account) -> account.advanceTo(terms.period(), index))
+			.getOrElse(() -> Account.create(terms.period(), index));
 	}
 
 	private long indexOf(GroupName group, Terms terms) {
 		long read = stateOf(group, terms).map(BudgetState::periodIndex).orElse(Long.MIN_VALUE);
-		long now = this.draft.clock.map((clock) -> BudgetState.indexAt(clock.at(this.draft.now), terms.period()))
+		long now = this.draft.clock.map((clock) -> BudgetState.indexAt(clock.logTime(this.draft.now), terms.period()))
 			.orElse(Long.MIN_VALUE);
 		return Math.max(read, now);
 	}
@@ -206,7 +207,7 @@
 	}
 
 	private long leftOf(GroupName group, Terms terms, Account<Ticket> account) {
-		return Math.max(0, terms.limit() - reservedOf(group, terms, account.index()));
+		return Math.max(0, terms.limit() - reservedOf(group, terms, account.periodIndex()));
 	}
 
 	private long reservedOf(GroupName group, Terms terms, long index) {
@@ -226,7 +227,7 @@
 		if (!record.entry().equals(this.draft.self) || termsOf(group).isEmpty()) {
 			return;
 		}
-		Account<Ticket> account = accountOf(group, termsOf(group).get()).granted(change.state().period(),
+		Account<Ticket> account = accountOf(group, termsOf(group).get()).addSlice(change.state().period(),
 				change.state().periodIndex(), record.tokens(), this.draft.now);
 		putDecided(group, account, record.sequence());
 		this.draft.report(NoticeCode.SLICE_RESERVED.with(FieldName.GROUP, group)
@@ -285,7 +286,7 @@
 		this.draft.put(group, decided);
 		if (this.draft.log.ledger()
 			.budget(group)
-			.filter((state) -> state.periodIndex() >= decided.index())
+			.filter((state) -> state.periodIndex() >= decided.periodIndex())
 			.isPresent()) {
 			this.draft.putAndAdvance(group, decided);
 		}
@@ -299,9 +300,9 @@
 	void appendAgain(LedgerRecord record) {
 		boolean wanted = switch (record) {
 			case LedgerRecord.SliceReserved reserved ->
-				this.draft.accounts.get(reserved.group()).exists((account) -> account.awaits(reserved.sequence()));
+				this.draft.accounts.get(reserved.group()).exists((account) -> account.isInFlight(reserved.sequence()));
 			case LedgerRecord.SliceReturned returned ->
-				this.draft.accounts.get(returned.group()).exists((account) -> account.awaits(returned.sequence()));
+				this.draft.accounts.get(returned.group()).exists((account) -> account.isInFlight(returned.sequence()));
 			default -> false;
 		};
 		if (wanted) {
@@ -324,7 +325,7 @@
 			return;
 		}
 		Account<Ticket> account = accountOf(group, terms.get());
-		boolean silent = account.askingSince()
+		boolean silent = account.inFlightSince()
 			.filter((since) -> Duration.between(since, this.draft.now).compareTo(LOG_WAIT) >= 0)
 			.isPresent();
 		if (silent || !this.draft.log.isReachable()) {
@@ -332,7 +333,8 @@
 			return;
 		}
 		long left = leftOf(group, terms.get(), account);
-		if (account.askingSince().isPresent() || !account.lacks(account.wantedFor(ticket), left)) {
+		if (account.inFlightSince().isPresent()
+				|| !account.needsReturnedTokens(account.waitingTokensOf(ticket), left)) {
 			// The log answers, and there may be enough: calls before this one are served.
 			this.draft.putAndAdvance(group, account);
 			this.draft.remind(LOG_WAIT, new Duty.GiveUpSlice(ticket));
@@ -340,7 +342,7 @@
 		}
 		if (!account.isExhausted()) {
 			this.draft.report(NoticeCode.BUDGET_EXHAUSTED.with(FieldName.GROUP, group)
-				.with(FieldName.COUNT, reservedOf(group, terms.get(), account.index()))
+				.with(FieldName.COUNT, reservedOf(group, terms.get(), account.periodIndex()))
 				.with(FieldName.LIMIT, terms.get().limit()));
 		}
 		this.draft.put(group, account.exhausted());
@@ -357,8 +359,8 @@
 			Optional<Terms> terms = termsOf(group);
 			if (terms.isPresent()) {
 				Account<Ticket> current = accountOf(group, terms.get());
-				boolean over = reservedOf(group, terms.get(), current.index()) > terms.get().limit();
-				account = (over) ? current.settingAside() : current;
+				boolean over = reservedOf(group, terms.get(), current.periodIndex()) > terms.get().limit();
+				account = (over) ? current.releaseAvailable() : current;
 			}
 			this.draft.putAndAdvance(group, account);
 		}
@@ -371,7 +373,7 @@
 		for (GroupName group : this.draft.accounts.keySet()) {
 			Account<Ticket> account = this.draft.accounts.get(group).get();
 			Account<Ticket> current = termsOf(group).map((terms) -> accountOf(group, terms)).orElse(account);
-			this.draft.putAndAdvance(group, current.afterIdling(this.draft.now));
+			this.draft.putAndAdvance(group, current.releaseIfIdle(this.draft.now));
 		}
 	}
 
@@ -406,33 +408,33 @@
 
 	private void advance(GroupName group, Terms terms) {
 		Account<Ticket> account = accountOf(group, terms);
-		Optional<Account.Wish<Ticket>> ready = account.ready();
+		Optional<Account.WaitingCall<Ticket>> ready = account.nextReady();
 		while (ready.isPresent()) {
 			Ticket ticket = ready.get().call();
-			this.draft.put(group, account.withdrawn(ticket).running(ticket, ready.get().tokens(), this.draft.now));
+			this.draft.put(group, account.removeWaiting(ticket).hold(ticket, ready.get().tokens(), this.draft.now));
 			this.draft.call(ticket).ifPresent(this.routes::go);
 			account = accountOf(group, terms);
-			ready = account.ready();
+			ready = account.nextReady();
 		}
 		this.draft.put(group, account);
 		ask(group, terms, account);
 	}
 
 	private void ask(GroupName group, Terms terms, Account<Ticket> account) {
-		if (account.askingSince().isPresent() || !this.draft.log.isReachable()) {
+		if (account.inFlightSince().isPresent() || !this.draft.log.isReachable()) {
 			return;
 		}
-		if (account.surplus() > 0) {
+		if (account.tokensToReturn() > 0) {
 			long sequence = this.draft.nextNumber();
-			this.draft.put(group, account.returning(sequence, this.draft.now));
-			this.draft.append(new LedgerRecord.SliceReturned(group, account.index(), account.surplus(), this.draft.self,
-					sequence));
+			this.draft.put(group, account.returnSent(sequence, this.draft.now));
+			this.draft.append(new LedgerRecord.SliceReturned(group, account.periodIndex(), account.tokensToReturn(),
+					this.draft.self, sequence));
 			return;
 		}
-		Optional<Long> tokens = account.wanted(leftOf(group, terms, account), terms.limit(), this.draft.now);
+		Optional<Long> tokens = account.tokensToReserve(leftOf(group, terms, account), terms.limit(), this.draft.now);
 		if (tokens.isPresent()) {
 			long sequence = this.draft.nextNumber();
-			this.draft.put(group, account.asked(sequence, this.draft.now));
+			this.draft.put(group, account.recordSent(sequence, this.draft.now));
 			this.draft.append(new LedgerRecord.SliceReserved(group, tokens.get(), terms.own().tokens(),
 					terms.own().period(), terms.version(), this.draft.self, sequence));
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
@@ -70,7 +70,7 @@
 		Ticket ticket = call.ticket();
 		long least = (unanswered == Verdict.NOT_RUN) ? 0 : account.get().heldFor(ticket);
 		long tokens = (call.attempts() == 0) ? 0 : Math.max(least, usage.total());
-		this.draft.putAndAdvance(group, account.get().withdrawn(ticket).settled(ticket, tokens));
+		this.draft.putAndAdvance(group, account.get().removeWaiting(ticket).settle(ticket, tokens));
 	}
 
 	void refuse(Call call, CallFailure failure) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
@@ -164,7 +164,7 @@
 	private EntryStatus.Group view(GroupPolicy policy) {
 		long used = this.log.ledger()
 			.budget(policy.name())
-			.map((state) -> this.clock.map((each) -> state.advanceTo(each.at(this.lastMeasured)))
+			.map((state) -> this.clock.map((each) -> state.advanceTo(each.logTime(this.lastMeasured)))
 				.orElse(state)
 				.reserved())
 			.orElse(0L);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
@@ -49,7 +49,7 @@
 		if (event.offset() < this.draft.log.next()) {
 			return;
 		}
-		this.draft.clock = Optional.of(LogClock.after(this.draft.clock, event.time(), this.draft.now));
+		this.draft.clock = Optional.of(LogClock.update(this.draft.clock, event.time(), this.draft.now));
 		int index = 0;
 		for (LedgerRecord record : event.batch()) {
 			Position position = new Position(event.offset(), index);
@@ -109,7 +109,7 @@
 		this.draft.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.from())
 			.with(FieldName.COUNT, gap.first() - gap.from()));
 		this.draft.log = LogView.unread().readTo(gap.first(), Instant.EPOCH);
-		this.draft.accounts = this.draft.accounts.mapValues(Account::withoutSlices);
+		this.draft.accounts = this.draft.accounts.mapValues(Account::discardSlices);
 	}
 
 	private void appended(LogEvent.AppendEnded event) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/Backlog.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/Backlog.java
@@ -31,9 +31,9 @@
 	 */
 	static <K, T> Backlog<K, T> of(Ordering ordering, Shares shares) {
 		return switch (ordering) {
-			case Ordering.ForFairShare fair -> ByGroup.empty(fair, shares);
-			case Ordering.FirstComeFirstServed firstCome -> new InOneLine<>(TreeMap.empty());
-			case Ordering.ProgramFirstCome programFirstCome -> new InOneLine<>(TreeMap.empty());
+			case Ordering.FairShare fair -> GroupLinesBacklog.empty(fair, shares);
+			case Ordering.FirstComeFirstServed firstCome -> new SingleLine<>(TreeMap.empty());
+			case Ordering.ProgramFirstCome programFirstCome -> new SingleLine<>(TreeMap.empty());
 		};
 	}
 
@@ -42,27 +42,27 @@
 	 * @param call the call
 	 * @return a backlog with the call
 	 */
-	Backlog<K, T> with(Waiting<K, T> call);
+	Backlog<K, T> with(QueuedCall<K, T> call);
 
 	/**
 	 * Returns this backlog after a call left it without service.
 	 * @param call the call
 	 * @return a backlog without the call
 	 */
-	Backlog<K, T> without(Waiting<K, T> call);
+	Backlog<K, T> without(QueuedCall<K, T> call);
 
 	/**
 	 * Returns this backlog after a call left it for service, charged by its estimate.
 	 * @param call the call
 	 * @return a backlog without the call
 	 */
-	Backlog<K, T> served(Waiting<K, T> call);
+	Backlog<K, T> served(QueuedCall<K, T> call);
 
 	/**
 	 * Returns the call to be served next.
 	 * @return the call, empty only if no call waits
 	 */
-	Optional<Waiting<K, T>> first();
+	Optional<QueuedCall<K, T>> next();
 
 	/**
 	 * Returns the waiting call that has to give way to a new one when there is room for
@@ -70,7 +70,7 @@
 	 * @param newcomer the group of the new call
 	 * @return the call to displace, or an empty result if the new one has to go
 	 */
-	Optional<Waiting<K, T>> displacedBy(GroupName newcomer);
+	Optional<QueuedCall<K, T>> findEviction(GroupName newcomer);
 
 	/**
 	 * Estimates how many of the waiting calls are served before a new one.
@@ -101,30 +101,30 @@
 	 * @param <T> the type of the calls
 	 * @param line the calls in their order
 	 */
-	record InOneLine<K, T>(SortedMap<Place, Waiting<K, T>> line) implements Backlog<K, T> {
+	record SingleLine<K, T>(SortedMap<QueuePosition, QueuedCall<K, T>> line) implements Backlog<K, T> {
 
 		@Override
-		public Backlog<K, T> with(Waiting<K, T> call) {
-			return new InOneLine<>(this.line.put(call.turn(), call));
+		public Backlog<K, T> with(QueuedCall<K, T> call) {
+			return new SingleLine<>(this.line.put(call.position(), call));
 		}
 
 		@Override
-		public Backlog<K, T> without(Waiting<K, T> call) {
-			return new InOneLine<>(this.line.remove(call.turn()));
+		public Backlog<K, T> without(QueuedCall<K, T> call) {
+			return new SingleLine<>(this.line.remove(call.position()));
 		}
 
 		@Override
-		public Backlog<K, T> served(Waiting<K, T> call) {
+		public Backlog<K, T> served(QueuedCall<K, T> call) {
 			return without(call);
 		}
 
 		@Override
-		public Optional<Waiting<K, T>> first() {
+		public Optional<QueuedCall<K, T>> next() {
 			return this.line.headOption().map(Tuple2::_2).toJavaOptional();
 		}
 
 		@Override
-		public Optional<Waiting<K, T>> displacedBy(GroupName newcomer) {
+		public Optional<QueuedCall<K, T>> findEviction(GroupName newcomer) {
 			return Optional.empty();
 		}
 
@@ -165,49 +165,50 @@
 	 * any more
 	 * @param services the number of calls served
 	 */
-	record ByGroup<K, T>(Ordering.ForFairShare ordering, Shares shares, Map<GroupName, GroupLines<K, T>> groups,
-			SortedSet<GroupTurn> turns, SortedSet<GroupLoad> loads, long waitingShares, double idleCounter,
-			long services) implements Backlog<K, T> {
+	record GroupLinesBacklog<K, T>(Ordering.FairShare ordering, Shares shares, Map<GroupName, GroupQueues<K, T>> groups,
+			SortedSet<GroupRank> serviceOrder, SortedSet<GroupLoad> loadOrder, long backloggedShares,
+			double idleVirtualTime, long servedCalls) implements Backlog<K, T> {
 
-		private static <K, T> Backlog<K, T> empty(Ordering.ForFairShare ordering, Shares shares) {
-			return new ByGroup<>(ordering, shares, HashMap.empty(), TreeSet.empty(), TreeSet.empty(), 0, 0, 0);
+		private static <K, T> Backlog<K, T> empty(Ordering.FairShare ordering, Shares shares) {
+			return new GroupLinesBacklog<>(ordering, shares, HashMap.empty(), TreeSet.empty(), TreeSet.empty(), 0, 0,
+					0);
 		}
 
 		@Override
-		public Backlog<K, T> with(Waiting<K, T> call) {
-			GroupLines<K, T> lines = linesOf(call.group());
-			return replaced(lines, lines.liftedTo(leastCounter()).with(call));
+		public Backlog<K, T> with(QueuedCall<K, T> call) {
+			GroupQueues<K, T> lines = queuesOf(call.group());
+			return replace(lines, lines.raisedTo(virtualTime()).with(call));
 		}
 
 		@Override
-		public Backlog<K, T> without(Waiting<K, T> call) {
-			GroupLines<K, T> lines = linesOf(call.group());
-			return replaced(lines, lines.without(call));
+		public Backlog<K, T> without(QueuedCall<K, T> call) {
+			GroupQueues<K, T> lines = queuesOf(call.group());
+			return replace(lines, lines.without(call));
 		}
 
 		@Override
-		public Backlog<K, T> served(Waiting<K, T> call) {
-			GroupLines<K, T> lines = linesOf(call.group());
-			long service = this.services + 1;
-			long cost = call.entry().cost();
-			GroupLines<K, T> served = lines.served(call, this.ordering)
+		public Backlog<K, T> served(QueuedCall<K, T> call) {
+			GroupQueues<K, T> lines = queuesOf(call.group());
+			long service = this.servedCalls + 1;
+			long cost = call.entry().estimatedCost();
+			GroupQueues<K, T> served = lines.served(call, this.ordering)
 				.charged(weighted(call.group(), cost))
 				.servedAt(service);
-			return replaced(lines, served).withServices(service);
+			return replace(lines, served).withServedCalls(service);
 		}
 
 		@Override
-		public Optional<Waiting<K, T>> first() {
-			return this.turns.headOption().toJavaOptional().flatMap((turn) -> linesOf(turn.group()).first());
+		public Optional<QueuedCall<K, T>> next() {
+			return this.serviceOrder.headOption().toJavaOptional().flatMap((turn) -> queuesOf(turn.group()).next());
 		}
 
 		@Override
-		public Optional<Waiting<K, T>> displacedBy(GroupName newcomer) {
-			double after = GroupLoad.callsForShare(newcomer, linesOf(newcomer).size() + 1, this.shares);
-			return this.loads.lastOption()
+		public Optional<QueuedCall<K, T>> findEviction(GroupName newcomer) {
+			double after = GroupLoad.callsPerShare(newcomer, queuesOf(newcomer).size() + 1, this.shares);
+			return this.loadOrder.lastOption()
 				.toJavaOptional()
-				.filter((most) -> most.callsForShare() > after)
-				.flatMap((most) -> linesOf(most.group()).last());
+				.filter((most) -> most.callsPerShare() > after)
+				.flatMap((most) -> queuesOf(most.group()).last());
 		}
 
 		// While the group gets one call more than it has waiting, each other group gets
@@ -215,65 +216,66 @@
 		@Override
 		public long callsAheadOf(GroupName newcomer) {
 			long share = this.shares.of(newcomer);
-			int own = linesOf(newcomer).size();
-			long otherShares = this.waitingShares - ((own > 0) ? share : 0);
+			int own = queuesOf(newcomer).size();
+			long otherShares = this.backloggedShares - ((own > 0) ? share : 0);
 			return own + Math.ceilDiv((own + 1) * otherShares, share);
 		}
 
 		@Override
 		public Backlog<K, T> charged(GroupName group, long cost) {
-			GroupLines<K, T> lines = linesOf(group);
-			return replaced(lines, lines.charged(weighted(group, cost)));
+			GroupQueues<K, T> lines = queuesOf(group);
+			return replace(lines, lines.charged(weighted(group, cost)));
 		}
 
 		@Override
 		public Backlog<K, T> withShares(Shares changed) {
 			SortedSet<GroupLoad> changedLoads = TreeSet.empty();
 			long changedSum = 0;
-			for (GroupTurn turn : this.turns) {
-				changedLoads = changedLoads.add(GroupLoad.of(linesOf(turn.group()), changed));
+			for (GroupRank turn : this.serviceOrder) {
+				changedLoads = changedLoads.add(GroupLoad.of(queuesOf(turn.group()), changed));
 				changedSum += changed.of(turn.group());
 			}
-			Map<GroupName, GroupLines<K, T>> kept = this.groups
-				.filter((group, lines) -> lines.size() > 0 || changed.lists(group));
-			return new ByGroup<>(this.ordering, changed, kept, this.turns, changedLoads, changedSum, this.idleCounter,
-					this.services);
+			Map<GroupName, GroupQueues<K, T>> kept = this.groups
+				.filter((group, lines) -> lines.size() > 0 || changed.contains(group));
+			return new GroupLinesBacklog<>(this.ordering, changed, kept, this.serviceOrder, changedLoads, changedSum,
+					this.idleVirtualTime, this.servedCalls);
 		}
 
-		private GroupLines<K, T> linesOf(GroupName group) {
-			return this.groups.getOrElse(group, GroupLines.idle(group, leastCounter()));
+		private GroupQueues<K, T> queuesOf(GroupName group) {
+			return this.groups.getOrElse(group, GroupQueues.idle(group, virtualTime()));
 		}
 
-		private double leastCounter() {
-			return this.turns.isEmpty() ? this.idleCounter : this.turns.head().counter();
+		private double virtualTime() {
+			return this.serviceOrder.isEmpty() ? this.idleVirtualTime : this.serviceOrder.head().normalizedService();
 		}
 
 		private double weighted(GroupName group, long cost) {
 			return (double) cost / this.shares.of(group);
 		}
 
-		private ByGroup<K, T> withServices(long count) {
-			return new ByGroup<>(this.ordering, this.shares, this.groups, this.turns, this.loads, this.waitingShares,
-					this.idleCounter, count);
+		private GroupLinesBacklog<K, T> withServedCalls(long count) {
+			return new GroupLinesBacklog<>(this.ordering, this.shares, this.groups, this.serviceOrder, this.loadOrder,
+					this.backloggedShares, this.idleVirtualTime, count);
 		}
 
-		private ByGroup<K, T> replaced(GroupLines<K, T> before, GroupLines<K, T> after) {
-			SortedSet<GroupTurn> changedTurns = this.turns;
-			SortedSet<GroupLoad> changedLoads = this.loads;
-			long changedSum = this.waitingShares;
+		private GroupLinesBacklog<K, T> replace(GroupQueues<K, T> before, GroupQueues<K, T> after) {
+			SortedSet<GroupRank> changedTurns = this.serviceOrder;
+			SortedSet<GroupLoad> changedLoads = this.loadOrder;
+			long changedSum = this.backloggedShares;
 			if (before.size() > 0) {
-				changedTurns = changedTurns.remove(before.turn());
+				changedTurns = changedTurns.remove(before.rank());
 				changedLoads = changedLoads.remove(GroupLoad.of(before, this.shares));
 				changedSum -= this.shares.of(before.group());
 			}
 			if (after.size() > 0) {
-				changedTurns = changedTurns.add(after.turn());
+				changedTurns = changedTurns.add(after.rank());
 				changedLoads = changedLoads.add(GroupLoad.of(after, this.shares));
 				changedSum += this.shares.of(after.group());
 			}
-			boolean becameIdle = changedTurns.isEmpty() && !this.turns.isEmpty();
-			return new ByGroup<>(this.ordering, this.shares, this.groups.put(after.group(), after), changedTurns,
-					changedLoads, changedSum, becameIdle ? after.counter() : this.idleCounter, this.services);
+			boolean becameIdle = changedTurns.isEmpty() && !this.serviceOrder.isEmpty();
+			return new GroupLinesBacklog<>(this.ordering, this.shares, this.groups.put(after.group(), after),
+					changedTurns, changedLoads, changedSum,
+					becameIdle ? after.normalizedService() : this.idleVirtualTime, this.servedCalls);
 		}
 
 	}
@@ -290,97 +292,100 @@
 	 * @param background its background calls in their order
 	 * @param backgroundDue the service that its background calls are due
 	 */
-	record GroupLines<K, T>(GroupName group, double counter, long lastService,
-			SortedMap<Place, Waiting<K, T>> interactive, SortedMap<Place, Waiting<K, T>> background,
-			double backgroundDue) {
+	record GroupQueues<K, T>(GroupName group, double normalizedService, long lastService,
+			SortedMap<QueuePosition, QueuedCall<K, T>> interactive,
+			SortedMap<QueuePosition, QueuedCall<K, T>> background, double backgroundCredit) {
 
-		private static <K, T> GroupLines<K, T> idle(GroupName group, double counter) {
-			return new GroupLines<>(group, counter, 0, TreeMap.empty(), TreeMap.empty(), 0);
+		private static <K, T> GroupQueues<K, T> idle(GroupName group, double counter) {
+			return new GroupQueues<>(group, counter, 0, TreeMap.empty(), TreeMap.empty(), 0);
 		}
 
 		private int size() {
 			return this.interactive.size() + this.background.size();
 		}
 
-		private GroupTurn turn() {
-			return new GroupTurn(this.counter, this.lastService, this.group);
+		private GroupRank rank() {
+			return new GroupRank(this.normalizedService, this.lastService, this.group);
 		}
 
-		private GroupLines<K, T> liftedTo(double least) {
-			if (size() > 0 || this.counter >= least) {
+		private GroupQueues<K, T> raisedTo(double least) {
+			if (size() > 0 || this.normalizedService >= least) {
 				return this;
 			}
-			return counting(least);
+			return withNormalizedService(least);
 		}
 
-		private GroupLines<K, T> charged(double weightedCost) {
-			return counting(this.counter + weightedCost);
+		private GroupQueues<K, T> charged(double weightedCost) {
+			return withNormalizedService(this.normalizedService + weightedCost);
 		}
 
-		private GroupLines<K, T> counting(double changed) {
-			return new GroupLines<>(this.group, changed, this.lastService, this.interactive, this.background,
-					this.backgroundDue);
+		private GroupQueues<K, T> withNormalizedService(double changed) {
+			return new GroupQueues<>(this.group, changed, this.lastService, this.interactive, this.background,
+					this.backgroundCredit);
 		}
 
-		private GroupLines<K, T> servedAt(long service) {
-			return new GroupLines<>(this.group, this.counter, service, this.interactive, this.background,
-					this.backgroundDue);
+		private GroupQueues<K, T> servedAt(long service) {
+			return new GroupQueues<>(this.group, this.normalizedService, service, this.interactive, this.background,
+					this.backgroundCredit);
 		}
 
-		private GroupLines<K, T> with(Waiting<K, T> call) {
+		private GroupQueues<K, T> with(QueuedCall<K, T> call) {
 			if (call.isInteractive()) {
-				return withLines(this.interactive.put(call.turn(), call), this.background);
+				return withQueues(this.interactive.put(call.position(), call), this.background);
 			}
-			return withLines(this.interactive, this.background.put(call.turn(), call));
+			return withQueues(this.interactive, this.background.put(call.position(), call));
 		}
 
-		private GroupLines<K, T> without(Waiting<K, T> call) {
+		private GroupQueues<K, T> without(QueuedCall<K, T> call) {
 			if (call.isInteractive()) {
-				return withLines(this.interactive.remove(call.turn()), this.background);
+				return withQueues(this.interactive.remove(call.position()), this.background);
 			}
-			return withLines(this.interactive, this.background.remove(call.turn()));
+			return withQueues(this.interactive, this.background.remove(call.position()));
 		}
 
 		// Background calls are due nothing while none of them waits: they save up no
 		// credit either.
-		private GroupLines<K, T> withLines(SortedMap<Place, Waiting<K, T>> changedInteractive,
-				SortedMap<Place, Waiting<K, T>> changedBackground) {
-			double due = changedBackground.isEmpty() ? 0 : this.backgroundDue;
-			return new GroupLines<>(this.group, this.counter, this.lastService, changedInteractive, changedBackground,
-					due);
+		private GroupQueues<K, T> withQueues(SortedMap<QueuePosition, QueuedCall<K, T>> changedInteractive,
+				SortedMap<QueuePosition, QueuedCall<K, T>> changedBackground) {
+			double due = changedBackground.isEmpty() ? 0 : this.backgroundCredit;
+			return new GroupQueues<>(this.group, this.normalizedService, this.lastService, changedInteractive,
+					changedBackground, due);
 		}
 
-		private GroupLines<K, T> served(Waiting<K, T> call, Ordering.ForFairShare ordering) {
-			return owing(dueAfter(call, ordering)).without(call);
+		private GroupQueues<K, T> served(QueuedCall<K, T> call, Ordering.FairShare ordering) {
+			return withBackgroundCredit(creditAfter(call, ordering)).without(call);
 		}
 
-		private double dueAfter(Waiting<K, T> call, Ordering.ForFairShare ordering) {
-			long cost = call.entry().cost();
+		private double creditAfter(QueuedCall<K, T> call, Ordering.FairShare ordering) {
+			long cost = call.entry().estimatedCost();
 			if (call.isInteractive()) {
-				return this.backgroundDue + ordering.dueToBackground(cost);
+				return this.backgroundCredit + ordering.backgroundCredit(cost);
 			}
-			return Math.max(0, this.backgroundDue - cost);
+			return Math.max(0, this.backgroundCredit - cost);
 		}
 
-		private GroupLines<K, T> owing(double due) {
-			return new GroupLines<>(this.group, this.counter, this.lastService, this.interactive, this.background, due);
+		private GroupQueues<K, T> withBackgroundCredit(double due) {
+			return new GroupQueues<>(this.group, this.normalizedService, this.lastService, this.interactive,
+					this.background, due);
 		}
 
-		private Optional<Waiting<K, T>> first() {
-			Optional<Waiting<K, T>> urgent = head(this.interactive);
-			Optional<Waiting<K, T>> patient = head(this.background);
-			if (urgent.isEmpty() || patient.filter((call) -> call.entry().cost() <= this.backgroundDue).isPresent()) {
+		private Optional<QueuedCall<K, T>> next() {
+			Optional<QueuedCall<K, T>> urgent = head(this.interactive);
+			Optional<QueuedCall<K, T>> patient = head(this.background);
+			if (urgent.isEmpty()
+					|| patient.filter((call) -> call.entry().estimatedCost() <= this.backgroundCredit).isPresent()) {
 				return patient;
 			}
 			return urgent;
 		}
 
-		private Optional<Waiting<K, T>> last() {
-			SortedMap<Place, Waiting<K, T>> line = this.background.isEmpty() ? this.interactive : this.background;
+		private Optional<QueuedCall<K, T>> last() {
+			SortedMap<QueuePosition, QueuedCall<K, T>> line = this.background.isEmpty() ? this.interactive
+					: this.background;
 			return line.lastOption().map(Tuple2::_2).toJavaOptional();
 		}
 
-		private static <K, T> Optional<Waiting<K, T>> head(SortedMap<Place, Waiting<K, T>> line) {
+		private static <K, T> Optional<QueuedCall<K, T>> head(SortedMap<QueuePosition, QueuedCall<K, T>> line) {
 			return line.headOption().map(Tuple2::_2).toJavaOptional();
 		}
 
@@ -394,11 +399,11 @@
 	 * @param lastService the number of its last call that was served
 	 * @param group the group
 	 */
-	record GroupTurn(double counter, long lastService, GroupName group) implements Comparable<GroupTurn> {
+	record GroupRank(double normalizedService, long lastService, GroupName group) implements Comparable<GroupRank> {
 
 		@Override
-		public int compareTo(GroupTurn other) {
-			int byCounter = Double.compare(this.counter, other.counter);
+		public int compareTo(GroupRank other) {
+			int byCounter = Double.compare(this.normalizedService, other.normalizedService);
 			if (byCounter != 0) {
 				return byCounter;
 			}
@@ -414,19 +419,19 @@
 	 * @param callsForShare its waiting calls, divided by its share
 	 * @param group the group
 	 */
-	record GroupLoad(double callsForShare, GroupName group) implements Comparable<GroupLoad> {
+	record GroupLoad(double callsPerShare, GroupName group) implements Comparable<GroupLoad> {
 
-		private static GroupLoad of(GroupLines<?, ?> lines, Shares shares) {
-			return new GroupLoad(callsForShare(lines.group(), lines.size(), shares), lines.group());
+		private static GroupLoad of(GroupQueues<?, ?> lines, Shares shares) {
+			return new GroupLoad(callsPerShare(lines.group(), lines.size(), shares), lines.group());
 		}
 
-		private static double callsForShare(GroupName group, int calls, Shares shares) {
+		private static double callsPerShare(GroupName group, int calls, Shares shares) {
 			return (double) calls / shares.of(group);
 		}
 
 		@Override
 		public int compareTo(GroupLoad other) {
-			int byCalls = Double.compare(this.callsForShare, other.callsForShare);
+			int byCalls = Double.compare(this.callsPerShare, other.callsPerShare);
 			return (byCalls != 0) ? byCalls : this.group.compareTo(other.group);
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/FairQueue.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/FairQueue.java
@@ -30,29 +30,29 @@
 
 	private final QueueBounds bounds;
 
-	private final Map<K, Waiting<K, T>> calls;
+	private final Map<K, QueuedCall<K, T>> callsById;
 
-	private final SortedMap<Place, Waiting<K, T>> byDeadline;
+	private final SortedMap<QueuePosition, QueuedCall<K, T>> byDeadline;
 
-	private final Map<GroupName, Integer> sizes;
+	private final Map<GroupName, Integer> callCounts;
 
 	private final ProgramAccounts programs;
 
 	private final Backlog<K, T> backlog;
 
-	private final long lastNumber;
+	private final long lastSequence;
 
-	private FairQueue(Ordering ordering, QueueBounds bounds, Map<K, Waiting<K, T>> calls,
-			SortedMap<Place, Waiting<K, T>> byDeadline, Map<GroupName, Integer> sizes, ProgramAccounts programs,
-			Backlog<K, T> backlog, long lastNumber) {
+	private FairQueue(Ordering ordering, QueueBounds bounds, Map<K, QueuedCall<K, T>> calls,
+			SortedMap<QueuePosition, QueuedCall<K, T>> byDeadline, Map<GroupName, Integer> sizes,
+			ProgramAccounts programs, Backlog<K, T> backlog, long lastNumber) {
 		this.ordering = ordering;
 		this.bounds = bounds;
-		this.calls = calls;
+		this.callsById = calls;
 		this.byDeadline = byDeadline;
-		this.sizes = sizes;
+		this.callCounts = sizes;
 		this.programs = programs;
 		this.backlog = backlog;
-		this.lastNumber = lastNumber;
+		this.lastSequence = lastNumber;
 	}
 
 	/**
@@ -66,7 +66,7 @@
 	 */
 	public static <K, T> FairQueue<K, T> create(Ordering ordering, Shares shares, QueueBounds bounds) {
 		return new FairQueue<>(ordering, bounds, HashMap.empty(), TreeMap.empty(), HashMap.empty(),
-				ProgramAccounts.upTo(bounds.programs()), Backlog.of(ordering, shares), 0);
+				ProgramAccounts.withCapacity(bounds.maxPrograms()), Backlog.of(ordering, shares), 0);
 	}
 
 	/**
@@ -77,20 +77,20 @@
 	 * @return whether it was queued, and which call it displaced
 	 * @throws IllegalArgumentException if a call with this identity waits already
 	 */
-	public Offered<K, T> offer(Entry<K, T> entry) {
-		if (this.calls.containsKey(entry.id())) {
+	public OfferResult<K, T> offer(Entry<K, T> entry) {
+		if (this.callsById.containsKey(entry.id())) {
 			throw new IllegalArgumentException("waits already: " + entry.id());
 		}
 		if (size(entry.group()) >= this.bounds.of(entry.group())) {
-			return new Offered.Full<>(Bound.CALLS_OF_GROUP);
+			return new OfferResult.Rejected<>(Bound.GROUP_CALLS);
 		}
-		if (size() < this.bounds.callsInAll()) {
-			return new Offered.Queued<>(with(entry), Optional.empty());
+		if (size() < this.bounds.maxCalls()) {
+			return new OfferResult.Queued<>(with(entry), Optional.empty());
 		}
-		return this.backlog.displacedBy(entry.group())
-			.<Offered<K, T>>map(
-					(displaced) -> new Offered.Queued<>(without(displaced).with(entry), Optional.of(displaced.entry())))
-			.orElseGet(() -> new Offered.Full<>(Bound.CALLS_IN_ALL));
+		return this.backlog.findEviction(entry.group())
+			.<OfferResult<K, T>>map((displaced) -> new OfferResult.Queued<>(without(displaced).with(entry),
+					Optional.of(displaced.entry())))
+			.orElseGet(() -> new OfferResult.Rejected<>(Bound.TOTAL_CALLS));
 	}
 
 	/**
@@ -99,11 +99,11 @@
 	 * @param now the time
 	 * @return the call, if one waits, and those whose deadline has passed
 	 */
-	public Polled<K, T> poll(Instant now) {
-		Expired<K, T> expired = expired(now);
-		return expired.queue().backlog.first()
-			.map((call) -> new Polled<>(expired.queue().served(call), Optional.of(call.entry()), expired.entries()))
-			.orElseGet(() -> new Polled<>(expired.queue(), Optional.empty(), expired.entries()));
+	public PollResult<K, T> poll(Instant now) {
+		ExpiryResult<K, T> expired = removeExpired(now);
+		return expired.queue().backlog.next()
+			.map((call) -> new PollResult<>(expired.queue().served(call), Optional.of(call.entry()), expired.entries()))
+			.orElseGet(() -> new PollResult<>(expired.queue(), Optional.empty(), expired.entries()));
 	}
 
 	/**
@@ -111,8 +111,8 @@
 	 * @param id the identity of the call
 	 * @return the call, or an empty result if it does not wait
 	 */
-	public Optional<Removed<K, T>> remove(K id) {
-		return this.calls.get(id).toJavaOptional().map((call) -> new Removed<>(without(call), call.entry()));
+	public Optional<RemoveResult<K, T>> remove(K id) {
+		return this.callsById.get(id).toJavaOptional().map((call) -> new RemoveResult<>(without(call), call.entry()));
 	}
 
 	/**
@@ -121,15 +121,15 @@
 	 * @param now the time
 	 * @return the calls in the order of their deadlines
 	 */
-	public Expired<K, T> expired(Instant now) {
+	public ExpiryResult<K, T> removeExpired(Instant now) {
 		FairQueue<K, T> queue = this;
 		List<Entry<K, T>> entries = new ArrayList<>();
 		while (queue.nextDeadline().filter((deadline) -> !deadline.isAfter(now)).isPresent()) {
-			Waiting<K, T> call = queue.byDeadline.head()._2();
+			QueuedCall<K, T> call = queue.byDeadline.head()._2();
 			entries.add(call.entry());
 			queue = queue.without(call);
 		}
-		return new Expired<>(queue, entries);
+		return new ExpiryResult<>(queue, entries);
 	}
 
 	/**
@@ -147,7 +147,7 @@
 	 * @return a queue that counts the actual cost in place of the estimate
 	 */
 	public FairQueue<K, T> settle(Entry<K, T> entry, long actualCost) {
-		return charge(entry.group(), entry.program(), actualCost - entry.cost());
+		return charge(entry.group(), entry.program(), actualCost - entry.estimatedCost());
 	}
 
 	/**
@@ -166,7 +166,7 @@
 	 * @param program the program
 	 * @return a queue without an account of the program
 	 */
-	public FairQueue<K, T> forget(ProgramId program) {
+	public FairQueue<K, T> removeProgram(ProgramId program) {
 		return with(this.backlog, this.programs.without(program));
 	}
 
@@ -186,8 +186,8 @@
 	 * @return a queue with the bounds
 	 */
 	public FairQueue<K, T> withBounds(QueueBounds changed) {
-		return new FairQueue<>(this.ordering, changed, this.calls, this.byDeadline, this.sizes,
-				this.programs.withBound(changed.programs()), this.backlog, this.lastNumber);
+		return new FairQueue<>(this.ordering, changed, this.callsById, this.byDeadline, this.callCounts,
+				this.programs.resizedTo(changed.maxPrograms()), this.backlog, this.lastSequence);
 	}
 
 	/**
@@ -196,7 +196,7 @@
 	 * @return whether it waits
 	 */
 	public boolean contains(K id) {
-		return this.calls.containsKey(id);
+		return this.callsById.containsKey(id);
 	}
 
 	/**
@@ -204,7 +204,7 @@
 	 * @return whether no call waits
 	 */
 	public boolean isEmpty() {
-		return this.calls.isEmpty();
+		return this.callsById.isEmpty();
 	}
 
 	/**
@@ -212,7 +212,7 @@
 	 * @return the number of calls
 	 */
 	public int size() {
-		return this.calls.size();
+		return this.callsById.size();
 	}
 
 	/**
@@ -221,7 +221,7 @@
 	 * @return the number of its calls
 	 */
 	public int size(GroupName group) {
-		return this.sizes.getOrElse(group, 0);
+		return this.callCounts.getOrElse(group, 0);
 	}
 
 	/**
@@ -239,7 +239,7 @@
 	 * @param program the program
 	 * @return the cost charged to it, 0 for a program that is not remembered
 	 */
-	public long attained(ProgramId program) {
+	public long attainedService(ProgramId program) {
 		return this.programs.find(program).map(ProgramAccounts.Account::attained).orElse(0L);
 	}
 
@@ -247,47 +247,50 @@
 	 * Returns the number of programs whose service is remembered.
 	 * @return the number of programs
 	 */
-	public int rememberedPrograms() {
+	public int trackedPrograms() {
 		return this.programs.size();
 	}
 
 	private FairQueue<K, T> with(Entry<K, T> entry) {
-		long number = this.lastNumber + 1;
+		long number = this.lastSequence + 1;
 		Optional<ProgramAccounts.Account> account = entry.program().flatMap(this.programs::find);
 		Instant programArrived = account.map(ProgramAccounts.Account::arrived).orElse(entry.arrived());
 		long attained = account.map(ProgramAccounts.Account::attained).orElse(0L);
 		Instant rank = this.ordering.rank(entry.arrived(), programArrived, attained);
-		Waiting<K, T> call = new Waiting<>(entry, new Place(rank, number), new Place(entry.deadline(), number));
-		return new FairQueue<>(this.ordering, this.bounds, this.calls.put(entry.id(), call),
-				this.byDeadline.put(call.due(), call), this.sizes.put(entry.group(), size(entry.group()) + 1),
-				promised(entry), this.backlog.with(call), number);
+		QueuedCall<K, T> call = new QueuedCall<>(entry, new QueuePosition(rank, number),
+				new QueuePosition(entry.deadline(), number));
+		return new FairQueue<>(this.ordering, this.bounds, this.callsById.put(entry.id(), call),
+				this.byDeadline.put(call.deadlinePosition(), call),
+				this.callCounts.put(entry.group(), size(entry.group()) + 1), promised(entry), this.backlog.with(call),
+				number);
 	}
 
-	private FairQueue<K, T> without(Waiting<K, T> call) {
+	private FairQueue<K, T> without(QueuedCall<K, T> call) {
 		Entry<K, T> entry = call.entry();
-		return withoutCall(call).with(this.backlog.without(call), charged(entry.program(), -entry.cost()));
+		return withoutCall(call).with(this.backlog.without(call), charged(entry.program(), -entry.estimatedCost()));
 	}
 
-	private FairQueue<K, T> served(Waiting<K, T> call) {
+	private FairQueue<K, T> served(QueuedCall<K, T> call) {
 		return withoutCall(call).with(this.backlog.served(call), this.programs);
 	}
 
-	private FairQueue<K, T> withoutCall(Waiting<K, T> call) {
+	private FairQueue<K, T> withoutCall(QueuedCall<K, T> call) {
 		GroupName group = call.group();
 		int left = size(group) - 1;
-		return new FairQueue<>(this.ordering, this.bounds, this.calls.remove(call.entry().id()),
-				this.byDeadline.remove(call.due()), (left > 0) ? this.sizes.put(group, left) : this.sizes.remove(group),
-				this.programs, this.backlog, this.lastNumber);
+		return new FairQueue<>(this.ordering, this.bounds, this.callsById.remove(call.entry().id()),
+				this.byDeadline.remove(call.deadlinePosition()),
+				(left > 0) ? this.callCounts.put(group, left) : this.callCounts.remove(group), this.programs,
+				this.backlog, this.lastSequence);
 	}
 
 	private FairQueue<K, T> with(Backlog<K, T> changedBacklog, ProgramAccounts changedPrograms) {
-		return new FairQueue<>(this.ordering, this.bounds, this.calls, this.byDeadline, this.sizes, changedPrograms,
-				changedBacklog, this.lastNumber);
+		return new FairQueue<>(this.ordering, this.bounds, this.callsById, this.byDeadline, this.callCounts,
+				changedPrograms, changedBacklog, this.lastSequence);
 	}
 
 	private ProgramAccounts promised(Entry<K, T> entry) {
 		return entry.program()
-			.map((program) -> this.programs.promised(program, entry.arrived(), entry.cost()))
+			.map((program) -> this.programs.reserve(program, entry.arrived(), entry.estimatedCost()))
 			.orElse(this.programs);
 	}
 
@@ -303,12 +306,12 @@
 		/**
 		 * The bound of the calls of one group.
 		 */
-		CALLS_OF_GROUP,
+		GROUP_CALLS,
 
 		/**
 		 * The bound of the calls of all groups together.
 		 */
-		CALLS_IN_ALL
+		TOTAL_CALLS
 
 	}
 
@@ -328,7 +331,7 @@
 	 * @param payload what the caller of the queue keeps with the call
 	 */
 	public record Entry<K, T>(K id, GroupName group, Optional<ProgramId> program, ServiceClass serviceClass,
-			Instant arrived, Instant deadline, long cost, T payload) {
+			Instant arrived, Instant deadline, long estimatedCost, T payload) {
 
 		/**
 		 * Creates a call.
@@ -349,8 +352,8 @@
 			Objects.requireNonNull(serviceClass, "serviceClass");
 			Objects.requireNonNull(arrived, "arrived");
 			Objects.requireNonNull(deadline, "deadline");
-			if (cost < 1) {
-				throw new IllegalArgumentException("a cost must be positive, not " + cost);
+			if (estimatedCost < 1) {
+				throw new IllegalArgumentException("a cost must be positive, not " + estimatedCost);
 			}
 		}
 
@@ -363,7 +366,7 @@
 	 * @param <K> the type of the calls' identities
 	 * @param <T> the type of the calls' payloads
 	 */
-	public sealed interface Offered<K, T> {
+	public sealed interface OfferResult<K, T> {
 
 		/**
 		 * A call that waits now.
@@ -373,7 +376,7 @@
 		 * @param queue the queue with the call
 		 * @param displaced the call that had to leave for it: it did not run and will not
 		 */
-		record Queued<K, T>(FairQueue<K, T> queue, Optional<Entry<K, T>> displaced) implements Offered<K, T> {
+		record Queued<K, T>(FairQueue<K, T> queue, Optional<Entry<K, T>> evicted) implements OfferResult<K, T> {
 
 		}
 
@@ -384,7 +387,7 @@
 		 * @param <T> the type of the calls' payloads
 		 * @param bound the bound that keeps it out
 		 */
-		record Full<K, T>(Bound bound) implements Offered<K, T> {
+		record Rejected<K, T>(Bound bound) implements OfferResult<K, T> {
 
 		}
 
@@ -398,17 +401,18 @@
 	 * @param <T> the type of the calls' payloads
 	 * @param queue the queue without the calls taken out
 	 * @param entry the call, empty only if no call waits any more
-	 * @param expired the calls whose deadline has passed: they did not run and will not
+	 * @param removeExpired the calls whose deadline has passed: they did not run and will
+	 * not
 	 */
-	public record Polled<K, T>(FairQueue<K, T> queue, Optional<Entry<K, T>> entry, List<Entry<K, T>> expired) {
+	public record PollResult<K, T>(FairQueue<K, T> queue, Optional<Entry<K, T>> entry, List<Entry<K, T>> expired) {
 
 		/**
 		 * Creates a result.
 		 * @param queue the queue without the calls taken out
 		 * @param entry the call, empty only if no call waits any more
-		 * @param expired the calls whose deadline has passed
+		 * @param removeExpired the calls whose deadline has passed
 		 */
-		public Polled {
+		public PollResult {
 			expired = List.copyOf(expired);
 		}
 
@@ -423,7 +427,7 @@
 	 * @param queue the queue without the call
 	 * @param entry the call: it did not run and will not
 	 */
-	public record Removed<K, T>(FairQueue<K, T> queue, Entry<K, T> entry) {
+	public record RemoveResult<K, T>(FairQueue<K, T> queue, Entry<K, T> entry) {
 
 	}
 
@@ -436,14 +440,14 @@
 	 * @param queue the queue without the calls
 	 * @param entries the calls: they did not run and will not
 	 */
-	public record Expired<K, T>(FairQueue<K, T> queue, List<Entry<K, T>> entries) {
+	public record ExpiryResult<K, T>(FairQueue<K, T> queue, List<Entry<K, T>> entries) {
 
 		/**
 		 * Creates a result.
 		 * @param queue the queue without the calls
 		 * @param entries the calls: they did not run and will not
 		 */
-		public Expired {
+		public ExpiryResult {
 			entries = List.copyOf(entries);
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/Ordering.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/Ordering.java
@@ -32,15 +32,15 @@
 	 * @param costPerSecond the attained service that puts a call back by one second
 	 * @param maximumSetback the longest a call is put back
 	 */
-	record ForFairShare(int backgroundPercent, long costPerSecond, Duration maximumSetback) implements Ordering {
+	record FairShare(int backgroundPercent, long costPerPenaltySecond, Duration maxPenalty) implements Ordering {
 
 		/**
 		 * The defaults: a tenth for background calls; one second for 250 generated tokens
 		 * at the standard cost, and no more than half a minute.
 		 */
-		public static final ForFairShare DEFAULT = new ForFairShare(10, 10_000, Duration.ofSeconds(30));
+		public static final FairShare DEFAULT = new FairShare(10, 10_000, Duration.ofSeconds(30));
 
-		private static final int ALL = 100;
+		private static final int PERCENT_TOTAL = 100;
 
 		private static final long MILLIS_PER_SECOND = 1000;
 
@@ -53,25 +53,25 @@
 		 * @throws IllegalArgumentException if the part is not from 1 to 99, the cost is
 		 * not positive or the setback negative
 		 */
-		public ForFairShare {
-			if (backgroundPercent < 1 || backgroundPercent >= ALL) {
+		public FairShare {
+			if (backgroundPercent < 1 || backgroundPercent >= PERCENT_TOTAL) {
 				throw new IllegalArgumentException("no percentage from 1 to 99: " + backgroundPercent);
 			}
-			if (costPerSecond < 1 || maximumSetback.isNegative()) {
+			if (costPerPenaltySecond < 1 || maxPenalty.isNegative()) {
 				throw new IllegalArgumentException("the cost must be positive, the setback not negative");
 			}
 		}
 
 		@Override
 		public Instant rank(Instant arrived, Instant programArrived, long attained) {
-			return arrived.plus(setback(attained));
+			return arrived.plus(penalty(attained));
 		}
 
-		private Duration setback(long attained) {
-			if (attained / this.costPerSecond >= this.maximumSetback.toSeconds()) {
-				return this.maximumSetback;
+		private Duration penalty(long attained) {
+			if (attained / this.costPerPenaltySecond >= this.maxPenalty.toSeconds()) {
+				return this.maxPenalty;
 			}
-			return Duration.ofMillis(Math.max(0, attained) * MILLIS_PER_SECOND / this.costPerSecond);
+			return Duration.ofMillis(Math.max(0, attained) * MILLIS_PER_SECOND / this.costPerPenaltySecond);
 		}
 
 		/**
@@ -80,8 +80,8 @@
 		 * @param interactive the service of interactive calls
 		 * @return the service due to background calls
 		 */
-		double dueToBackground(long interactive) {
-			return (double) interactive * this.backgroundPercent / (ALL - this.backgroundPercent);
+		double backgroundCredit(long interactive) {
+			return (double) interactive * this.backgroundPercent / (PERCENT_TOTAL - this.backgroundPercent);
 		}
 
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/ProgramAccounts.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/ProgramAccounts.java
@@ -16,9 +16,9 @@
  */
 final class ProgramAccounts {
 
-	private final int bound;
+	private final int capacity;
 
-	private final long uses;
+	private final long lastUse;
 
 	private final Map<ProgramId, Account> accounts;
 
@@ -26,18 +26,18 @@
 
 	private ProgramAccounts(int bound, long uses, Map<ProgramId, Account> accounts,
 			SortedMap<Long, ProgramId> byLastUse) {
-		this.bound = bound;
-		this.uses = uses;
+		this.capacity = bound;
+		this.lastUse = uses;
 		this.accounts = accounts;
 		this.byLastUse = byLastUse;
 	}
 
 	/**
 	 * Returns accounts of no program.
-	 * @param bound the most programs to hold
+	 * @param capacity the most programs to hold
 	 * @return empty accounts
 	 */
-	static ProgramAccounts upTo(int bound) {
+	static ProgramAccounts withCapacity(int bound) {
 		return new ProgramAccounts(bound, 0, HashMap.empty(), TreeMap.empty());
 	}
 
@@ -46,8 +46,8 @@
 	 * @param changed the most programs to hold
 	 * @return accounts that keep the bound
 	 */
-	ProgramAccounts withBound(int changed) {
-		return new ProgramAccounts(changed, this.uses, this.accounts, this.byLastUse).trimmed();
+	ProgramAccounts resizedTo(int changed) {
+		return new ProgramAccounts(changed, this.lastUse, this.accounts, this.byLastUse).evictOldest();
 	}
 
 	/**
@@ -66,9 +66,9 @@
 	 * @param cost the service promised
 	 * @return the accounts, with that of the program opened if need be
 	 */
-	ProgramAccounts promised(ProgramId program, Instant arrived, long cost) {
+	ProgramAccounts reserve(ProgramId program, Instant arrived, long cost) {
 		Account account = find(program).orElseGet(() -> new Account(arrived, 0, 0));
-		return replaced(program, account, cost).trimmed();
+		return replaced(program, account, cost).evictOldest();
 	}
 
 	/**
@@ -89,7 +89,7 @@
 	 * @return accounts without it
 	 */
 	ProgramAccounts without(ProgramId program) {
-		return find(program).map((account) -> closed(program, account)).orElse(this);
+		return find(program).map((account) -> remove(program, account)).orElse(this);
 	}
 
 	/**
@@ -101,20 +101,20 @@
 	}
 
 	private ProgramAccounts replaced(ProgramId program, Account account, long cost) {
-		long use = this.uses + 1;
+		long use = this.lastUse + 1;
 		Account changed = new Account(account.arrived(), Math.max(0, account.attained() + cost), use);
-		return new ProgramAccounts(this.bound, use, this.accounts.put(program, changed),
+		return new ProgramAccounts(this.capacity, use, this.accounts.put(program, changed),
 				this.byLastUse.remove(account.lastUse()).put(use, program));
 	}
 
-	private ProgramAccounts closed(ProgramId program, Account account) {
-		return new ProgramAccounts(this.bound, this.uses, this.accounts.remove(program),
+	private ProgramAccounts remove(ProgramId program, Account account) {
+		return new ProgramAccounts(this.capacity, this.lastUse, this.accounts.remove(program),
 				this.byLastUse.remove(account.lastUse()));
 	}
 
-	private ProgramAccounts trimmed() {
+	private ProgramAccounts evictOldest() {
 		ProgramAccounts trimmed = this;
-		while (trimmed.size() > this.bound) {
+		while (trimmed.size() > this.capacity) {
 			trimmed = trimmed.without(trimmed.byLastUse.head()._2());
 		}
 		return trimmed;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/Place.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/QueuePosition.java
@@ -7,14 +7,14 @@
  * came earlier first. Immutable and safe for use by several threads.
  *
  * @param time the time that orders the line
- * @param number a number that the queue uses once
+ * @param sequence a number that the queue uses once
  */
-record Place(Instant time, long number) implements Comparable<Place> {
+record QueuePosition(Instant time, long sequence) implements Comparable<QueuePosition> {
 
 	@Override
-	public int compareTo(Place other) {
+	public int compareTo(QueuePosition other) {
 		int byTime = this.time.compareTo(other.time);
-		return (byTime != 0) ? byTime : Long.compare(this.number, other.number);
+		return (byTime != 0) ? byTime : Long.compare(this.sequence, other.sequence);
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/Waiting.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/QueuedCall.java
@@ -10,10 +10,10 @@
  * @param <K> the type of the call's identity
  * @param <T> the type of the call
  * @param entry the call
- * @param turn its place in the order of service
- * @param due its place in the order of deadlines
+ * @param position its place in the order of service
+ * @param deadlinePosition its place in the order of deadlines
  */
-record Waiting<K, T>(FairQueue.Entry<K, T> entry, Place turn, Place due) {
+record QueuedCall<K, T>(FairQueue.Entry<K, T> entry, QueuePosition position, QueuePosition deadlinePosition) {
 
 	/**
 	 * Returns the group of the call.
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/Shares.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/Shares.java
@@ -20,7 +20,7 @@
 	 */
 	public static final Shares EQUAL = new Shares(Map.of());
 
-	private static final long UNLISTED = 1;
+	private static final long DEFAULT_WEIGHT = 1;
 
 	/**
 	 * Creates shares.
@@ -39,7 +39,7 @@
 	 * @param configuration the configuration
 	 * @return the shares of its groups
 	 */
-	public static Shares in(Configuration configuration) {
+	public static Shares from(Configuration configuration) {
 		return new Shares(
 				configuration.groups().stream().collect(Collectors.toMap(GroupPolicy::name, GroupPolicy::share)));
 	}
@@ -50,7 +50,7 @@
 	 * @return its weight, one if it is not listed
 	 */
 	public long of(GroupName group) {
-		return this.weights.getOrDefault(group, UNLISTED);
+		return this.weights.getOrDefault(group, DEFAULT_WEIGHT);
 	}
 
 	/**
@@ -58,7 +58,7 @@
 	 * @param group the group
 	 * @return whether its weight is given
 	 */
-	public boolean lists(GroupName group) {
+	public boolean contains(GroupName group) {
 		return this.weights.containsKey(group);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
@@ -521,7 +521,7 @@
 				.with(FieldName.EPOCH, home.get().epoch())
 				.with(FieldName.REASON, cause));
 		}
-		this.draft.queue = this.draft.queue.forget(program);
+		this.draft.queue = this.draft.queue.removeProgram(program);
 		new SessionRules(this.draft).release(program);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
@@ -49,8 +49,8 @@
 		Configuration configuration = event.configuration();
 		this.draft.setup = Optional
 			.of(new Setup(event.version(), configuration, configuration.upstream(this.draft.self.vm())));
-		this.draft.queue = this.draft.queue.withShares(Shares.in(configuration))
-			.withBounds(QueueBounds.in(configuration));
+		this.draft.queue = this.draft.queue.withShares(Shares.from(configuration))
+			.withBounds(QueueBounds.from(configuration));
 		new HomeRules(this.draft).endWithoutGroup(configuration);
 		new QueueRules(this.draft).pump();
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
@@ -57,13 +57,13 @@
 			return false;
 		}
 		return switch (this.draft.queue.offer(job.entry())) {
-			case FairQueue.Offered.Queued<JobKey, JobKey> queued -> {
+			case FairQueue.OfferResult.Queued<JobKey, JobKey> queued -> {
 				this.draft.queue = queued.queue();
 				accept(job, arrival);
-				queued.displaced().ifPresent((entry) -> drop(entry.id(), queueFull()));
+				queued.evicted().ifPresent((entry) -> drop(entry.id(), queueFull()));
 				yield true;
 			}
-			case FairQueue.Offered.Full<JobKey, JobKey> full -> {
+			case FairQueue.OfferResult.Rejected<JobKey, JobKey> full -> {
 				this.draft.refuse(arrival, queueFull());
 				yield false;
 			}
@@ -121,12 +121,12 @@
 	 * Starts jobs as long as the upstream takes more.
 	 */
 	void pump() {
-		dropExpired(this.draft.queue.expired(this.draft.now));
+		dropExpired(this.draft.queue.removeExpired(this.draft.now));
 		if (!this.draft.upstream.up()) {
 			return;
 		}
 		while (mayStart()) {
-			FairQueue.Polled<JobKey, JobKey> polled = this.draft.queue.poll(this.draft.now);
+			FairQueue.PollResult<JobKey, JobKey> polled = this.draft.queue.poll(this.draft.now);
 			this.draft.queue = polled.queue();
 			if (polled.entry().isEmpty()) {
 				return;
@@ -244,7 +244,7 @@
 		}
 	}
 
-	private void dropExpired(FairQueue.Expired<JobKey, JobKey> expired) {
+	private void dropExpired(FairQueue.ExpiryResult<JobKey, JobKey> expired) {
 		this.draft.queue = expired.queue();
 		for (FairQueue.Entry<JobKey, JobKey> entry : expired.entries()) {
 			drop(entry.id(), CallFailure.notRun(FailureCause.DEADLINE_PASSED,
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarState.java
@@ -94,7 +94,7 @@
 		this.runs = HashMap.empty();
 		this.blamed = HashMap.empty();
 		this.alone = Optional.empty();
-		this.queue = FairQueue.create(Ordering.ForFairShare.DEFAULT, Shares.EQUAL,
+		this.queue = FairQueue.create(Ordering.FairShare.DEFAULT, Shares.EQUAL,
 				QueueBounds.of(QueueLimits.DEFAULT.callsInAll(), QueueLimits.DEFAULT.callsPerGroup()));
 		this.homes = HashMap.empty();
 		this.waiting = HashMap.empty();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/budget/AccountTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/budget/AccountTests.java
@@ -15,14 +15,14 @@
 
 	private static final long LIMIT = 64_000;
 
-	private final Account<String> empty = Account.in(HOUR, 7);
+	private final Account<String> empty = Account.create(HOUR, 7);
 
 	@Test
 	void chargesWhatACallTook() {
-		Account<String> running = granted(100).running("a", 60, NOW);
+		Account<String> running = granted(100).hold("a", 60, NOW);
 		assertThat(running.available()).isEqualTo(40);
-		assertThat(running.settled("a", 10).available()).isEqualTo(90);
-		assertThat(running.settled("a", 10).settled("a", 10).available()).isEqualTo(90);
+		assertThat(running.settle("a", 10).available()).isEqualTo(90);
+		assertThat(running.settle("a", 10).settle("a", 10).available()).isEqualTo(90);
 	}
 
 	// A call takes more than was held for it. The rest of the slice pays, then the next
@@ -30,83 +30,83 @@
 	// that no reservation covers.
 	@Test
 	void paysAnOverdraftBeforeAnyOtherCallRuns() {
-		Account<String> over = granted(100).running("a", 60, NOW).settled("a", 120).waiting("b", 10);
+		Account<String> over = granted(100).hold("a", 60, NOW).settle("a", 120).waiting("b", 10);
 		assertThat(over.available()).isZero();
 		assertThat(over.overdraft()).isEqualTo(20);
-		assertThat(over.mayRun(1)).isFalse();
-		assertThat(over.wanted(LIMIT, 64, NOW)).contains(30L);
-		Account<String> paid = over.granted(HOUR, 7, 30, NOW);
+		assertThat(over.canHold(1)).isFalse();
+		assertThat(over.tokensToReserve(LIMIT, 64, NOW)).contains(30L);
+		Account<String> paid = over.addSlice(HOUR, 7, 30, NOW);
 		assertThat(paid.overdraft()).isZero();
-		assertThat(paid.ready()).contains(new Account.Wish<>("b", 10));
+		assertThat(paid.nextReady()).contains(new Account.WaitingCall<>("b", 10));
 	}
 
 	@Test
 	void paysPartOfAnOverdraftThatIsGreaterThanWhatIsLeft() {
-		Account<String> over = granted(10).running("a", 10, NOW).settled("a", 100).waiting("b", 10);
-		assertThat(over.wanted(50, 50, NOW)).contains(50L);
-		assertThat(over.granted(HOUR, 7, 50, NOW).overdraft()).isEqualTo(40);
+		Account<String> over = granted(10).hold("a", 10, NOW).settle("a", 100).waiting("b", 10);
+		assertThat(over.tokensToReserve(50, 50, NOW)).contains(50L);
+		assertThat(over.addSlice(HOUR, 7, 50, NOW).overdraft()).isEqualTo(40);
 	}
 
 	// The period turns over while a call runs. What it did not take belongs to the old
 	// period: put into the new one, it would be spent beyond the new budget.
 	@Test
 	void dropsWhatIsLeftOfAnEarlierPeriod() {
-		Account<String> next = granted(100).running("a", 60, NOW).at(HOUR, 8);
+		Account<String> next = granted(100).hold("a", 60, NOW).advanceTo(HOUR, 8);
 		assertThat(next.available()).isZero();
-		assertThat(next.settled("a", 10).available()).isZero();
-		assertThat(next.settled("a", 70).overdraft()).isEqualTo(10);
-		assertThat(next.granted(HOUR, 7, 50, NOW).available()).isZero();
-		assertThat(next.at(HOUR, 7)).isSameAs(next);
+		assertThat(next.settle("a", 10).available()).isZero();
+		assertThat(next.settle("a", 70).overdraft()).isEqualTo(10);
+		assertThat(next.addSlice(HOUR, 7, 50, NOW).available()).isZero();
+		assertThat(next.advanceTo(HOUR, 7)).isSameAs(next);
 	}
 
 	@Test
 	void asksForExactlyWhatACallNeedsNearTheEnd() {
 		Account<String> waiting = this.empty.waiting("a", 90).waiting("b", 90);
-		assertThat(waiting.wanted(100, LIMIT, NOW)).contains(90L);
-		assertThat(waiting.wanted(90, LIMIT, NOW)).contains(90L);
+		assertThat(waiting.tokensToReserve(100, LIMIT, NOW)).contains(90L);
+		assertThat(waiting.tokensToReserve(90, LIMIT, NOW)).contains(90L);
 	}
 
 	// An entry believes that nothing is left, from records of a period that is over. It
 	// asks the log all the same, but not again and again.
 	@Test
 	void asksTheLogNowAndThenWhenNothingSeemsLeft() {
-		Account<String> waiting = this.empty.waiting("a", 90).asked(1, NOW).decided(1, NOW);
-		assertThat(waiting.wanted(89, LIMIT, NOW)).isEmpty();
-		assertThat(waiting.wanted(0, LIMIT, NOW.plus(Account.ASKING_TIME))).contains(90L);
-		assertThat(waiting.wanted(0, 89, NOW.plus(Account.ASKING_TIME))).isEmpty();
+		Account<String> waiting = this.empty.waiting("a", 90).recordSent(1, NOW).decided(1, NOW);
+		assertThat(waiting.tokensToReserve(89, LIMIT, NOW)).isEmpty();
+		assertThat(waiting.tokensToReserve(0, LIMIT, NOW.plus(Account.RETRY_INTERVAL))).contains(90L);
+		assertThat(waiting.tokensToReserve(0, 89, NOW.plus(Account.RETRY_INTERVAL))).isEmpty();
 	}
 
 	@Test
 	void asksAheadWithinItsPartOfTheBudget() {
-		Account<String> quick = granted(800).running("a", 800, NOW).waiting("b", 1);
-		assertThat(quick.wanted(LIMIT, LIMIT, NOW)).contains(LIMIT / SliceSize.PART_OF_LIMIT);
-		assertThat(quick.wanted(1600, LIMIT, NOW)).contains(1600L / SliceSize.PART_OF_LEFT);
-		assertThat(quick.wanted(LIMIT, LIMIT, NOW.plus(SliceSize.QUICK))).contains(800L);
+		Account<String> quick = granted(800).hold("a", 800, NOW).waiting("b", 1);
+		assertThat(quick.tokensToReserve(LIMIT, LIMIT, NOW)).contains(LIMIT / SliceSize.LIMIT_DIVISOR);
+		assertThat(quick.tokensToReserve(1600, LIMIT, NOW)).contains(1600L / SliceSize.REMAINING_DIVISOR);
+		assertThat(quick.tokensToReserve(LIMIT, LIMIT, NOW.plus(SliceSize.MIN_SLICE_DURATION))).contains(800L);
 	}
 
 	@Test
 	void setsIdleTokensAside() {
 		Account<String> idle = granted(100);
-		Instant later = NOW.plus(Account.IDLE_TIME);
-		assertThat(idle.afterIdling(later.minusMillis(1))).isSameAs(idle);
-		assertThat(idle.afterIdling(later).surplus()).isEqualTo(100);
-		assertThat(idle.afterIdling(later).available()).isZero();
-		assertThat(idle.waiting("a", 200).afterIdling(later).surplus()).isZero();
+		Instant later = NOW.plus(Account.IDLE_TIMEOUT);
+		assertThat(idle.releaseIfIdle(later.minusMillis(1))).isSameAs(idle);
+		assertThat(idle.releaseIfIdle(later).tokensToReturn()).isEqualTo(100);
+		assertThat(idle.releaseIfIdle(later).available()).isZero();
+		assertThat(idle.waiting("a", 200).releaseIfIdle(later).tokensToReturn()).isZero();
 	}
 
 	@Test
 	void boundsTheCallsThatWait() {
 		Account<String> full = this.empty;
-		for (int number = 0; number < Account.MOST_WAITING; number++) {
+		for (int number = 0; number < Account.MAX_WAITING_CALLS; number++) {
 			assertThat(full.isFull()).isFalse();
 			full = full.waiting("call-" + number, 1);
 		}
 		assertThat(full.isFull()).isTrue();
-		assertThat(full.withdrawn("call-3").isFull()).isFalse();
+		assertThat(full.removeWaiting("call-3").isFull()).isFalse();
 	}
 
 	private Account<String> granted(long tokens) {
-		return this.empty.granted(HOUR, 7, tokens, NOW);
+		return this.empty.addSlice(HOUR, 7, tokens, NOW);
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/budget/LogClockTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/budget/LogClockTests.java
@@ -16,10 +16,10 @@
 
 	@Test
 	void takesTheFreshestRecord() {
-		Optional<LogClock> old = Optional.of(LogClock.after(Optional.empty(), LOG.minusSeconds(3600), START));
-		Optional<LogClock> fresh = Optional.of(LogClock.after(old, LOG, START));
-		assertThat(fresh.get().at(START.plusSeconds(5))).isEqualTo(LOG.plusSeconds(5));
-		assertThat(LogClock.after(fresh, LOG.minusSeconds(9), START).at(START)).isEqualTo(LOG);
+		Optional<LogClock> old = Optional.of(LogClock.update(Optional.empty(), LOG.minusSeconds(3600), START));
+		Optional<LogClock> fresh = Optional.of(LogClock.update(old, LOG, START));
+		assertThat(fresh.get().logTime(START.plusSeconds(5))).isEqualTo(LOG.plusSeconds(5));
+		assertThat(LogClock.update(fresh, LOG.minusSeconds(9), START).logTime(START)).isEqualTo(LOG);
 	}
 
 	// The clock of this process runs fast, by one second an hour. If the greatest lead
@@ -30,8 +30,8 @@
 		Optional<LogClock> clock = Optional.empty();
 		for (int hour = 0; hour < 100; hour++) {
 			Instant now = START.plus(Duration.ofHours(hour)).plusSeconds(hour);
-			clock = Optional.of(LogClock.after(clock, LOG.plus(Duration.ofHours(hour)), now));
-			assertThat(clock.get().at(now)).isEqualTo(LOG.plus(Duration.ofHours(hour)));
+			clock = Optional.of(LogClock.update(clock, LOG.plus(Duration.ofHours(hour)), now));
+			assertThat(clock.get().logTime(now)).isEqualTo(LOG.plus(Duration.ofHours(hour)));
 		}
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/share/FairQueueTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/share/FairQueueTests.java
@@ -13,8 +13,8 @@
 import io.lentilslip.core.identity.ProgramId;
 import io.lentilslip.core.identity.ProgramName;
 import io.lentilslip.core.share.FairQueue.Entry;
-import io.lentilslip.core.share.FairQueue.Offered;
-import io.lentilslip.core.share.FairQueue.Polled;
+import io.lentilslip.core.share.FairQueue.OfferResult;
+import io.lentilslip.core.share.FairQueue.PollResult;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -40,7 +40,7 @@
 
 	private static final QueueBounds WIDE = QueueBounds.of(100_000, 100_000);
 
-	private static final List<Ordering> ORDERINGS = List.of(Ordering.ForFairShare.DEFAULT,
+	private static final List<Ordering> ORDERINGS = List.of(Ordering.FairShare.DEFAULT,
 			new Ordering.FirstComeFirstServed(), new Ordering.ProgramFirstCome());
 
 	private int lastId;
@@ -60,10 +60,10 @@
 		double least = 0;
 		double most = 0;
 		while (queue.size(BUYERS) > 0 && queue.size(SELLERS) > 0) {
-			Polled<Integer, String> polled = queue.poll(START);
+			PollResult<Integer, String> polled = queue.poll(START);
 			Entry<Integer, String> served = polled.entry().orElseThrow();
-			buyers += served.group().equals(BUYERS) ? (double) served.cost() / buyersShare : 0;
-			sellers += served.group().equals(SELLERS) ? (double) served.cost() / sellersShare : 0;
+			buyers += served.group().equals(BUYERS) ? (double) served.estimatedCost() / buyersShare : 0;
+			sellers += served.group().equals(SELLERS) ? (double) served.estimatedCost() / sellersShare : 0;
 			least = Math.min(least, buyers - sellers);
 			most = Math.max(most, buyers - sellers);
 			queue = polled.queue();
@@ -88,11 +88,11 @@
 				case POLL -> poll(queue, model, now);
 				case REMOVE -> remove(queue, model, operation.number());
 				case CHARGE -> queue.charge(operation.group(), Optional.of(operation.program()), operation.cost());
-				case FORGET -> queue.forget(operation.program());
+				case FORGET -> queue.removeProgram(operation.program());
 			};
 			assertThat(queue.size()).isEqualTo(model.size());
 			assertThat(queue.size(BUYERS) + queue.size(SELLERS)).isEqualTo(model.size());
-			assertThat(queue.rememberedPrograms()).isLessThanOrEqualTo(4);
+			assertThat(queue.trackedPrograms()).isLessThanOrEqualTo(4);
 			assertThat(queue.nextDeadline())
 				.isEqualTo(model.values().stream().map(Entry::deadline).min(Instant::compareTo));
 		}
@@ -145,7 +145,7 @@
 	@Test
 	void serviceBeyondTheEstimateCountsAgainstTheGroup() {
 		FairQueue<Integer, String> queue = backlog(backlog(fair(Shares.EQUAL), BUYERS, 20), SELLERS, 20);
-		Polled<Integer, String> first = queue.poll(START);
+		PollResult<Integer, String> first = queue.poll(START);
 		Entry<Integer, String> served = first.entry().orElseThrow();
 		queue = first.queue().settle(served, 500);
 		assertThat(nextEntries(queue, 5)).extracting(Entry::group).doesNotContain(served.group());
@@ -165,7 +165,7 @@
 	// same group would wait for ever, and their callers would see only passed deadlines.
 	@Property(tries = 50, seed = "4")
 	void backgroundCallsKeepTheirPart(@ForAll @IntRange(min = 1, max = 99) int percent) {
-		Ordering ordering = new Ordering.ForFairShare(percent, 10_000, Duration.ofSeconds(30));
+		Ordering ordering = new Ordering.FairShare(percent, 10_000, Duration.ofSeconds(30));
 		FairQueue<Integer, String> queue = FairQueue.create(ordering, Shares.EQUAL, WIDE);
 		for (int i = 0; i < 300; i++) {
 			queue = with(queue, entry(BUYERS, 10));
@@ -204,7 +204,7 @@
 		queue = with(with(queue, later), fresh);
 		assertThat(nextEntries(queue, 2)).containsExactly(fresh, later);
 		Entry<Integer, String> again = of("long", START, 10);
-		assertThat(nextEntries(with(queue.forget(program("long")), again), 1)).containsExactly(again);
+		assertThat(nextEntries(with(queue.removeProgram(program("long")), again), 1)).containsExactly(again);
 	}
 
 	@Test
@@ -224,7 +224,7 @@
 		FairQueue<Integer, String> queue = with(fair(Shares.EQUAL), of("long", START, attained)).poll(START).queue();
 		Entry<Integer, String> call = of("long", START, 10);
 		queue = with(queue, call);
-		Duration setback = Ordering.ForFairShare.DEFAULT.maximumSetback();
+		Duration setback = Ordering.FairShare.DEFAULT.maxPenalty();
 		for (int second = 0; second < 100; second++) {
 			queue = with(queue, of("new-" + second, START.plusSeconds(second), 10));
 		}
@@ -243,7 +243,7 @@
 				10, "other");
 		FairQueue<Integer, String> queue = with(with(fair(Shares.EQUAL), late), other);
 		assertThat(queue.poll(START).entry()).contains(late);
-		Polled<Integer, String> polled = queue.poll(START.plusSeconds(1));
+		PollResult<Integer, String> polled = queue.poll(START.plusSeconds(1));
 		assertThat(polled.entry()).contains(other);
 		assertThat(polled.expired()).containsExactly(late);
 		assertThat(polled.queue().isEmpty()).isTrue();
@@ -251,15 +251,15 @@
 
 	@Test
 	void aFullQueueTurnsAwayTheGroupThatIsOverItsShare() {
-		FairQueue<Integer, String> queue = FairQueue.create(Ordering.ForFairShare.DEFAULT, Shares.EQUAL,
+		FairQueue<Integer, String> queue = FairQueue.create(Ordering.FairShare.DEFAULT, Shares.EQUAL,
 				QueueBounds.of(4, 4));
 		queue = with(backlog(queue, SELLERS, 3), entry(BUYERS, 10));
-		assertThat(queue.offer(entry(SELLERS, 10))).isEqualTo(new Offered.Full<>(FairQueue.Bound.CALLS_IN_ALL));
-		Offered<Integer, String> offered = queue.offer(entry(new GroupName("owners"), 10));
-		assertThat(offered).isInstanceOfSatisfying(Offered.Queued.class, (queued) -> {
+		assertThat(queue.offer(entry(SELLERS, 10))).isEqualTo(new OfferResult.Rejected<>(FairQueue.Bound.TOTAL_CALLS));
+		OfferResult<Integer, String> offered = queue.offer(entry(new GroupName("owners"), 10));
+		assertThat(offered).isInstanceOfSatisfying(OfferResult.Queued.class, (queued) -> {
 			assertThat(queued.queue().size()).isEqualTo(4);
 			assertThat(queued.queue().size(SELLERS)).isEqualTo(2);
-			assertThat(queued.displaced()).isPresent();
+			assertThat(queued.evicted()).isPresent();
 		});
 	}
 
@@ -268,7 +268,7 @@
 		QueueBounds bounds = new QueueBounds(10, 5, Map.of(SELLERS, 1), 10);
 		FairQueue<Integer, String> queue = FairQueue.create(new Ordering.FirstComeFirstServed(), Shares.EQUAL, bounds);
 		queue = with(queue, entry(SELLERS, 10));
-		assertThat(queue.offer(entry(SELLERS, 10))).isEqualTo(new Offered.Full<>(FairQueue.Bound.CALLS_OF_GROUP));
+		assertThat(queue.offer(entry(SELLERS, 10))).isEqualTo(new OfferResult.Rejected<>(FairQueue.Bound.GROUP_CALLS));
 		assertThat(backlog(queue, BUYERS, 5).size()).isEqualTo(6);
 	}
 
@@ -314,12 +314,12 @@
 			return queue;
 		}
 		return switch (queue.offer(entry)) {
-			case Offered.Queued<Integer, String> queued -> {
-				queued.displaced().ifPresent((call) -> assertThat(model.remove(call.id())).isEqualTo(call));
+			case OfferResult.Queued<Integer, String> queued -> {
+				queued.evicted().ifPresent((call) -> assertThat(model.remove(call.id())).isEqualTo(call));
 				model.put(entry.id(), entry);
 				yield queued.queue();
 			}
-			case Offered.Full<Integer, String> full -> {
+			case OfferResult.Rejected<Integer, String> full -> {
 				assertThat(model.size() == 12 || queue.size(entry.group()) == 6).isTrue();
 				yield queue;
 			}
@@ -328,7 +328,7 @@
 
 	private static FairQueue<Integer, String> poll(FairQueue<Integer, String> queue,
 			Map<Integer, Entry<Integer, String>> model, Instant now) {
-		Polled<Integer, String> polled = queue.poll(now);
+		PollResult<Integer, String> polled = queue.poll(now);
 		List<Entry<Integer, String>> due = model.values()
 			.stream()
 			.filter((entry) -> !entry.deadline().isAfter(now))
@@ -342,13 +342,13 @@
 
 	private static FairQueue<Integer, String> remove(FairQueue<Integer, String> queue,
 			Map<Integer, Entry<Integer, String>> model, int id) {
-		Optional<FairQueue.Removed<Integer, String>> removed = queue.remove(id);
-		assertThat(removed.map(FairQueue.Removed::entry)).isEqualTo(Optional.ofNullable(model.remove(id)));
-		return removed.map(FairQueue.Removed::queue).orElse(queue);
+		Optional<FairQueue.RemoveResult<Integer, String>> removed = queue.remove(id);
+		assertThat(removed.map(FairQueue.RemoveResult::entry)).isEqualTo(Optional.ofNullable(model.remove(id)));
+		return removed.map(FairQueue.RemoveResult::queue).orElse(queue);
 	}
 
 	private static FairQueue<Integer, String> fair(Shares shares) {
-		return FairQueue.create(Ordering.ForFairShare.DEFAULT, shares, WIDE);
+		return FairQueue.create(Ordering.FairShare.DEFAULT, shares, WIDE);
 	}
 
 	private FairQueue<Integer, String> backlog(FairQueue<Integer, String> queue, GroupName group, int calls) {
@@ -360,9 +360,9 @@
 	}
 
 	private static FairQueue<Integer, String> with(FairQueue<Integer, String> queue, Entry<Integer, String> entry) {
-		Offered<Integer, String> offered = queue.offer(entry);
-		assertThat(offered).isInstanceOf(Offered.Queued.class);
-		return ((Offered.Queued<Integer, String>) offered).queue();
+		OfferResult<Integer, String> offered = queue.offer(entry);
+		assertThat(offered).isInstanceOf(OfferResult.Queued.class);
+		return ((OfferResult.Queued<Integer, String>) offered).queue();
 	}
 
 	@SafeVarargs
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarSite.java
@@ -273,7 +273,7 @@
 	}
 
 	long attained() {
-		return this.state.queue.attained(PROGRAM);
+		return this.state.queue.attainedService(PROGRAM);
 	}
 
 	List<String> leftovers() {
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/benchmark/QueueBenchmark.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/benchmark/QueueBenchmark.java
@@ -13,8 +13,8 @@
 import io.lentilslip.core.identity.ProgramName;
 import io.lentilslip.core.share.FairQueue;
 import io.lentilslip.core.share.FairQueue.Entry;
-import io.lentilslip.core.share.FairQueue.Offered;
-import io.lentilslip.core.share.FairQueue.Polled;
+import io.lentilslip.core.share.FairQueue.OfferResult;
+import io.lentilslip.core.share.FairQueue.PollResult;
 import io.lentilslip.core.share.Ordering;
 import io.lentilslip.core.share.QueueBounds;
 import io.lentilslip.core.share.Shares;
@@ -74,7 +74,7 @@
 	@Setup
 	public void fill() {
 		this.programs = IntStream.range(0, this.groups * PROGRAMS_PER_GROUP).mapToObj(this::program).toList();
-		FairQueue<Long, Long> queue = FairQueue.create(Ordering.ForFairShare.DEFAULT, Shares.EQUAL,
+		FairQueue<Long, Long> queue = FairQueue.create(Ordering.FairShare.DEFAULT, Shares.EQUAL,
 				QueueBounds.of(BOUND, BOUND));
 		for (int call = 0; call < this.groups * CALLS_PER_GROUP; call++) {
 			queue = with(queue, nextEntry());
@@ -88,7 +88,7 @@
 	 * @return the queue with the call
 	 */
 	@Benchmark
-	public Offered<Long, Long> offer() {
+	public OfferResult<Long, Long> offer() {
 		return this.filled.offer(nextEntry());
 	}
 
@@ -97,7 +97,7 @@
 	 * @return the queue without the call
 	 */
 	@Benchmark
-	public Polled<Long, Long> poll() {
+	public PollResult<Long, Long> poll() {
 		return this.filled.poll(NOW);
 	}
 
@@ -108,16 +108,16 @@
 	 */
 	@Benchmark
 	public FairQueue<Long, Long> offerPollAndSettle() {
-		Polled<Long, Long> polled = with(this.changing, nextEntry()).poll(NOW);
+		PollResult<Long, Long> polled = with(this.changing, nextEntry()).poll(NOW);
 		Entry<Long, Long> served = polled.entry().orElseThrow();
-		this.changing = polled.queue().settle(served, served.cost() + served.id() % ESTIMATE);
+		this.changing = polled.queue().settle(served, served.estimatedCost() + served.id() % ESTIMATE);
 		return this.changing;
 	}
 
 	private static FairQueue<Long, Long> with(FairQueue<Long, Long> queue, Entry<Long, Long> entry) {
 		return switch (queue.offer(entry)) {
-			case Offered.Queued<Long, Long> queued -> queued.queue();
-			case Offered.Full<Long, Long> full -> throw new IllegalStateException("the queue is full");
+			case OfferResult.Queued<Long, Long> queued -> queued.queue();
+			case OfferResult.Rejected<Long, Long> full -> throw new IllegalStateException("the queue is full");
 		};
 	}
 
