--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
@@ -535,7 +535,7 @@
 				.with(FieldName.EPOCH, home.get().epoch())
 				.with(FieldName.REASON, cause));
 		}
-		this.builder.queue = this.builder.queue.forget(program);
+		this.builder.queue = this.builder.queue.removeProgram(program);
 		new SessionRules(this.builder).release(program);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
@@ -49,8 +49,8 @@
 		Configuration configuration = event.configuration();
 		this.builder.configuration = Optional.of(new ActiveConfiguration(event.version(), configuration,
 				configuration.upstream(this.builder.self.vm())));
-		this.builder.queue = this.builder.queue.withShares(Shares.in(configuration))
-			.withBounds(QueueBounds.in(configuration));
+		this.builder.queue = this.builder.queue.withShares(Shares.from(configuration))
+			.withBounds(QueueBounds.from(configuration));
 		new HomeRules(this.builder).endProgramsWithoutGroup(configuration);
 		new QueueRules(this.builder).startJobs();
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
@@ -57,13 +57,13 @@
 			return false;
 		}
 		return switch (this.builder.queue.offer(job.queueEntry())) {
-			case FairQueue.Offered.Queued<JobKey, JobKey> queued -> {
+			case FairQueue.OfferResult.Queued<JobKey, JobKey> queued -> {
 				this.builder.queue = queued.queue();
 				accept(job, incoming);
-				queued.displaced().ifPresent((entry) -> drop(entry.id(), queueFull()));
+				queued.evicted().ifPresent((entry) -> drop(entry.id(), queueFull()));
 				yield true;
 			}
-			case FairQueue.Offered.Full<JobKey, JobKey> full -> {
+			case FairQueue.OfferResult.Rejected<JobKey, JobKey> full -> {
 				this.builder.refuse(incoming, queueFull());
 				yield false;
 			}
@@ -121,12 +121,12 @@
 	 * Starts queued jobs until the upstream has reached its limit of calls.
 	 */
 	void startJobs() {
-		dropExpired(this.builder.queue.expired(this.builder.now));
+		dropExpired(this.builder.queue.removeExpired(this.builder.now));
 		if (!this.builder.upstream.reachable()) {
 			return;
 		}
 		while (canStart()) {
-			FairQueue.Polled<JobKey, JobKey> polled = this.builder.queue.poll(this.builder.now);
+			FairQueue.PollResult<JobKey, JobKey> polled = this.builder.queue.poll(this.builder.now);
 			this.builder.queue = polled.queue();
 			if (polled.entry().isEmpty()) {
 				return;
@@ -248,7 +248,7 @@
 		}
 	}
 
-	private void dropExpired(FairQueue.Expired<JobKey, JobKey> expired) {
+	private void dropExpired(FairQueue.ExpiryResult<JobKey, JobKey> expired) {
 		this.builder.queue = expired.queue();
 		for (FairQueue.Entry<JobKey, JobKey> entry : expired.entries()) {
 			drop(entry.id(), CallFailure.notRun(FailureCause.DEADLINE_PASSED,
