--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/BudgetState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/BudgetState.java
@@ -11,24 +11,25 @@
 import io.vavr.collection.Map;
 
 /**
- * What the log says of the budget of a group in one period. Nothing is reserved that
- * would pass the limit of the newest configuration seen, and a record of an entry counts
- * once. The size is bounded: the state knows at most {@value #MOST_ENTRIES} entries and
- * nothing of earlier periods. Immutable and safe for use by several threads.
+ * Immutable view of a group's budget in one period, derived from the log. No reservation
+ * exceeds the limit of the newest configuration in the records, and each record of an
+ * entry counts at most once. Memory is bounded: at most {@value #MAX_ENTRIES} entries are
+ * tracked, and earlier periods are discarded. Safe for use by several threads.
  *
- * @param configurationVersion the newest configuration that the records name
- * @param limit the tokens of one period in it
- * @param period the length of a period in it
- * @param lastReservedAt the log's time of the last reservation under it
+ * @param configurationVersion the newest configuration version in the records
+ * @param limit the limit of that configuration, in tokens per period
+ * @param period the length of a period in that configuration
+ * @param lastReservedAt the log's time of the last reservation under that configuration
  * @param periodIndex the number of the period, counted from the epoch of the log's clock
- * @param reserved the tokens reserved in the period and not returned
- * @param entries what the log knows of the entries that wrote in the period
+ * @param reserved the tokens reserved and not returned in the period
+ * @param entries the usage of the entries that wrote records in the period
  */
 public record BudgetState(long configurationVersion, long limit, Duration period, Instant lastReservedAt,
 		long periodIndex, long reserved, Map<ProcessId, EntryUsage> entries) {
 
 	/**
-	 * The most entries that are known in one period, by their lives.
+	 * The maximum number of tracked entries in one period; each incarnation counts
+	 * separately.
 	 */
 	public static final int MAX_ENTRIES = 1024;
 
@@ -38,7 +39,7 @@
 	}
 
 	/**
-	 * Returns the number of the period that a time is in.
+	 * Returns the number of the period that contains a time.
 	 * @param time the time
 	 * @param period the length of a period
 	 * @return the number of the period
@@ -48,24 +49,24 @@
 	}
 
 	/**
-	 * Returns the tokens that may be reserved yet.
-	 * @return the tokens, none if the limit was lowered below what is reserved
+	 * Returns the tokens that can still be reserved.
+	 * @return the tokens, or 0 if the limit was lowered below the reserved tokens
 	 */
 	public long remaining() {
 		return Math.max(0, this.limit - this.reserved);
 	}
 
 	/**
-	 * Returns this state at the time of a record. A period that is over is forgotten. A
-	 * time of an earlier period, which a clock of the log that was set back could bring,
-	 * counts as the present one: else the budget of a period could be spent twice.
+	 * Returns this state at the time of a record. The state of an earlier period is
+	 * discarded. If the clock of the log was set back, the current period is kept:
+	 * otherwise the budget of a period could be spent twice.
 	 * @param time the log's time
 	 * @return the state
 	 */
 	public BudgetState advanceTo(Instant time) {
-		long next = indexAt(time, this.period);
-		return (next <= this.periodIndex) ? this : new BudgetState(this.configurationVersion, this.limit, this.period,
-				this.lastReservedAt, next, 0, HashMap.empty());
+		long newIndex = indexAt(time, this.period);
+		return (newIndex <= this.periodIndex) ? this : new BudgetState(this.configurationVersion, this.limit,
+				this.period, this.lastReservedAt, newIndex, 0, HashMap.empty());
 	}
 
 	BudgetState withConfigurationOf(LedgerRecord.SliceReserved record, Instant time) {
@@ -73,52 +74,53 @@
 		if (record.configurationVersion() < this.configurationVersion) {
 			return current;
 		}
-		// What is reserved stays so when the length of a period changes: the new period
+		// Reservations are kept when the length of a period changes, since the new period
 		// overlaps the old one.
-		long number = (record.period().equals(current.period)) ? current.periodIndex : indexAt(time, record.period());
-		return new BudgetState(record.configurationVersion(), record.limit(), record.period(), time, number,
+		long newIndex = (record.period().equals(current.period)) ? current.periodIndex : indexAt(time, record.period());
+		return new BudgetState(record.configurationVersion(), record.limit(), record.period(), time, newIndex,
 				current.reserved, current.entries);
 	}
 
 	Decision reserve(LedgerRecord.SliceReserved record) {
-		EntryUsage part = usageOf(record.entry());
-		if (record.sequence() <= part.sequence()) {
+		EntryUsage usage = usageOf(record.entry());
+		if (record.sequence() <= usage.sequence()) {
 			return new Decision(this, Optional.of(VoidReason.SLICE_REPEATED));
 		}
 		if (record.tokens() > remaining()) {
-			return new Decision(with(record.entry(), new EntryUsage(record.sequence(), part.reserved()), this.reserved),
+			return new Decision(
+					with(record.entry(), new EntryUsage(record.sequence(), usage.reserved()), this.reserved),
 					Optional.of(VoidReason.BUDGET_EXHAUSTED));
 		}
-		EntryUsage more = new EntryUsage(record.sequence(), part.reserved() + record.tokens());
-		return new Decision(with(record.entry(), more, this.reserved + record.tokens()), Optional.empty());
+		EntryUsage updated = new EntryUsage(record.sequence(), usage.reserved() + record.tokens());
+		return new Decision(with(record.entry(), updated, this.reserved + record.tokens()), Optional.empty());
 	}
 
 	Decision returnTokens(LedgerRecord.SliceReturned record) {
-		EntryUsage part = usageOf(record.entry());
-		if (record.sequence() <= part.sequence()) {
+		EntryUsage usage = usageOf(record.entry());
+		if (record.sequence() <= usage.sequence()) {
 			return new Decision(this, Optional.of(VoidReason.SLICE_REPEATED));
 		}
-		if (record.periodIndex() != this.periodIndex || record.tokens() > part.reserved()) {
+		if (record.periodIndex() != this.periodIndex || record.tokens() > usage.reserved()) {
 			return new Decision(this, Optional.of(VoidReason.SLICE_UNKNOWN));
 		}
-		EntryUsage less = new EntryUsage(record.sequence(), part.reserved() - record.tokens());
-		return new Decision(with(record.entry(), less, this.reserved - record.tokens()), Optional.empty());
+		EntryUsage updated = new EntryUsage(record.sequence(), usage.reserved() - record.tokens());
+		return new Decision(with(record.entry(), updated, this.reserved - record.tokens()), Optional.empty());
 	}
 
 	private EntryUsage usageOf(ProcessId entry) {
 		return this.entries.getOrElse(entry, EntryUsage.NONE);
 	}
 
-	private BudgetState with(ProcessId entry, EntryUsage part, long total) {
-		Map<ProcessId, EntryUsage> known = (this.entries.containsKey(entry) || this.entries.size() < MAX_ENTRIES)
+	private BudgetState with(ProcessId entry, EntryUsage usage, long total) {
+		Map<ProcessId, EntryUsage> tracked = (this.entries.containsKey(entry) || this.entries.size() < MAX_ENTRIES)
 				? this.entries : evictSmallest();
 		return new BudgetState(this.configurationVersion, this.limit, this.period, this.lastReservedAt,
-				this.periodIndex, total, known.put(entry, part));
+				this.periodIndex, total, tracked.put(entry, usage));
 	}
 
-	// Makes room for an entry. Entries that start again and again would fill the memory
-	// of every process. What the forgotten one reserved stays reserved, and a repeated
-	// record of it could only reserve once more: the limit holds either way.
+	// Evicts the entry with the least reserved tokens, so that frequent restarts of
+	// entries don't exhaust the memory. The evicted reservation stays in the total, and a
+	// duplicate of its record could only reserve more tokens, so the limit holds.
 	private Map<ProcessId, EntryUsage> evictSmallest() {
 		Comparator<ProcessId> order = Comparator.comparing((ProcessId entry) -> usageOf(entry).reserved())
 			.thenComparing(ProcessId::vm)
@@ -127,10 +129,10 @@
 	}
 
 	/**
-	 * What the log knows of an entry in a period.
+	 * The usage of an entry in a period.
 	 *
-	 * @param sequence the highest sequence of its records
-	 * @param reserved the tokens that it reserved and did not return
+	 * @param sequence the highest sequence number of its records
+	 * @param reserved the tokens reserved and not returned
 	 */
 	public record EntryUsage(long sequence, long reserved) {
 
@@ -139,10 +141,10 @@
 	}
 
 	/**
-	 * What follows from a record.
+	 * The result of applying a record.
 	 *
 	 * @param state the state after it
-	 * @param refusal why it took no effect, if it took none
+	 * @param refusal why the record had no effect, or an empty result
 	 */
 	record Decision(BudgetState state, Optional<VoidReason> refusal) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/CallKey.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/CallKey.java
@@ -6,8 +6,8 @@
 import io.lentilslip.core.identity.ServiceName;
 
 /**
- * What identifies a call over all its resends. Keys of different kinds are never equal.
- * Implementations are immutable and safe for use by several threads.
+ * Immutable identity of a call across its retries. Keys of different kinds are never
+ * equal. Safe for use by several threads.
  */
 public sealed interface CallKey {
 
@@ -28,7 +28,7 @@
 	}
 
 	/**
-	 * The number of a service call in its program.
+	 * The number of a service call within its program.
 	 *
 	 * @param program the program
 	 * @param service the service
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/ClaimState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/ClaimState.java
@@ -7,12 +7,13 @@
 import io.lentilslip.core.identity.ProcessId;
 
 /**
- * What the log says of a claimed call. Immutable and safe for use by several threads.
+ * Immutable state of a claimed call, derived from the log. Safe for use by several
+ * threads.
  *
- * @param content the digest of what is asked
+ * @param content the digest of the request
  * @param executor the only process that may run the call
- * @param claimPosition where the claim stands
- * @param outcome the outcome, if the executor wrote one
+ * @param claimPosition the position of the claim in the log
+ * @param outcome the outcome, if the executor has appended one
  */
 public record ClaimState(Digest content, ProcessId executor, Position claimPosition, Optional<CallOutcome> outcome) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/EndReason.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/EndReason.java
@@ -11,17 +11,17 @@
 	BY_CALLER,
 
 	/**
-	 * Its parent ended.
+	 * Its parent program ended.
 	 */
 	WITH_PARENT,
 
 	/**
-	 * It was silent for longer than the limit.
+	 * It received no call for longer than the idle time.
 	 */
 	IDLE,
 
 	/**
-	 * It lived longer than the limit.
+	 * It reached its lifetime.
 	 */
 	LIFETIME,
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Epoch.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Epoch.java
@@ -1,10 +1,10 @@
 package io.lentilslip.core.ledger;
 
 /**
- * The number of a program's home. It grows by one with every change of the home, and work
- * of an earlier epoch is void. Immutable and safe for use by several threads.
+ * Immutable number of a program's home. It increases by one with each claim of the home,
+ * and records of an earlier epoch have no effect. Safe for use by several threads.
  *
- * @param value the number, from 1; 0 stands for a program without a home
+ * @param value the number, starting at 1; 0 for a program without a home
  */
 public record Epoch(long value) implements Comparable<Epoch> {
 
@@ -14,7 +14,7 @@
 	public static final Epoch NONE = new Epoch(0);
 
 	/**
-	 * Returns the epoch after this one.
+	 * Returns the epoch that follows this one.
 	 * @return the next epoch
 	 */
 	public Epoch next() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Ledger.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Ledger.java
@@ -19,19 +19,19 @@
 import io.vavr.collection.Set;
 
 /**
- * The reading of the stream {@code programs}. Every process that applies the same records
- * in the order of the log holds the same ledger: no clock but the log's own is used. An
- * epoch of a program only grows, a turn is added once and in its order, and a call has at
- * most one executor at a time. Immutable and safe for use by several threads.
+ * Immutable state derived from the stream {@code programs}. Processes that apply the same
+ * records in the order of the log have the same ledger, since the log's time is the only
+ * clock used. The epoch of a program never decreases, each turn is added once and in
+ * order, and a call has at most one executor at a time. Safe for use by several threads.
  */
 public final class Ledger {
 
 	/**
-	 * How long a program is remembered after its first claim, by the log's time. All
-	 * processes must use the same value, since it decides which records take effect. No
-	 * program may live longer, and the log must keep records for twice as long: then a
-	 * process that reads what the log still has forgets the same programs as one that has
-	 * read all of it.
+	 * How long a program is retained after its first claim, in the log's time. All
+	 * processes must use the same value, since it decides which records take effect. The
+	 * lifetime of a program must not exceed it, and the log must retain records for twice
+	 * as long, so that a process that starts with the records still in the log expires
+	 * the same programs as one that has read all records.
 	 */
 	public static final Duration RETENTION = Duration.ofHours(26);
 
@@ -63,8 +63,8 @@
 
 	/**
 	 * Returns a ledger without records.
-	 * @param retention how long, by the log's time, a program is remembered after its
-	 * first claim and a call or a crash after its last record
+	 * @param retention how long, in the log's time, a program is retained after its first
+	 * claim, and a call or a crash after its last record
 	 * @return an empty ledger
 	 */
 	public static Ledger withRetention(Duration memory) {
@@ -75,7 +75,7 @@
 	/**
 	 * Returns the state of a program.
 	 * @param program the program
-	 * @return the state, or an empty result if the log does not know the program
+	 * @return the state, or an empty result if there is none
 	 */
 	public Optional<ProgramState> program(ProgramId program) {
 		return this.programs.get(program).toJavaOptional();
@@ -91,16 +91,16 @@
 	}
 
 	/**
-	 * Returns the number of crashes that a request is blamed for.
+	 * Returns the number of crashes counted for a request.
 	 * @param content the digest of the request
-	 * @return the number of crashes, 0 for a request that no crash is known of
+	 * @return the number of crashes, 0 if there is no record of one
 	 */
 	public int crashCount(Digest content) {
 		return this.crashRecords.get(content).map(CrashRecord::count).getOrElse(0);
 	}
 
 	/**
-	 * Returns the number of programs held, ended ones included.
+	 * Returns the number of retained programs, including ended ones.
 	 * @return the number of programs
 	 */
 	public int programCount() {
@@ -108,16 +108,16 @@
 	}
 
 	/**
-	 * Returns what the log says of the budget of a group, as of its last record of it.
+	 * Returns the budget of a group as of its last record.
 	 * @param group the group
-	 * @return the state, or an empty result if nothing was reserved lately
+	 * @return the state, or an empty result without recent reservations
 	 */
 	public Optional<BudgetState> budget(GroupName group) {
 		return this.budgets.get(group).toJavaOptional();
 	}
 
 	/**
-	 * Returns the number of requests blamed for crashes.
+	 * Returns the number of requests with counted crashes.
 	 * @return the number of requests
 	 */
 	public int crashRecordCount() {
@@ -125,7 +125,7 @@
 	}
 
 	/**
-	 * Returns the number of claimed calls held.
+	 * Returns the number of retained claims.
 	 * @return the number of claims
 	 */
 	public int claimCount() {
@@ -133,11 +133,11 @@
 	}
 
 	/**
-	 * Returns what follows from the next record of the stream.
-	 * @param position where the record stands
+	 * Applies the next record of the stream.
+	 * @param position the position of the record in the log
 	 * @param time the log's time of the record
 	 * @param record the record
-	 * @return the ledger after the record and what changed
+	 * @return the ledger after the record and the changes it made
 	 */
 	public ApplyResult apply(Position position, Instant time, LedgerRecord record) {
 		Ledger current = expireBefore(time.minus(this.retention));
@@ -168,9 +168,9 @@
 			ProgramState moved = known.get().withHome(record.home(), record.epoch(), position);
 			return with(program, moved, new LedgerChange.HomeChanged(program, moved, known.get().home()));
 		}
-		// A child of an ended parent would never be ended again: nobody would wait for
-		// it, and its engine memory would stay held. Voiding its first claim is enough,
-		// since a program without a home runs nothing.
+		// A child claimed after the end of its parent would never be ended, and its cache
+		// in the engine would stay held. Rejecting its first claim is enough, since a
+		// program without a home runs nothing.
 		if (record.parent().flatMap(this::program).flatMap(ProgramState::endReason).isPresent()) {
 			return voided(record, VoidReason.PROGRAM_ENDED);
 		}
@@ -196,8 +196,8 @@
 		if (record.turn().number() != state.lastCall() + 1) {
 			return voided(record, VoidReason.TURN_NOT_NEXT);
 		}
-		ProgramState longer = state.withTurn(record.turn(), position, time);
-		return with(record.program(), longer, new LedgerChange.TurnAdded(record.program(), longer, record.turn()));
+		ProgramState updated = state.withTurn(record.turn(), position, time);
+		return with(record.program(), updated, new LedgerChange.TurnAdded(record.program(), updated, record.turn()));
 	}
 
 	private ApplyResult endProgram(LedgerRecord.ProgramEnded record) {
@@ -217,18 +217,18 @@
 	// sub-agents may be deeper than the stack.
 	private Ledger close(ProgramId program, EndReason reason, List<LedgerChange> changes) {
 		Map<ProgramId, ProgramState> states = this.programs;
-		Queue<ProgramId> open = Queue.of(program);
-		while (!open.isEmpty()) {
-			ProgramId next = open.head();
-			open = open.tail().appendAll(this.children.getOrElse(next, HashSet.empty()));
+		Queue<ProgramId> pending = Queue.of(program);
+		while (!pending.isEmpty()) {
+			ProgramId next = pending.head();
+			pending = pending.tail().appendAll(this.children.getOrElse(next, HashSet.empty()));
 			Optional<ProgramState> state = states.get(next).toJavaOptional();
 			if (state.isEmpty() || state.get().endReason().isPresent()) {
 				continue;
 			}
-			EndReason why = (next.equals(program)) ? reason : EndReason.WITH_PARENT;
-			ProgramState ended = state.get().withEndReason(why);
+			EndReason effectiveReason = (next.equals(program)) ? reason : EndReason.WITH_PARENT;
+			ProgramState ended = state.get().withEndReason(effectiveReason);
 			states = states.put(next, ended);
-			changes.add(new LedgerChange.ProgramEnded(next, ended, why));
+			changes.add(new LedgerChange.ProgramEnded(next, ended, effectiveReason));
 		}
 		return new Ledger(states, this.children, this.claims, this.crashRecords, this.budgets, this.expiries,
 				this.retention);
@@ -239,9 +239,9 @@
 			return voided(record, VoidReason.CALL_TAKEN);
 		}
 		ClaimState state = new ClaimState(record.content(), record.executor(), position, Optional.empty());
-		Queue<Expiry> due = this.expiries.enqueue(new Expiry.ForClaim(time, record.key(), position, false));
+		Queue<Expiry> newExpiries = this.expiries.enqueue(new Expiry.ForClaim(time, record.key(), position, false));
 		Ledger next = new Ledger(this.programs, this.children, this.claims.put(record.key(), state), this.crashRecords,
-				this.budgets, due, this.retention);
+				this.budgets, newExpiries, this.retention);
 		return new ApplyResult(next, List.of(new LedgerChange.CallClaimed(record.key(), state)));
 	}
 
@@ -260,21 +260,22 @@
 			return new ApplyResult(next, List.of(new LedgerChange.CallReleased(record.key(), record.executor())));
 		}
 		ClaimState settled = state.withOutcome(record.outcome());
-		Queue<Expiry> due = this.expiries.enqueue(new Expiry.ForClaim(time, record.key(), state.claimPosition(), true));
+		Queue<Expiry> newExpiries = this.expiries
+			.enqueue(new Expiry.ForClaim(time, record.key(), state.claimPosition(), true));
 		Ledger next = new Ledger(this.programs, this.children, this.claims.put(record.key(), settled),
-				this.crashRecords, this.budgets, due, this.retention);
+				this.crashRecords, this.budgets, newExpiries, this.retention);
 		return new ApplyResult(next, List.of(new LedgerChange.CallCompleted(record.key(), settled)));
 	}
 
-	// A crash in company blames every request that ran, so the innocent ones among them
-	// must not be stopped for it: it counts only once. From then on the request runs
-	// alone, where a crash proves its guilt and the end without one its innocence.
+	// A crash is counted for every request that was running, including those that did not
+	// cause it, so crashes alongside other requests count only once. From then on the
+	// request runs in isolation, which shows whether it causes the crash.
 	private ApplyResult recordCrash(Instant time, LedgerRecord.UpstreamCrashed record) {
 		int before = crashCount(record.content());
 		int after = (record.isolated()) ? before + 1 : Math.max(before, 1);
-		Queue<Expiry> due = this.expiries.enqueue(new Expiry.ForCrashRecord(time, record.content()));
+		Queue<Expiry> newExpiries = this.expiries.enqueue(new Expiry.ForCrashRecord(time, record.content()));
 		Ledger next = new Ledger(this.programs, this.children, this.claims,
-				this.crashRecords.put(record.content(), new CrashRecord(after, time)), this.budgets, due,
+				this.crashRecords.put(record.content(), new CrashRecord(after, time)), this.budgets, newExpiries,
 				this.retention);
 		return new ApplyResult(next, List.of(new LedgerChange.CrashCountChanged(record.content(), after)));
 	}
@@ -304,9 +305,9 @@
 				(state) -> new LedgerChange.SliceReturned(record, state));
 	}
 
-	// When a budget is taken out of the memory depends on what else waits to be
-	// forgotten, which processes that began to read at other offsets see differently. So
-	// its age decides here whether it counts.
+	// Expiries are processed in the order of a queue that differs between processes that
+	// started reading at different offsets. The age of a budget is therefore checked here
+	// too.
 	private Optional<BudgetState> unexpiredBudget(GroupName group, Instant time) {
 		return budget(group).filter((state) -> !state.lastReservedAt().isBefore(time.minus(this.retention)));
 	}
@@ -342,8 +343,8 @@
 		return new ApplyResult(this, List.of(new LedgerChange.Voided(record, reason)));
 	}
 
-	// Drops what began before a time. Without it the memory of a process grows with every
-	// program there ever was; with the log's time as measure all processes drop the same.
+	// Removes what has expired at a time. This bounds the memory of the process; since
+	// the log's time is used, all processes remove the same.
 	private Ledger expireBefore(Instant time) {
 		Ledger next = this;
 		while (!next.expiries.isEmpty() && next.expiries.head().since().isBefore(time)) {
@@ -363,33 +364,36 @@
 	}
 
 	private Ledger expireProgram(ProgramId program, Queue<Expiry> rest) {
-		Map<ProgramId, Set<ProgramId>> families = this.children.remove(program);
+		Map<ProgramId, Set<ProgramId>> remainingChildren = this.children.remove(program);
 		Optional<ProgramId> parent = program(program).flatMap(ProgramState::parent);
 		if (parent.isPresent()) {
-			families = families.computeIfPresent(parent.get(), (key, siblings) -> siblings.remove(program))._2();
+			remainingChildren = remainingChildren
+				.computeIfPresent(parent.get(), (key, siblings) -> siblings.remove(program))
+				._2();
 		}
-		return new Ledger(this.programs.remove(program), families, this.claims, this.crashRecords, this.budgets, rest,
-				this.retention);
+		return new Ledger(this.programs.remove(program), remainingChildren, this.claims, this.crashRecords,
+				this.budgets, rest, this.retention);
 	}
 
-	// Drops a claim once its last record is old. The entry queued at the claim is skipped
-	// for a claim that was settled since, which has a later entry of its own, and for one
-	// that was released and made anew.
+	// Removes a claim whose last record has expired. The expiry of the claim itself is
+	// skipped if the claim was settled, which has an expiry of its own, or was released
+	// and made again.
 	private Ledger expireClaim(Expiry.ForClaim due, Queue<Expiry> rest) {
 		Optional<ClaimState> state = claim(due.key()).filter((claim) -> claim.claimPosition().equals(due.claimed()))
 			.filter((claim) -> claim.outcome().isPresent() == due.settled());
-		Map<CallKey, ClaimState> left = (state.isPresent()) ? this.claims.remove(due.key()) : this.claims;
-		return new Ledger(this.programs, this.children, left, this.crashRecords, this.budgets, rest, this.retention);
+		Map<CallKey, ClaimState> remaining = (state.isPresent()) ? this.claims.remove(due.key()) : this.claims;
+		return new Ledger(this.programs, this.children, remaining, this.crashRecords, this.budgets, rest,
+				this.retention);
 	}
 
 	private Ledger expireCrashRecord(Expiry.ForCrashRecord due, Queue<Expiry> rest) {
-		boolean latest = this.crashRecords.get(due.content()).exists((blame) -> blame.last().equals(due.since()));
-		Map<Digest, CrashRecord> left = (latest) ? this.crashRecords.remove(due.content()) : this.crashRecords;
-		return new Ledger(this.programs, this.children, this.claims, left, this.budgets, rest, this.retention);
+		boolean latest = this.crashRecords.get(due.content()).exists((crash) -> crash.last().equals(due.since()));
+		Map<Digest, CrashRecord> remaining = (latest) ? this.crashRecords.remove(due.content()) : this.crashRecords;
+		return new Ledger(this.programs, this.children, this.claims, remaining, this.budgets, rest, this.retention);
 	}
 
-	// Drops a budget whose last reservation under its newest configuration is old, and
-	// looks at the others again when that can be so.
+	// Removes a budget whose last reservation under its newest configuration has expired;
+	// otherwise queues a new expiry for it.
 	private Ledger expireBudget(Expiry.ForBudget due, Queue<Expiry> rest) {
 		Optional<BudgetState> state = budget(due.group());
 		if (state.isPresent() && state.get().lastReservedAt().isAfter(due.since())) {
@@ -401,17 +405,17 @@
 	}
 
 	/**
-	 * The ledger after a record, and what the record changed.
+	 * Result of applying a record.
 	 *
 	 * @param ledger the ledger after the record
-	 * @param changes what changed, at least one item
+	 * @param changes the changes, at least one
 	 */
 	public record ApplyResult(Ledger ledger, List<LedgerChange> changes) {
 
 		/**
-		 * Creates a reading.
+		 * Creates a result.
 		 * @param ledger the ledger after the record
-		 * @param changes what changed, at least one item
+		 * @param changes the changes, at least one
 		 */
 		public ApplyResult {
 			changes = List.copyOf(changes);
@@ -420,21 +424,21 @@
 	}
 
 	/**
-	 * The crashes that a request is blamed for.
+	 * The crashes counted for a request.
 	 *
-	 * @param count the crashes counted
-	 * @param last the log's time of the last one, counted or not
+	 * @param count the number of counted crashes
+	 * @param last the log's time of the last crash, counted or not
 	 */
 	private record CrashRecord(int count, Instant last) {
 	}
 
 	/**
-	 * A thing to forget once it is old.
+	 * An item that expires by its age.
 	 */
 	private sealed interface Expiry {
 
 		/**
-		 * Returns the log's time since which it is old.
+		 * Returns the log's time from which the age counts.
 		 * @return the time
 		 */
 		Instant since();
@@ -454,7 +458,7 @@
 		 *
 		 * @param since the log's time of its last record
 		 * @param key the key of the call
-		 * @param claimed where the claim stands
+		 * @param claimed the position of the claim in the log
 		 * @param settled whether the last record was the outcome
 		 */
 		record ForClaim(Instant since, CallKey key, Position claimed, boolean settled) implements Expiry {
@@ -462,7 +466,7 @@
 		}
 
 		/**
-		 * A request blamed for crashes.
+		 * The crashes counted for a request.
 		 *
 		 * @param since the log's time of the last crash
 		 * @param content the digest of the request
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/LedgerChange.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/LedgerChange.java
@@ -5,24 +5,23 @@
 import io.lentilslip.core.identity.ProgramId;
 
 /**
- * What a record changed. Implementations are immutable and safe for use by several
- * threads.
+ * Immutable changes made by a record. Safe for use by several threads.
  */
 public sealed interface LedgerChange {
 
 	/**
-	 * A program got a home.
+	 * The home of a program was claimed.
 	 *
 	 * @param program the program
 	 * @param state its state
-	 * @param before the home before, or the new one if the program is new
+	 * @param previousHome the previous home, or the new one if the program is new
 	 */
 	record HomeChanged(ProgramId program, ProgramState state, ProcessId previousHome) implements LedgerChange {
 
 	}
 
 	/**
-	 * A turn became part of a program's history.
+	 * A turn was added to the history of a program.
 	 *
 	 * @param program the program
 	 * @param state the program's state with the turn
@@ -54,7 +53,7 @@
 	}
 
 	/**
-	 * A claimed call has its outcome.
+	 * The outcome of a claimed call was committed.
 	 *
 	 * @param key the key of the call
 	 * @param state the claim with the outcome
@@ -74,10 +73,10 @@
 	}
 
 	/**
-	 * The crashes that a request is blamed for have another number.
+	 * The number of crashes counted for a request changed.
 	 *
 	 * @param content the digest of the request
-	 * @param count the crashes counted
+	 * @param count the number of counted crashes
 	 */
 	record CrashCountChanged(Digest content, int count) implements LedgerChange {
 
@@ -87,50 +86,50 @@
 	 * Tokens of a group's budget were reserved for an entry.
 	 *
 	 * @param record the reservation
-	 * @param state what the log says of the budget now
+	 * @param state the new state of the budget
 	 */
 	record SliceGranted(LedgerRecord.SliceReserved record, BudgetState state) implements LedgerChange {
 
 	}
 
 	/**
-	 * Reserved tokens are free again.
+	 * Reserved tokens were returned.
 	 *
 	 * @param record the return
-	 * @param state what the log says of the budget now
+	 * @param state the new state of the budget
 	 */
 	record SliceReturned(LedgerRecord.SliceReturned record, BudgetState state) implements LedgerChange {
 
 	}
 
 	/**
-	 * A record that took no effect.
+	 * A record had no effect.
 	 *
 	 * @param record the record
-	 * @param reason why it took no effect
+	 * @param reason why it had no effect
 	 */
 	record Voided(LedgerRecord record, VoidReason reason) implements LedgerChange {
 
 	}
 
 	/**
-	 * Why a record took no effect.
+	 * Why a record had no effect.
 	 */
 	enum VoidReason {
 
 		/**
-		 * Another claim of the same or a later epoch came first.
+		 * An earlier record claimed the same or a later epoch.
 		 */
 		EPOCH_TAKEN,
 
 		/**
-		 * The epoch of the record is not the program's.
+		 * The epoch of the record is not the current one of the program.
 		 */
 		EPOCH_SUPERSEDED,
 
 		/**
-		 * The turn does not follow the last one, for instance as the second copy of an
-		 * append whose answer was lost.
+		 * The number of the turn does not follow the last one, for example in the
+		 * duplicate of an append that was retried without an acknowledgment.
 		 */
 		TURN_NOT_NEXT,
 
@@ -140,32 +139,32 @@
 		PROGRAM_ENDED,
 
 		/**
-		 * The log does not know the program or claim.
+		 * There is no such program or claim.
 		 */
 		UNKNOWN,
 
 		/**
-		 * The call is claimed already.
+		 * The call is already claimed.
 		 */
 		CALL_TAKEN,
 
 		/**
-		 * The writer is not the executor, or the call is settled already.
+		 * The writer is not the executor, or the call already has an outcome.
 		 */
 		NOT_EXECUTOR,
 
 		/**
-		 * The limit of the group's budget leaves less than what was to be reserved.
+		 * The reservation exceeds the remaining budget of the group.
 		 */
 		BUDGET_EXHAUSTED,
 
 		/**
-		 * The entry's record of that sequence, or a later one, came first.
+		 * A record of the entry with the same or a higher sequence number came first.
 		 */
 		SLICE_REPEATED,
 
 		/**
-		 * The tokens to return are not reserved for the entry in the present period.
+		 * The entry has not reserved the returned tokens in the current period.
 		 */
 		SLICE_UNKNOWN
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/LedgerRecord.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/LedgerRecord.java
@@ -10,18 +10,19 @@
 import io.lentilslip.core.identity.ProgramId;
 
 /**
- * A record of the stream {@code programs}. A record asks for a change; whether it takes
- * effect is decided by {@link Ledger} from the records before it, the same in every
- * process. Implementations are immutable and safe for use by several threads.
+ * Immutable record of the stream {@code programs}. A record requests a change;
+ * {@link Ledger} decides from the preceding records whether it takes effect, with the
+ * same result in every process. Safe for use by several threads.
  */
 public sealed interface LedgerRecord {
 
 	/**
-	 * A claim of the home of a program. It takes effect if its epoch is the one after the
-	 * program's epoch, so the first claim of an epoch wins and a repeated one is void.
+	 * A claim of the home of a program. It takes effect if its epoch is the successor of
+	 * the program's epoch, so that the first claim of an epoch wins and duplicates have
+	 * no effect.
 	 *
 	 * @param program the program
-	 * @param epoch the epoch that begins
+	 * @param epoch the epoch that starts with the claim
 	 * @param home the sidecar that becomes the home
 	 * @param parent the program whose sub-agent this one is, if there is one
 	 */
@@ -32,12 +33,12 @@
 
 	/**
 	 * A turn of a program. It takes effect if its epoch is the program's epoch and its
-	 * number follows the last turn, so a home that was replaced can add nothing.
+	 * number follows the last turn, so that a superseded home can't add turns.
 	 *
 	 * @param program the program
 	 * @param epoch the epoch of the home that ran the turn
 	 * @param turn the turn
-	 * @param previous where the turn before it stands, so that a new home can read the
+	 * @param previous the position of the previous turn, so that a new home can read the
 	 * history backwards without an index of all turns
 	 */
 	record TurnCommitted(ProgramId program, Epoch epoch, Turn turn,
@@ -56,11 +57,11 @@
 	}
 
 	/**
-	 * A claim of a call that may not be repeated: only the named process may run it. It
-	 * takes effect if the key is not claimed or its claim was released.
+	 * A claim of a call that may not be repeated: only the executor may run it. It takes
+	 * effect if the key has no claim.
 	 *
 	 * @param key the key of the call
-	 * @param content the digest of what is asked
+	 * @param content the digest of the request
 	 * @param executor the process that may run it
 	 */
 	record CallClaimed(CallKey key, Digest content, ProcessId executor) implements LedgerRecord {
@@ -68,11 +69,11 @@
 	}
 
 	/**
-	 * The outcome of a claimed call, written by its executor. An outcome that says
-	 * {@code NOT_RUN} releases the claim: the executor will not run the call any more.
+	 * The outcome of a claimed call, appended by its executor. The outcome {@code
+	 * NOT_RUN} releases the claim: the executor will not run the call.
 	 *
 	 * @param key the key of the call
-	 * @param executor the process that writes
+	 * @param executor the process that appends the record
 	 * @param outcome the outcome
 	 */
 	record CallSettled(CallKey key, ProcessId executor, CallOutcome outcome) implements LedgerRecord {
@@ -80,46 +81,47 @@
 	}
 
 	/**
-	 * A crash of an upstream while it ran a request. In company any of the requests may
-	 * have caused it; alone it is certain.
+	 * A crash of an upstream while it ran a request. Only a crash in isolation shows that
+	 * the request is the cause.
 	 *
 	 * @param content the digest of the request
-	 * @param sidecar the sidecar beside the upstream
-	 * @param alone whether nothing else ran there
+	 * @param sidecar the sidecar of the upstream
+	 * @param isolated whether no other request was running
 	 */
 	record UpstreamCrashed(Digest content, ProcessId sidecar, boolean isolated) implements LedgerRecord {
 
 	}
 
 	/**
-	 * The proof that a blamed request is harmless: it ran alone and nothing crashed.
+	 * The clearing of the crashes counted for a request, after it ran in isolation
+	 * without a crash.
 	 *
 	 * @param content the digest of the request
-	 * @param sidecar the sidecar beside the upstream
+	 * @param sidecar the sidecar of the upstream
 	 */
 	record CrashesCleared(Digest content, ProcessId sidecar) implements LedgerRecord {
 
 	}
 
 	/**
-	 * A reservation of tokens of a group's budget. It takes effect if what is reserved in
-	 * the period and these tokens stay within the limit of the newest configuration that
-	 * the records of the group name.
+	 * A reservation of tokens of a group's budget. It takes effect if the tokens reserved
+	 * in the period stay within the limit of the newest configuration in the records of
+	 * the group.
 	 *
 	 * @param group the group
 	 * @param tokens the tokens to reserve
-	 * @param limit the tokens of one period in the configuration of the writer
+	 * @param limit the limit in the configuration of the writer, in tokens per period
 	 * @param period the length of a period in that configuration
 	 * @param configurationVersion the version of that configuration
-	 * @param entry the entry that may spend them
-	 * @param sequence a number that grows with the entry's records of the group, the same
-	 * for a repeated append
+	 * @param entry the entry that may use the tokens
+	 * @param sequence a number that increases with the entry's records of the group and
+	 * stays the same when an append is retried
 	 */
 	record SliceReserved(GroupName group, long tokens, long limit, Duration period, long configurationVersion,
 			ProcessId entry, long sequence) implements LedgerRecord {
 
 		/**
-		 * The shortest length of a period.
+		 * The minimum length of a period.
 		 */
 		public static final Duration MIN_PERIOD = Duration.ofMillis(1);
 
@@ -127,32 +129,33 @@
 		 * Creates a record.
 		 * @param group the group
 		 * @param tokens the tokens to reserve
-		 * @param limit the tokens of one period in the configuration of the writer
+		 * @param limit the limit in the configuration of the writer, in tokens per period
 		 * @param period the length of a period in that configuration
 		 * @param configurationVersion the version of that configuration
-		 * @param entry the entry that may spend them
-		 * @param sequence a number that grows with the entry's records of the group
-		 * @throws IllegalArgumentException if there are no tokens, the limit is negative,
-		 * or the period is shorter than a millisecond
+		 * @param entry the entry that may use the tokens
+		 * @param sequence a number that increases with the entry's records of the group
+		 * @throws IllegalArgumentException if the tokens are less than 1, the limit is
+		 * negative, or the period is shorter than {@link #MIN_PERIOD}
 		 */
 		public SliceReserved {
 			if (tokens < 1 || limit < 0 || period.compareTo(MIN_PERIOD) < 0) {
-				throw new IllegalArgumentException("not a reservation: " + tokens + " of " + limit + " in " + period);
+				throw new IllegalArgumentException(
+						"invalid reservation: " + tokens + " tokens, limit " + limit + ", period " + period);
 			}
 		}
 
 	}
 
 	/**
-	 * The return of reserved tokens that were not spent. It takes effect in the period
-	 * that they were reserved in.
+	 * The return of reserved tokens that were not used. It takes effect only in the
+	 * period of the reservation.
 	 *
 	 * @param group the group
-	 * @param periodIndex the period that they were reserved in
+	 * @param periodIndex the number of the period of the reservation
 	 * @param tokens the tokens
-	 * @param entry the entry that held them
-	 * @param sequence a number that grows with the entry's records of the group, the same
-	 * for a repeated append
+	 * @param entry the entry that reserved the tokens
+	 * @param sequence a number that increases with the entry's records of the group and
+	 * stays the same when an append is retried
 	 */
 	record SliceReturned(GroupName group, long periodIndex, long tokens, ProcessId entry,
 			long sequence) implements LedgerRecord {
@@ -160,15 +163,15 @@
 		/**
 		 * Creates a record.
 		 * @param group the group
-		 * @param periodIndex the period that they were reserved in
+		 * @param periodIndex the number of the period of the reservation
 		 * @param tokens the tokens
-		 * @param entry the entry that held them
-		 * @param sequence a number that grows with the entry's records of the group
-		 * @throws IllegalArgumentException if there are no tokens
+		 * @param entry the entry that reserved the tokens
+		 * @param sequence a number that increases with the entry's records of the group
+		 * @throws IllegalArgumentException if the tokens are less than 1
 		 */
 		public SliceReturned {
 			if (tokens < 1) {
-				throw new IllegalArgumentException("nothing to return: " + tokens);
+				throw new IllegalArgumentException("invalid number of tokens to return: " + tokens);
 			}
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Position.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Position.java
@@ -1,12 +1,11 @@
 package io.lentilslip.core.ledger;
 
 /**
- * The place of a ledger record in its stream: a log record holds a batch of ledger
- * records, so that many of them cost one append. Immutable and safe for use by several
- * threads.
+ * Immutable position of a ledger record in its stream: a log record contains a batch of
+ * ledger records. Safe for use by several threads.
  *
  * @param offset the offset of the log record
- * @param index the index in its batch, from 0
+ * @param index the index in the batch, starting at 0
  */
 public record Position(long offset, int index) implements Comparable<Position> {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/ProgramState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/ProgramState.java
@@ -7,16 +7,16 @@
 import io.lentilslip.core.identity.ProgramId;
 
 /**
- * What the log says of a program. Its size does not grow with the number of turns.
- * Immutable and safe for use by several threads.
+ * Immutable state of a program, derived from the log. Its size does not depend on the
+ * number of turns. Safe for use by several threads.
  *
  * @param epoch the epoch of the home
  * @param home the sidecar that is the home
  * @param parent the program whose sub-agent this one is, if there is one
  * @param createdAt the log's time of the first claim
- * @param claimPosition where the claim of the epoch stands
- * @param lastCall the number of the last turn in the log, or 0
- * @param lastTurnPosition where the last turn stands, if there is one
+ * @param claimPosition the position of the current epoch's claim in the log
+ * @param lastCall the number of the last committed turn, or 0
+ * @param lastTurnPosition the position of the last turn in the log, if there is one
  * @param lastActiveAt the log's time of the last turn, or of the first claim
  * @param historyTokens the tokens of the history after the last turn, prompt and answer
  * @param endReason why the program ended, if it has
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Turn.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Turn.java
@@ -8,11 +8,11 @@
 import io.lentilslip.core.identity.IdempotencyKey;
 
 /**
- * One turn of a program: what a call added to the history and what the model answered.
- * Immutable and safe for use by several threads.
+ * Immutable turn of a program: the messages that a call added to the history and the
+ * answer of the model. Safe for use by several threads.
  *
- * @param number the number of the call, from 1
- * @param content the digest of what the call asked
+ * @param number the number of the call, starting at 1
+ * @param content the digest of the request
  * @param key the idempotency key of the call, if it had one
  * @param messages the messages that the call added, each a JSON object
  * @param answer the answer
@@ -22,8 +22,8 @@
 
 	/**
 	 * Creates a turn.
-	 * @param number the number of the call, from 1
-	 * @param content the digest of what the call asked
+	 * @param number the number of the call, starting at 1
+	 * @param content the digest of the request
 	 * @param key the idempotency key of the call, if it had one
 	 * @param messages the messages that the call added, each a JSON object
 	 * @param answer the answer
--- a/lentilslip-core/src/test/java/io/lentilslip/core/ledger/BudgetStateTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/ledger/BudgetStateTests.java
@@ -29,26 +29,26 @@
 		assertThat(apply(START, reserved(1, 60, 100, 1))).isInstanceOf(LedgerChange.SliceGranted.class);
 		assertVoid(apply(START, reserved(2, 41, 100, 1)), VoidReason.BUDGET_EXHAUSTED);
 		assertThat(apply(START, reserved(2, 40, 100, 2))).isInstanceOf(LedgerChange.SliceGranted.class);
-		assertThat(left()).isZero();
+		assertThat(remaining()).isZero();
 	}
 
-	// The answer of an append is lost and the entry sends the record again: both copies
-	// are in the log. A slice that counted twice would be lost to the group; a return
-	// that counted twice would let the group pass its budget.
+	// A record is appended twice because the first acknowledgment was lost. Counted
+	// twice, a reservation would waste budget, and a return would let the group exceed
+	// it.
 	@Test
-	void countsARepeatedRecordOnce() {
+	void countsADuplicateRecordOnce() {
 		apply(START, reserved(1, 60, 100, 1));
 		assertVoid(apply(START, reserved(1, 60, 100, 1)), VoidReason.SLICE_REPEATED);
-		LedgerRecord.SliceReturned back = returned(1, 30, 2);
-		assertThat(apply(START, back)).isInstanceOf(LedgerChange.SliceReturned.class);
-		assertVoid(apply(START, back), VoidReason.SLICE_REPEATED);
-		assertThat(left()).isEqualTo(70);
+		LedgerRecord.SliceReturned record = returned(1, 30, 2);
+		assertThat(apply(START, record)).isInstanceOf(LedgerChange.SliceReturned.class);
+		assertVoid(apply(START, record), VoidReason.SLICE_REPEATED);
+		assertThat(remaining()).isEqualTo(70);
 	}
 
-	// A reservation is refused, then tokens come back, then a second copy of the refused
-	// record shows up. The entry has long been told no and no call waits for that slice.
+	// A duplicate of a refused reservation arrives after tokens were returned. No call
+	// waits for it any more, so it must not reserve them.
 	@Test
-	void refusesARepeatedRecordThatWasRefused() {
+	void ignoresADuplicateOfARefusedReservation() {
 		apply(START, reserved(1, 90, 100, 1));
 		assertVoid(apply(START, reserved(2, 20, 100, 1)), VoidReason.BUDGET_EXHAUSTED);
 		apply(START, returned(1, 90, 2));
@@ -56,14 +56,14 @@
 	}
 
 	@Test
-	void takesBackOnlyWhatTheEntryReserved() {
+	void acceptsOnlyReturnsOfReservedTokens() {
 		apply(START, reserved(1, 60, 100, 1));
 		assertVoid(apply(START, returned(2, 10, 1)), VoidReason.SLICE_UNKNOWN);
 		assertVoid(apply(START, returned(1, 61, 2)), VoidReason.SLICE_UNKNOWN);
 	}
 
-	// An entry returns a slice as the period turns over. In the new period it would free
-	// tokens that nobody reserved there.
+	// A return arrives after its period has ended. In the new period it would free tokens
+	// that were not reserved there.
 	@Test
 	void ignoresAReturnInAnotherPeriod() {
 		apply(START, reserved(1, 60, 100, 1));
@@ -71,52 +71,52 @@
 		Instant next = START.plus(HOUR);
 		apply(next, reserved(2, 100, 100, 1));
 		assertVoid(apply(next, late), VoidReason.SLICE_UNKNOWN);
-		assertThat(left()).isZero();
+		assertThat(remaining()).isZero();
 	}
 
-	// An operator lowers the budget below what is reserved, and an entry that does not
-	// know it yet asks by the old limit. Its record is judged by the new one.
+	// An entry that has not loaded a lowered limit yet must not reserve by the previous
+	// one.
 	@Test
-	void judgesAnOlderConfigurationByTheNewerLimit() {
+	void appliesTheNewestLimitToOlderConfigurations() {
 		apply(START, reserved(1, 60, 100, 1));
 		assertVoid(apply(START, new LedgerRecord.SliceReserved(GROUP, 1, 50, HOUR, 2, entry(2), 1)),
 				VoidReason.BUDGET_EXHAUSTED);
 		assertVoid(apply(START, reserved(3, 1, 100, 1)), VoidReason.BUDGET_EXHAUSTED);
-		assertThat(left()).isZero();
+		assertThat(remaining()).isZero();
 		assertThat(apply(START.plus(HOUR), reserved(3, 50, 100, 2))).isInstanceOf(LedgerChange.SliceGranted.class);
 		assertVoid(apply(START.plus(HOUR), reserved(1, 1, 100, 3)), VoidReason.BUDGET_EXHAUSTED);
 	}
 
-	// The clock of the log is set back over the turn of a period. The old period counts
-	// no second time.
+	// The clock of the log is set back into the previous period. The budget of that
+	// period must not become available again.
 	@Test
-	void doesNotGoBackToAnEarlierPeriod() {
+	void keepsThePeriodWhenTheClockIsSetBack() {
 		apply(START, reserved(1, 100, 100, 1));
 		apply(START.plus(HOUR), reserved(1, 100, 100, 2));
 		assertVoid(apply(START, reserved(2, 1, 100, 1)), VoidReason.BUDGET_EXHAUSTED);
 	}
 
-	// Entries start again and again within one period. The state stays bounded and what
-	// they reserved stays reserved.
+	// Frequent restarts of entries within one period must not exhaust the memory, nor
+	// release the tokens they reserved.
 	@Test
-	void knowsABoundedNumberOfEntries() {
-		int lives = BudgetState.MAX_ENTRIES + 10;
-		for (int life = 1; life <= lives; life++) {
-			apply(START, reserved(life, 1, 10_000, 1));
+	void tracksABoundedNumberOfEntries() {
+		int incarnations = BudgetState.MAX_ENTRIES + 10;
+		for (int incarnation = 1; incarnation <= incarnations; incarnation++) {
+			apply(START, reserved(incarnation, 1, 10_000, 1));
 		}
 		assertThat(this.ledger.budget(GROUP).orElseThrow().entries()).hasSize(BudgetState.MAX_ENTRIES);
-		assertThat(left()).isEqualTo(10_000 - lives);
+		assertThat(remaining()).isEqualTo(10_000 - incarnations);
 	}
 
 	@Test
-	void forgetsABudgetThatNobodyUses() {
+	void expiresAnUnusedBudget() {
 		apply(START, reserved(1, 1, 100, 1));
 		apply(START.plus(Ledger.RETENTION).plusSeconds(1),
 				new LedgerRecord.SliceReserved(new GroupName("buyers"), 1, 1, HOUR, 1, entry(1), 1));
 		assertThat(this.ledger.budget(GROUP)).isEmpty();
 	}
 
-	private long left() {
+	private long remaining() {
 		return this.ledger.budget(GROUP).orElseThrow().remaining();
 	}
 
@@ -131,16 +131,17 @@
 				(voided) -> assertThat(voided.reason()).isEqualTo(reason));
 	}
 
-	private static ProcessId entry(int life) {
-		return new ProcessId(new VmName("entry"), new Incarnation(life));
+	private static ProcessId entry(int incarnation) {
+		return new ProcessId(new VmName("entry"), new Incarnation(incarnation));
 	}
 
-	private static LedgerRecord.SliceReserved reserved(int life, long tokens, long limit, long sequence) {
-		return new LedgerRecord.SliceReserved(GROUP, tokens, limit, HOUR, 1, entry(life), sequence);
+	private static LedgerRecord.SliceReserved reserved(int incarnation, long tokens, long limit, long sequence) {
+		return new LedgerRecord.SliceReserved(GROUP, tokens, limit, HOUR, 1, entry(incarnation), sequence);
 	}
 
-	private static LedgerRecord.SliceReturned returned(int life, long tokens, long sequence) {
-		return new LedgerRecord.SliceReturned(GROUP, BudgetState.indexAt(START, HOUR), tokens, entry(life), sequence);
+	private static LedgerRecord.SliceReturned returned(int incarnation, long tokens, long sequence) {
+		return new LedgerRecord.SliceReturned(GROUP, BudgetState.indexAt(START, HOUR), tokens, entry(incarnation),
+				sequence);
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/ledger/LedgerTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/ledger/LedgerTests.java
@@ -28,7 +28,7 @@
 
 class LedgerTests {
 
-	private static final Duration MEMORY = Duration.ofHours(1);
+	private static final Duration RETENTION = Duration.ofHours(1);
 
 	private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
@@ -43,16 +43,16 @@
 
 	private static final Digest CONTENT = Digest.of("content");
 
-	private Ledger ledger = Ledger.withRetention(MEMORY);
+	private Ledger ledger = Ledger.withRetention(RETENTION);
 
 	private long offset;
 
 	private Instant time = START;
 
-	// Two entries meet a new program at once and each claims a home for it. The first
-	// claim in the log holds in every process; the other and its repetition are void.
+	// Two entries claim a home for a new program concurrently. Only the first claim in
+	// the log takes effect; the other one and duplicates do not.
 	@Test
-	void givesAnEpochToItsFirstClaim() {
+	void acceptsOnlyTheFirstClaimOfAnEpoch() {
 		assertThat(apply(claim(PROGRAM, 1, FIRST))).hasOnlyElementsOfType(LedgerChange.HomeChanged.class);
 		assertThat(apply(claim(PROGRAM, 1, SECOND)))
 			.isEqualTo(voided(claim(PROGRAM, 1, SECOND), VoidReason.EPOCH_TAKEN));
@@ -62,8 +62,8 @@
 		assertThat(state(PROGRAM).home()).isEqualTo(FIRST);
 	}
 
-	// A home was paused, another one took the program over, and the first one goes on and
-	// appends its turn: the turn is void, and so is a second copy of any turn.
+	// A paused home appends a turn after another sidecar has claimed the program. The
+	// turn has no effect, nor has a duplicate of any turn.
 	@Test
 	void addsTurnsOnceInOrderAndOnlyFromTheHome() {
 		assertThat(apply(turn(PROGRAM, 1, 1))).isEqualTo(voided(turn(PROGRAM, 1, 1), VoidReason.UNKNOWN));
@@ -78,10 +78,10 @@
 		assertThat(state(PROGRAM).lastTurnPosition()).contains(new Position(this.offset - 1, 0));
 	}
 
-	// A program starts sub-agents that start others, and ends: nothing of the family goes
-	// on, and a sub-agent that begins later does not begin at all.
+	// A program ends while nested sub-agents run. All of them end, and a sub-agent
+	// claimed afterwards does not start.
 	@Test
-	void endsSubAgentsWithTheirParentHoweverDeep() {
+	void endsNestedSubAgentsWithTheirParent() {
 		int depth = 20_000;
 		apply(claim(PROGRAM, 1, FIRST));
 		ProgramId parent = PROGRAM;
@@ -103,7 +103,7 @@
 	}
 
 	@Test
-	void keepsProgramsApartThatDifferByCaseOrGroup() {
+	void distinguishesProgramsByCaseAndGroup() {
 		apply(claim(PROGRAM, 1, FIRST));
 		apply(claim(program("sellers", "Draft"), 1, SECOND));
 		apply(claim(program("buyers", "draft"), 1, SECOND));
@@ -113,11 +113,10 @@
 		assertThat(state(program("buyers", "draft")).lastCall()).isZero();
 	}
 
-	// The claimed process cannot take the call and says so: another one may claim it.
-	// Once
-	// an outcome stands nobody may, and only the executor can write one.
+	// A released claim may be taken by another process. After an outcome no claim is
+	// accepted, and only the executor can append one.
 	@Test
-	void givesACallToOneExecutorAtATime() {
+	void assignsACallToOneExecutorAtATime() {
 		apply(claimCall(FIRST));
 		assertThat(apply(claimCall(SECOND))).isEqualTo(voided(claimCall(SECOND), VoidReason.CALL_TAKEN));
 		LedgerRecord foreign = settle(SECOND, refusal());
@@ -132,73 +131,70 @@
 		assertThat(this.ledger.claim(KEY).orElseThrow().outcome()).contains(answer());
 	}
 
-	// Several requests ran when an engine crashed: each counts one crash however often
-	// that happens. Alone each crash counts, and the end without one clears the request.
+	// Crashes alongside other requests count once, crashes in isolation count each, and a
+	// run in isolation without a crash clears the count.
 	@Test
-	void blamesARequestOnceInCompanyAndEachTimeAlone() {
-		apply(blame(false));
-		apply(blame(false));
+	void countsSharedCrashesOnceAndIsolatedCrashesEach() {
+		apply(crash(false));
+		apply(crash(false));
 		assertThat(this.ledger.crashCount(CONTENT)).isEqualTo(1);
-		apply(blame(true));
+		apply(crash(true));
 		assertThat(this.ledger.crashCount(CONTENT)).isEqualTo(2);
 		apply(new LedgerRecord.CrashesCleared(CONTENT, FIRST));
 		assertThat(this.ledger.crashCount(CONTENT)).isZero();
 		assertThat(this.ledger.crashRecordCount()).isZero();
 	}
 
-	// A request took part in a crash, was cleared, and took part in another one later. It
-	// stays blamed for the later one when the first one is forgotten: else it would run
-	// in
-	// company again and could take others down with it.
+	// The crash record expires by its last crash, not its first. Otherwise the request
+	// would run alongside others again too early.
 	@Test
-	void remembersABlameFromItsLastCrashOn() {
-		apply(blame(false));
-		passTime(MEMORY.minusMinutes(10));
-		apply(blame(false));
-		passTime(Duration.ofMinutes(20));
+	void expiresACrashRecordByItsLastCrash() {
+		apply(crash(false));
+		advanceTime(RETENTION.minusMinutes(10));
+		apply(crash(false));
+		advanceTime(Duration.ofMinutes(20));
 		apply(claim(PROGRAM, 1, FIRST));
 		assertThat(this.ledger.crashCount(CONTENT)).isEqualTo(1);
-		passTime(MEMORY);
+		advanceTime(RETENTION);
 		apply(claim(program("sellers", "later"), 1, FIRST));
 		assertThat(this.ledger.crashRecordCount()).isZero();
 	}
 
 	@Test
-	void forgetsWhatIsOldByTheTimeOfTheLog() {
+	void expiresByTheTimeOfTheLog() {
 		apply(claim(PROGRAM, 1, FIRST));
 		apply(claimCall(FIRST));
-		passTime(MEMORY.minusMinutes(10));
+		advanceTime(RETENTION.minusMinutes(10));
 		apply(settle(FIRST, answer()));
-		passTime(Duration.ofMinutes(20));
+		advanceTime(Duration.ofMinutes(20));
 		apply(claim(program("sellers", "next"), 1, FIRST));
 		assertThat(this.ledger.program(PROGRAM)).isEmpty();
 		assertThat(this.ledger.claim(KEY)).isPresent();
-		passTime(MEMORY.plusMinutes(1));
+		advanceTime(RETENTION.plusMinutes(1));
 		apply(claim(program("sellers", "last"), 1, FIRST));
 		assertThat(this.ledger.claimCount()).isZero();
 		assertThat(this.ledger.programCount()).isEqualTo(1);
 	}
 
-	// A claim was released and made anew just before the first one grew old: what was
-	// noted for the first one must not drop the second.
+	// The expiry of a released claim must not remove a later claim of the same call.
 	@Test
-	void keepsAClaimThatWasMadeAnew() {
+	void keepsAClaimMadeAfterARelease() {
 		apply(claimCall(FIRST));
 		apply(settle(FIRST, refusal()));
-		passTime(MEMORY.minusMinutes(10));
+		advanceTime(RETENTION.minusMinutes(10));
 		apply(claimCall(FIRST));
-		passTime(Duration.ofMinutes(20));
+		advanceTime(Duration.ofMinutes(20));
 		apply(claim(PROGRAM, 1, FIRST));
 		assertThat(this.ledger.claim(KEY)).isPresent();
 	}
 
-	// A process starts when the log holds only the records of the last two memory times.
-	// It must come to the same view as one that has read everything, or the two would
-	// disagree on the home of a program.
+	// A process that starts with only the records of the last two retention times must
+	// derive the same state as one that has read all records; otherwise they would
+	// disagree on homes.
 	@Test
-	void isTheSameInAProcessThatStartsAtALaterFirstRecord() {
-		List<Stamped> records = new ArrayList<>();
-		Ledger whole = Ledger.withRetention(MEMORY);
+	void derivesTheSameStateFromALaterFirstRecord() {
+		List<TimestampedRecord> records = new ArrayList<>();
+		Ledger complete = Ledger.withRetention(RETENTION);
 		for (int minute = 0; minute < 240; minute++) {
 			Instant at = START.plus(Duration.ofMinutes(minute));
 			ProgramId program = program("sellers", "p-" + minute / 30);
@@ -208,22 +204,24 @@
 				case 3 -> new LedgerRecord.CallClaimed(key(minute / 40), CONTENT, FIRST);
 				default -> new LedgerRecord.ProgramEnded(program("sellers", "p-" + minute / 45), EndReason.BY_CALLER);
 			};
-			Stamped stamped = new Stamped(new Position(minute, 0), at, record);
-			records.add(stamped);
-			whole = stamped.addTo(whole);
+			TimestampedRecord timestamped = new TimestampedRecord(new Position(minute, 0), at, record);
+			records.add(timestamped);
+			complete = timestamped.applyTo(complete);
 		}
-		Instant kept = START.plus(Duration.ofMinutes(240)).minus(MEMORY.multipliedBy(2));
-		Ledger late = Ledger.withRetention(MEMORY);
-		for (Stamped stamped : records.stream().filter((each) -> !each.time().isBefore(kept)).toList()) {
-			late = stamped.addTo(late);
+		Instant retainedFrom = START.plus(Duration.ofMinutes(240)).minus(RETENTION.multipliedBy(2));
+		Ledger partial = Ledger.withRetention(RETENTION);
+		for (TimestampedRecord timestamped : records.stream()
+			.filter((each) -> !each.time().isBefore(retainedFrom))
+			.toList()) {
+			partial = timestamped.applyTo(partial);
 		}
 		for (int index = 0; index < 8; index++) {
 			ProgramId program = program("sellers", "p-" + index);
-			assertThat(late.program(program)).isEqualTo(whole.program(program));
-			assertThat(late.claim(key(index))).isEqualTo(whole.claim(key(index)));
+			assertThat(partial.program(program)).isEqualTo(complete.program(program));
+			assertThat(partial.claim(key(index))).isEqualTo(complete.claim(key(index)));
 		}
-		assertThat(late.programCount()).isEqualTo(whole.programCount()).isPositive();
-		assertThat(late.claimCount()).isEqualTo(whole.claimCount()).isPositive();
+		assertThat(partial.programCount()).isEqualTo(complete.programCount()).isPositive();
+		assertThat(partial.claimCount()).isEqualTo(complete.claimCount()).isPositive();
 	}
 
 	private List<LedgerChange> apply(LedgerRecord record) {
@@ -232,7 +230,7 @@
 		return reading.changes();
 	}
 
-	private void passTime(Duration duration) {
+	private void advanceTime(Duration duration) {
 		this.time = this.time.plus(duration);
 	}
 
@@ -270,8 +268,8 @@
 		return new LedgerRecord.CallSettled(KEY, executor, outcome);
 	}
 
-	private static LedgerRecord blame(boolean alone) {
-		return new LedgerRecord.UpstreamCrashed(CONTENT, FIRST, alone);
+	private static LedgerRecord crash(boolean isolated) {
+		return new LedgerRecord.UpstreamCrashed(CONTENT, FIRST, isolated);
 	}
 
 	private static CallOutcome refusal() {
@@ -288,15 +286,15 @@
 	}
 
 	/**
-	 * A record with its place and time in the log.
+	 * A record with its position and time in the log.
 	 *
-	 * @param position the place
+	 * @param position the position
 	 * @param time the time
 	 * @param record the record
 	 */
-	private record Stamped(Position position, Instant time, LedgerRecord record) {
+	private record TimestampedRecord(Position position, Instant time, LedgerRecord record) {
 
-		Ledger addTo(Ledger ledger) {
+		Ledger applyTo(Ledger ledger) {
 			return ledger.apply(this.position, this.time, this.record).ledger();
 		}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/ClaimRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/ClaimRulesTests.java
@@ -56,9 +56,9 @@
 
 	private static final ProcessId ENTRY = new ProcessId(new VmName("entry-0"), new Incarnation(2));
 
-	private static final IdempotencyKey TEXT = new IdempotencyKey("k");
+	private static final IdempotencyKey IDEMPOTENCY_KEY = new IdempotencyKey("k");
 
-	private static final CallKey KEY = new CallKey.ForIdempotencyKey(GROUP, TEXT);
+	private static final CallKey KEY = new CallKey.ForIdempotencyKey(GROUP, IDEMPOTENCY_KEY);
 
 	private static final Digest CONTENT = Digest.of("content");
 
@@ -78,12 +78,10 @@
 
 	private long attempts;
 
-	// The service is down, so the sidecar releases its claim; the append has no answer
-	// and
-	// may take effect at any time. The same sidecar is claimed again and the service is
-	// back. If it ran the call, the late release would let another sidecar run it too.
+	// A sidecar releases its claim, and the result of the append is unknown. If it ran
+	// the call when claimed again, the late release would let another sidecar run it too.
 	@Test
-	void runsNothingThatAReleaseUnderWayMayRelease() {
+	void doesNotRunACallWhoseReleaseIsUncertain() {
 		start();
 		read(0, new LedgerRecord.CallClaimed(KEY, CONTENT, SELF));
 		dispatch(0);
@@ -97,10 +95,9 @@
 		assertThat(appends()).hasSize(1);
 	}
 
-	// The same, but the log has said that it holds the release: nothing is under way, and
-	// the call runs.
+	// A committed release is not in flight any more, so a call claimed again must run.
 	@Test
-	void runsACallClaimedAnewAfterItsRelease() {
+	void runsACallClaimedAgainAfterItsRelease() {
 		start();
 		read(0, new LedgerRecord.CallClaimed(KEY, CONTENT, SELF));
 		dispatch(0);
@@ -122,8 +119,8 @@
 	}
 
 	private void dispatch(long offset) {
-		CallRequest call = new CallRequest.ForService(GROUP, Optional.empty(), Optional.of(TEXT), CONTENT, SERVICE,
-				new ServiceMessage("POST", "/ping", List.of(), Body.EMPTY), false);
+		CallRequest call = new CallRequest.ForService(GROUP, Optional.empty(), Optional.of(IDEMPOTENCY_KEY), CONTENT,
+				SERVICE, new ServiceMessage("POST", "/ping", List.of(), Body.EMPTY), false);
 		apply(new SidecarEvent.EntryMessageReceived(ENTRY,
 				new LinkMessage.Dispatch(new AttemptId(ENTRY.incarnation(), ++this.attempts), call,
 						new Standing.ForClaimedCall(KEY, SELF, offset), Duration.ofSeconds(10), ""),
@@ -144,7 +141,7 @@
 
 	private static LedgerRecord released() {
 		return new LedgerRecord.CallSettled(KEY, SELF,
-				new CallOutcome.Failed(CallFailure.notRun(FailureCause.NO_UPSTREAM, "The upstream does not answer.")));
+				new CallOutcome.Failed(CallFailure.notRun(FailureCause.NO_UPSTREAM, "The upstream is unreachable.")));
 	}
 
 	private void apply(SidecarEvent event) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/HomeRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/HomeRulesTests.java
@@ -25,30 +25,28 @@
 
 class HomeRulesTests {
 
-	private static final Duration ORDER_WAIT = Duration.ofSeconds(5);
+	private static final Duration ORDER_TIMEOUT = Duration.ofSeconds(5);
 
-	private static final Duration OUTCOME_WAIT = Duration.ofSeconds(1);
+	private static final Duration COMMIT_TIMEOUT = Duration.ofSeconds(1);
 
-	private static final Duration ORPHAN_GRACE = Duration.ofSeconds(5);
+	private static final Duration ORPHAN_TIMEOUT = Duration.ofSeconds(5);
 
-	private static final Duration MOMENT = Duration.ofMillis(1);
+	private static final Duration MILLISECOND = Duration.ofMillis(1);
 
 	private final SidecarFixture sidecar = SidecarFixture.withHome();
 
-	// The caller's first message is larger than a record of the log may be. Run, its turn
-	// could be appended never, the answer would stay pending, and the next eight calls
-	// with it. It is refused before it runs, as not run, and the program goes on.
+	// A turn larger than a log record could never be committed and would block the
+	// following turns, so the call is refused as not run. The program continues.
 	@Test
-	void refusesATurnThatNoRecordCanHold() {
+	void refusesATurnLargerThanALogRecord() {
 		AttemptId large = this.sidecar.callUnnumbered("x".repeat(1 << 20));
 		assertNotRun(large, FailureCause.TOO_LARGE);
 		this.sidecar.callUnnumbered("small");
 		assertThat(this.sidecar.started()).containsExactly("small");
 	}
 
-	// A later file of the operators removes a group while a program of it pauses between
-	// two turns. Nobody can call it any more. Its home ends it through the log, so that
-	// every process knows and the engine holds nothing for it.
+	// Programs of a removed group can't be called any more. The home ends them through
+	// the log, so that every process knows and the engine holds no cache.
 	@Test
 	void endsProgramsWhoseGroupIsRemoved() {
 		this.sidecar.callUnnumbered("hello");
@@ -56,9 +54,8 @@
 		assertEnded(EndReason.GROUP_REMOVED);
 	}
 
-	// The engine refuses every call of one group at once, without work. If the group had
-	// to pay what its calls were expected to cost, the other group would be served first
-	// for as long as that lasts, though nothing was received.
+	// A group must not pay for calls that the engine rejects without work; otherwise the
+	// other groups would be preferred.
 	@Test
 	void chargesNothingForARunThatDidNotRun() {
 		this.sidecar.callUnnumbered("hello");
@@ -68,10 +65,10 @@
 		assertThat(this.sidecar.attained()).isZero();
 	}
 
-	// Call 2 overtakes call 1 on its way through another entry. It runs after call 1, on
+	// Call 2 arrives before call 1 through another entry. It must run after call 1, on
 	// the history with that turn.
 	@Test
-	void letsACallWaitForTheOneBeforeIt() {
+	void runsACallAfterThePrecedingOne() {
 		this.sidecar.call(SidecarFixture.OTHER_ENTRY, 2, "two", "");
 		this.sidecar.call(1, "one");
 		assertThat(this.sidecar.started()).containsExactly("one");
@@ -80,22 +77,22 @@
 		assertThat(this.sidecar.runs().get(1).request().messages()).hasSize(3).startsWith("one");
 	}
 
-	// Call 1 never comes. Call 2 waits for it as long as it may, and is refused as not
-	// run: run on the shorter history it would break the conversation.
+	// A call whose preceding call is missing is refused as not run after a timeout: on
+	// the shorter history it would break the conversation.
 	@Test
-	void refusesACallWhoseForerunnerNeverComes() {
+	void refusesACallWithoutItsPrecedingCall() {
 		AttemptId second = this.sidecar.call(2, "two");
-		this.sidecar.advanceTime(ORDER_WAIT.minus(MOMENT));
+		this.sidecar.advanceTime(ORDER_TIMEOUT.minus(MILLISECOND));
 		assertThat(this.sidecar.outcomeOf(second)).isEmpty();
-		this.sidecar.advanceTime(MOMENT);
+		this.sidecar.advanceTime(MILLISECOND);
 		assertNotRun(second, FailureCause.OUT_OF_ORDER);
 		this.sidecar.call(1, "one");
 		this.sidecar.answer(0);
 		assertThat(this.sidecar.started()).containsExactly("one");
 	}
 
-	// Two different calls come with one number. The first one has it; the second one is
-	// told so, while the first runs and after it, and never runs.
+	// Two calls with different content use the same number. The second one is refused
+	// during and after the run of the first, and never runs.
 	@Test
 	void refusesAnotherCallOfTheSameNumber() {
 		AttemptId first = this.sidecar.call(1, "one");
@@ -107,65 +104,64 @@
 		assertThat(this.sidecar.started()).containsExactly("one");
 	}
 
-	// The answer is lost on its way, and the caller asks again. It gets the same answer
-	// out of the record, and the engine is not asked.
+	// A retry of an answered call gets the stored answer without another request to the
+	// engine.
 	@Test
-	void answersAResendFromTheRecord() {
+	void answersARetryFromTheHistory() {
 		AttemptId first = this.sidecar.call(1, "one");
 		this.sidecar.answer(0);
 		assertThat(this.sidecar.outcomeOf(first)).isEmpty();
 		this.sidecar.completeAppends();
-		AttemptId resend = this.sidecar.call(SidecarFixture.OTHER_ENTRY, 1, "one", "");
-		assertThat(this.sidecar.answerOf(resend)).isEqualTo(this.sidecar.answerOf(first));
-		assertThat(this.sidecar.answerOf(resend).durability()).isEqualTo(Durability.COMMITTED);
+		AttemptId retry = this.sidecar.call(SidecarFixture.OTHER_ENTRY, 1, "one", "");
+		assertThat(this.sidecar.answerOf(retry)).isEqualTo(this.sidecar.answerOf(first));
+		assertThat(this.sidecar.answerOf(retry).durability()).isEqualTo(Durability.COMMITTED);
 		assertThat(this.sidecar.runs()).hasSize(1);
 	}
 
-	// The caller loses its stream and asks again while the engine generates: once with
-	// nothing, once with a part in hand. Each gets what it lacks, and no token twice.
+	// Retries during a run join it, and each caller receives exactly the text that it has
+	// not received yet.
 	@Test
-	void joinsAResendToTheRunUnderWay() {
+	void joinsARetryToTheRunningJob() {
 		AttemptId first = this.sidecar.call(1, "one");
 		this.sidecar.progress(0, "Good ");
 		this.sidecar.progress(0, "morning");
-		AttemptId anew = this.sidecar.call(SidecarFixture.OTHER_ENTRY, 1, "one", "");
-		AttemptId partly = this.sidecar.call(SidecarFixture.OTHER_ENTRY, 1, "one", "Good mor");
+		AttemptId full = this.sidecar.call(SidecarFixture.OTHER_ENTRY, 1, "one", "");
+		AttemptId partial = this.sidecar.call(SidecarFixture.OTHER_ENTRY, 1, "one", "Good mor");
 		this.sidecar.progress(0, ", all");
 		assertThat(this.sidecar.textFor(first)).isEqualTo("Good morning, all");
-		assertThat(this.sidecar.textFor(anew)).isEqualTo("Good morning, all");
-		assertThat(this.sidecar.textFor(partly)).isEqualTo("ning, all");
+		assertThat(this.sidecar.textFor(full)).isEqualTo("Good morning, all");
+		assertThat(this.sidecar.textFor(partial)).isEqualTo("ning, all");
 		this.sidecar.answer(0);
 		this.sidecar.completeAppends();
-		assertThat(List.of(first, anew, partly)).allSatisfy(
+		assertThat(List.of(first, full, partial)).allSatisfy(
 				(attempt) -> assertThat(this.sidecar.answerOf(attempt)).isEqualTo(this.sidecar.answerOf(first)));
 		assertThat(this.sidecar.runs()).hasSize(1);
 	}
 
-	// The log is down when the turn is done. After the wait the caller gets its answer,
-	// marked pending. When the log is back the turn goes there, and a resend is told that
-	// it is committed.
+	// While the log is unavailable, an answer is sent as pending after a timeout. Once
+	// the turn is committed, a retry gets it as committed.
 	@Test
 	void answersAsPendingWhileTheLogIsDown() {
 		AttemptId first = this.sidecar.call(1, "one");
 		this.sidecar.answer(0);
 		this.sidecar.endAppend(AppendResult.NOT_APPENDED);
-		this.sidecar.advanceTime(OUTCOME_WAIT.minus(MOMENT));
+		this.sidecar.advanceTime(COMMIT_TIMEOUT.minus(MILLISECOND));
 		assertThat(this.sidecar.outcomeOf(first)).isEmpty();
 		this.sidecar.endAppend(AppendResult.NOT_APPENDED);
-		this.sidecar.advanceTime(MOMENT);
+		this.sidecar.advanceTime(MILLISECOND);
 		assertThat(this.sidecar.answerOf(first).durability()).isEqualTo(Durability.PENDING);
 		assertThat(this.sidecar.answerOf(this.sidecar.call(1, "one")).durability()).isEqualTo(Durability.PENDING);
-		this.sidecar.advanceTime(OUTCOME_WAIT);
+		this.sidecar.advanceTime(COMMIT_TIMEOUT);
 		this.sidecar.completeAppends();
 		assertThat(this.sidecar.answerOf(this.sidecar.call(1, "one")).durability()).isEqualTo(Durability.COMMITTED);
 		assertThat(this.sidecar.runs()).hasSize(1);
 	}
 
-	// Another sidecar becomes the home while this one runs a call and holds another one
-	// back. The run is broken off and may have run; the other call surely did not. What
-	// the engine still says adds no turn, and a call of the old epoch is turned away.
+	// A superseded home cancels its run, which may have run, and refuses waiting calls as
+	// not run. Late responses of the engine add no turn, and calls of the previous epoch
+	// are refused.
 	@Test
-	void yieldsToALaterEpoch() {
+	void closesTheHomeInALaterEpoch() {
 		AttemptId running = this.sidecar.call(1, "one");
 		AttemptId waiting = this.sidecar.call(2, "two");
 		ProcessId other = new ProcessId(new VmName("runner-2"), new Incarnation(1));
@@ -182,8 +178,7 @@
 		assertNotRun(this.sidecar.call(1, "one"), FailureCause.MOVED);
 	}
 
-	// A caller forgets its program. It ends once nothing was asked of it for the idle
-	// time since its last turn, and not while a call of it runs.
+	// A program that receives no call for the idle time ends, but not while a call runs.
 	@Test
 	void endsAnIdleProgram() {
 		Duration idle = Limits.ProgramLimits.DEFAULT.idleTime();
@@ -192,7 +187,7 @@
 		assertThat(this.sidecar.appended()).isEmpty();
 		this.sidecar.answer(0);
 		this.sidecar.completeAppends();
-		this.sidecar.advanceTime(idle.minus(MOMENT));
+		this.sidecar.advanceTime(idle.minus(MILLISECOND));
 		assertThat(this.sidecar.appended()).noneMatch(LedgerRecord.ProgramEnded.class::isInstance);
 		this.sidecar.advanceTime(idle);
 		assertEnded(EndReason.IDLE);
@@ -200,68 +195,67 @@
 		assertThat(this.sidecar.failureOf(this.sidecar.call(2, "two")).cause()).isEqualTo(FailureCause.PROGRAM_ENDED);
 	}
 
-	// An agent loops for ever. However busy it is, its program ends when its time is
-	// over, and the run under way with it.
+	// A program that is always busy ends when it reaches its lifetime, and its run is
+	// cancelled.
 	@Test
 	void endsAProgramAfterItsLifetime() {
 		Duration lifetime = Limits.ProgramLimits.DEFAULT.lifetime();
 		AttemptId running = this.sidecar.call(1, "one");
-		this.sidecar.advanceTime(lifetime.minus(MOMENT));
+		this.sidecar.advanceTime(lifetime.minus(MILLISECOND));
 		assertThat(this.sidecar.appended()).isEmpty();
-		this.sidecar.advanceTime(MOMENT);
+		this.sidecar.advanceTime(MILLISECOND);
 		assertEnded(EndReason.LIFETIME);
 		this.sidecar.completeAppends();
 		assertThat(this.sidecar.failureOf(running).cause()).isEqualTo(FailureCause.PROGRAM_ENDED);
 		assertThat(this.sidecar.cancelledRuns()).hasSize(1);
 	}
 
-	// The caller of a stream leaves and does not come back. The run goes on for the
-	// grace, and is stopped then, so that the engine works for nobody no longer.
+	// A run without listeners is cancelled after the timeout, so that the engine does no
+	// unneeded work.
 	@Test
-	void stopsARunThatNobodyAsksForAgain() {
+	void cancelsAnOrphanedRun() {
 		this.sidecar.cancel(this.sidecar.call(1, "one"));
-		this.sidecar.advanceTime(ORPHAN_GRACE.minus(MOMENT));
+		this.sidecar.advanceTime(ORPHAN_TIMEOUT.minus(MILLISECOND));
 		assertThat(this.sidecar.cancelledRuns()).isEmpty();
-		this.sidecar.advanceTime(MOMENT);
+		this.sidecar.advanceTime(MILLISECOND);
 		assertThat(this.sidecar.cancelledRuns()).containsExactly(this.sidecar.runs().getFirst().run());
 	}
 
-	// The same, but the caller comes back in time through another entry, and gets the
-	// answer of the run that it left.
+	// A caller that retries within the timeout, through another entry, gets the answer of
+	// the run.
 	@Test
-	void keepsARunThatIsAskedForAgain() {
+	void keepsARunThatIsRetried() {
 		this.sidecar.cancel(this.sidecar.call(1, "one"));
-		this.sidecar.advanceTime(ORPHAN_GRACE.minus(MOMENT));
-		AttemptId resend = this.sidecar.call(SidecarFixture.OTHER_ENTRY, 1, "one", "");
-		this.sidecar.advanceTime(MOMENT);
+		this.sidecar.advanceTime(ORPHAN_TIMEOUT.minus(MILLISECOND));
+		AttemptId retry = this.sidecar.call(SidecarFixture.OTHER_ENTRY, 1, "one", "");
+		this.sidecar.advanceTime(MILLISECOND);
 		assertThat(this.sidecar.cancelledRuns()).isEmpty();
 		this.sidecar.answer(0);
 		this.sidecar.completeAppends();
-		assertThat(this.sidecar.answerOf(resend).number()).isEqualTo(1);
+		assertThat(this.sidecar.answerOf(retry).number()).isEqualTo(1);
 	}
 
-	// The engine crashes under a call and is back before the log holds the blame; the
-	// caller, whose entry was lost, asks again meanwhile. Both attempts are told once the
-	// blame is in the log, and nothing runs before that: it could crash the next one too.
+	// A retry after a crash must not run before the crash is recorded in the log, since
+	// it could crash the next engine too. Both attempts fail once it is.
 	@Test
-	void holdsAResendUntilTheBlameIsInTheLog() {
+	void holdsARetryUntilTheCrashIsRecorded() {
 		AttemptId first = this.sidecar.call(1, "one");
 		this.sidecar.crash(0);
 		this.sidecar.report(2);
-		AttemptId resend = this.sidecar.call(SidecarFixture.OTHER_ENTRY, 1, "one", "");
+		AttemptId retry = this.sidecar.call(SidecarFixture.OTHER_ENTRY, 1, "one", "");
 		assertThat(this.sidecar.runs()).hasSize(1);
 		this.sidecar.completeAppends();
 		assertThat(this.sidecar.failureOf(first).cause()).isEqualTo(FailureCause.UPSTREAM_FAILED);
-		assertThat(this.sidecar.failureOf(resend)).isEqualTo(this.sidecar.failureOf(first));
+		assertThat(this.sidecar.failureOf(retry)).isEqualTo(this.sidecar.failureOf(first));
 		this.sidecar.call(1, "one");
 		assertThat(this.sidecar.runs()).hasSize(2);
 	}
 
-	// The same, but another call without a number comes meanwhile. It is no resend, so it
-	// waits, and runs as soon as the end of the first one is told, whether by the log or,
-	// while the log is down, after the wait.
+	// Another call without a number is not a retry, so it waits, and runs once the
+	// outcome of the first is sent: after the commit, or after the timeout while the log
+	// is unavailable.
 	@Test
-	void runsAnotherCallOnceTheBlameIsTold() {
+	void runsAnotherCallOnceTheCrashIsReported() {
 		AttemptId first = this.sidecar.callUnnumbered("one");
 		this.sidecar.crash(0);
 		this.sidecar.report(2);
@@ -273,7 +267,7 @@
 		this.sidecar.report(3);
 		this.sidecar.callUnnumbered("three");
 		assertThat(this.sidecar.started()).containsExactly("one", "two");
-		this.sidecar.advanceTime(OUTCOME_WAIT);
+		this.sidecar.advanceTime(COMMIT_TIMEOUT);
 		assertThat(this.sidecar.started()).containsExactly("one", "two", "three");
 		assertThat(this.sidecar.failureOf(first).verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/QueueRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/QueueRulesTests.java
@@ -17,105 +17,102 @@
 
 	private static final Duration SHORT = Duration.ofSeconds(10);
 
-	private static final Limits ONE_WAITS = new Limits(Limits.RequestLimits.DEFAULT, Limits.ProgramLimits.DEFAULT,
+	private static final Limits ONE_QUEUED_CALL = new Limits(Limits.RequestLimits.DEFAULT, Limits.ProgramLimits.DEFAULT,
 			Limits.DeadlineLimits.DEFAULT, new Limits.QueueLimits(1, 10), Limits.FaultLimits.DEFAULT,
 			Limits.DEFAULT.drainTime());
 
-	// A group sends more than may wait. Who does not fit is told at once that the call
-	// did not run and when to come again; who waits keeps its place.
+	// Calls beyond the limit of the queue are refused at once as not run, with a retry
+	// delay; queued calls keep their position.
 	@Test
-	void refusesWhatDoesNotFit() {
-		SidecarFixture site = new SidecarFixture(ONE_WAITS, 1);
-		site.callWithoutProgram("one", LONG);
-		AttemptId waiting = site.callWithoutProgram("two", LONG);
-		CallFailure failure = site.failureOf(site.callWithoutProgram("three", LONG));
+	void refusesCallsBeyondTheQueueLimit() {
+		SidecarFixture sidecar = new SidecarFixture(ONE_QUEUED_CALL, 1);
+		sidecar.callWithoutProgram("one", LONG);
+		AttemptId waiting = sidecar.callWithoutProgram("two", LONG);
+		CallFailure failure = sidecar.failureOf(sidecar.callWithoutProgram("three", LONG));
 		assertThat(failure.cause()).isEqualTo(FailureCause.QUEUE_FULL);
 		assertThat(failure.verdict()).isEqualTo(Verdict.NOT_RUN);
 		assertThat(failure.retryAfter()).isPresent();
-		site.answer(0);
-		assertThat(site.outcomeOf(waiting)).isEmpty();
-		assertThat(site.started()).containsExactly("one", "two");
+		sidecar.answer(0);
+		assertThat(sidecar.outcomeOf(waiting)).isEmpty();
+		assertThat(sidecar.started()).containsExactly("one", "two");
 	}
 
-	// The deadline of a call passes while it waits. It leaves the queue with that, so the
-	// caller can be told for sure that it did not and will not run.
+	// A queued call whose deadline passes leaves the queue, so that it can be reported as
+	// not run.
 	@Test
-	void neverStartsACallAfterItsDeadline() {
-		SidecarFixture site = new SidecarFixture(Limits.DEFAULT, 1);
-		site.callWithoutProgram("one", LONG);
-		AttemptId waiting = site.callWithoutProgram("two", SHORT);
-		site.advanceTime(SHORT);
-		assertThat(site.failureOf(waiting).cause()).isEqualTo(FailureCause.DEADLINE_PASSED);
-		assertThat(site.failureOf(waiting).verdict()).isEqualTo(Verdict.NOT_RUN);
-		site.answer(0);
-		assertThat(site.started()).containsExactly("one");
-		assertThat(site.leftovers()).isEmpty();
+	void doesNotStartACallAfterItsDeadline() {
+		SidecarFixture sidecar = new SidecarFixture(Limits.DEFAULT, 1);
+		sidecar.callWithoutProgram("one", LONG);
+		AttemptId waiting = sidecar.callWithoutProgram("two", SHORT);
+		sidecar.advanceTime(SHORT);
+		assertThat(sidecar.failureOf(waiting).cause()).isEqualTo(FailureCause.DEADLINE_PASSED);
+		assertThat(sidecar.failureOf(waiting).verdict()).isEqualTo(Verdict.NOT_RUN);
+		sidecar.answer(0);
+		assertThat(sidecar.started()).containsExactly("one");
+		assertThat(sidecar.leftovers()).isEmpty();
 	}
 
-	// The caller of a waiting call leaves. The engine is not asked for it, and the next
-	// one takes its place.
+	// A cancelled call leaves the queue, and the next one takes its slot.
 	@Test
-	void forgetsAWaitingCallThatIsCancelled() {
-		SidecarFixture site = new SidecarFixture(Limits.DEFAULT, 1);
-		site.callWithoutProgram("one", LONG);
-		AttemptId cancelled = site.callWithoutProgram("two", LONG);
-		site.callWithoutProgram("three", LONG);
-		site.cancel(cancelled);
-		site.answer(0);
-		site.answer(1);
-		assertThat(site.started()).containsExactly("one", "three");
-		assertThat(site.outcomeOf(cancelled)).isEmpty();
-		assertThat(site.leftovers()).isEmpty();
+	void removesACancelledCall() {
+		SidecarFixture sidecar = new SidecarFixture(Limits.DEFAULT, 1);
+		sidecar.callWithoutProgram("one", LONG);
+		AttemptId cancelled = sidecar.callWithoutProgram("two", LONG);
+		sidecar.callWithoutProgram("three", LONG);
+		sidecar.cancel(cancelled);
+		sidecar.answer(0);
+		sidecar.answer(1);
+		assertThat(sidecar.started()).containsExactly("one", "three");
+		assertThat(sidecar.outcomeOf(cancelled)).isEmpty();
+		assertThat(sidecar.leftovers()).isEmpty();
 	}
 
-	// A request crashes the engine in company. Its next attempt waits until nothing else
-	// runs, and nothing is started beside it. It crashes the engine again, alone this
-	// time: that is its limit, and it is not run a third time.
+	// A request that was running during a crash is retried in isolation. If the engine
+	// crashes again, the request is not run a third time.
 	@Test
-	void stopsARequestThatCrashesTheEngineAlone() {
-		SidecarFixture site = new SidecarFixture(Limits.DEFAULT, 4);
-		AttemptId guilty = site.callWithoutProgram("guilty", LONG);
-		site.crash(0);
-		assertThat(site.outcomeOf(guilty)).isEmpty();
-		site.completeAppends();
-		assertThat(site.failureOf(guilty).verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
-		site.report(2);
-		site.callWithoutProgram("before", LONG);
-		AttemptId again = site.callWithoutProgram("guilty", LONG);
-		site.callWithoutProgram("after", LONG);
-		assertThat(site.started()).containsExactly("guilty", "before");
-		site.answer(1);
-		assertThat(site.started()).containsExactly("guilty", "before", "guilty");
-		site.crash(2);
-		site.completeAppends();
-		assertThat(site.failureOf(again).cause()).isEqualTo(FailureCause.UPSTREAM_FAILED);
-		site.report(3);
-		CallFailure stopped = site.failureOf(site.callWithoutProgram("guilty", LONG));
+	void stopsARequestThatCrashesTheEngineInIsolation() {
+		SidecarFixture sidecar = new SidecarFixture(Limits.DEFAULT, 4);
+		AttemptId first = sidecar.callWithoutProgram("poison", LONG);
+		sidecar.crash(0);
+		assertThat(sidecar.outcomeOf(first)).isEmpty();
+		sidecar.completeAppends();
+		assertThat(sidecar.failureOf(first).verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
+		sidecar.report(2);
+		sidecar.callWithoutProgram("before", LONG);
+		AttemptId retry = sidecar.callWithoutProgram("poison", LONG);
+		sidecar.callWithoutProgram("after", LONG);
+		assertThat(sidecar.started()).containsExactly("poison", "before");
+		sidecar.answer(1);
+		assertThat(sidecar.started()).containsExactly("poison", "before", "poison");
+		sidecar.crash(2);
+		sidecar.completeAppends();
+		assertThat(sidecar.failureOf(retry).cause()).isEqualTo(FailureCause.UPSTREAM_FAILED);
+		sidecar.report(3);
+		CallFailure stopped = sidecar.failureOf(sidecar.callWithoutProgram("poison", LONG));
 		assertThat(stopped.cause()).isEqualTo(FailureCause.CRASHES_UPSTREAMS);
 		assertThat(stopped.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
-		assertThat(site.started()).containsExactly("guilty", "before", "guilty", "after");
+		assertThat(sidecar.started()).containsExactly("poison", "before", "poison", "after");
 	}
 
-	// An innocent request runs beside a guilty one when the engine crashes, and is blamed
-	// with it. It runs alone once and ends without a crash: that clears it, and from then
-	// on it runs in company again.
+	// A request that ran alongside the cause of a crash is cleared by a run in isolation
+	// without a crash, and runs alongside others again.
 	@Test
-	void clearsAnInnocentRequestThatEndsAlone() {
-		SidecarFixture site = new SidecarFixture(Limits.DEFAULT, 4);
-		site.callWithoutProgram("guilty", LONG);
-		site.callWithoutProgram("innocent", LONG);
-		site.crash(0);
-		site.crash(1);
-		site.completeAppends();
-		site.report(2);
-		AttemptId alone = site.callWithoutProgram("innocent", LONG);
-		site.callWithoutProgram("other", LONG);
-		assertThat(site.started()).containsExactly("guilty", "innocent", "innocent");
-		site.answer(2);
-		site.completeAppends();
-		assertThat(site.answerOf(alone).answer()).isNotNull();
-		site.callWithoutProgram("innocent", LONG);
-		assertThat(site.started()).containsExactly("guilty", "innocent", "innocent", "other", "innocent");
+	void clearsARequestThatEndsInIsolation() {
+		SidecarFixture sidecar = new SidecarFixture(Limits.DEFAULT, 4);
+		sidecar.callWithoutProgram("poison", LONG);
+		sidecar.callWithoutProgram("harmless", LONG);
+		sidecar.crash(0);
+		sidecar.crash(1);
+		sidecar.completeAppends();
+		sidecar.report(2);
+		AttemptId isolated = sidecar.callWithoutProgram("harmless", LONG);
+		sidecar.callWithoutProgram("other", LONG);
+		assertThat(sidecar.started()).containsExactly("poison", "harmless", "harmless");
+		sidecar.answer(2);
+		sidecar.completeAppends();
+		assertThat(sidecar.answerOf(isolated).answer()).isNotNull();
+		sidecar.callWithoutProgram("harmless", LONG);
+		assertThat(sidecar.started()).containsExactly("poison", "harmless", "harmless", "other", "harmless");
 	}
 
 }
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarFixture.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarFixture.java
@@ -44,8 +44,8 @@
 import io.lentilslip.core.verdict.Verdict;
 
 /**
- * A sidecar of an engine with the log it reads and two entries. Nothing happens, and no
- * time passes, but by the calls of a test. Confined to one thread.
+ * Sidecar of an engine with a simulated log and two entries. Events occur and time
+ * advances only by the calls of a test. Confined to one thread.
  */
 final class SidecarFixture {
 
@@ -99,13 +99,13 @@
 	}
 
 	/**
-	 * Returns a sidecar that is the home of {@link #PROGRAM} in its first epoch.
-	 * @return the site
+	 * Returns a fixture whose sidecar is the home of {@link #PROGRAM} in its first epoch.
+	 * @return the fixture
 	 */
 	static SidecarFixture withHome() {
-		SidecarFixture site = new SidecarFixture(Limits.DEFAULT, 4);
-		site.read(new LedgerRecord.ProgramClaimed(PROGRAM, Epoch.NONE.next(), SELF, Optional.empty()));
-		return site;
+		SidecarFixture fixture = new SidecarFixture(Limits.DEFAULT, 4);
+		fixture.read(new LedgerRecord.ProgramClaimed(PROGRAM, Epoch.NONE.next(), SELF, Optional.empty()));
+		return fixture;
 	}
 
 	void accept(long version, Configuration configuration) {
@@ -128,7 +128,7 @@
 	}
 
 	/**
-	 * Lets all appends that the log has not answered take effect and be read.
+	 * Completes all open appends and delivers their records.
 	 */
 	void completeAppends() {
 		while (this.completedAppends < appends().size()) {
@@ -144,11 +144,11 @@
 	}
 
 	/**
-	 * Sends a call of the program that leaves the history to the system.
+	 * Sends a call of the program that contains only the new message.
 	 * @param entry the entry that sends it
 	 * @param number the call's number
 	 * @param message the message it adds
-	 * @param delivered the text that its caller already has
+	 * @param delivered the part of the answer that the caller has already received
 	 * @return the attempt
 	 */
 	AttemptId call(ProcessId entry, int number, String message, String delivered) {
@@ -160,7 +160,7 @@
 	}
 
 	/**
-	 * Sends a call of the program with the whole history and without a number.
+	 * Sends a call of the program that contains the whole history and has no number.
 	 * @param message the only message
 	 * @return the attempt
 	 */
@@ -185,11 +185,11 @@
 				"");
 	}
 
-	private AttemptId dispatch(ProcessId entry, Optional<ProgramCall> place, HistoryMode mode, String message,
+	private AttemptId dispatch(ProcessId entry, Optional<ProgramCall> programCall, HistoryMode mode, String message,
 			Standing standing, Duration timeLeft, String delivered) {
 		AttemptId attempt = new AttemptId(entry.incarnation(), ++this.attempts);
-		CallRequest call = new CallRequest.ForModel(GROUP, place, Optional.empty(), Digest.of(message), MODEL, mode,
-				List.of(message), 100, "{}", false);
+		CallRequest call = new CallRequest.ForModel(GROUP, programCall, Optional.empty(), Digest.of(message), MODEL,
+				mode, List.of(message), 100, "{}", false);
 		apply(new SidecarEvent.EntryMessageReceived(entry,
 				new LinkMessage.Dispatch(attempt, call, standing, timeLeft, delivered), this.now));
 		return attempt;
@@ -200,15 +200,15 @@
 	}
 
 	/**
-	 * Returns the orders given to the engine, in their sequence.
-	 * @return the orders
+	 * Returns the requests to the engine, in order.
+	 * @return the requests
 	 */
 	List<SidecarEffect.Generate> runs() {
 		return effects(SidecarEffect.Generate.class);
 	}
 
 	/**
-	 * Returns the message that was added by each order given to the engine.
+	 * Returns the last message of each request to the engine.
 	 * @return the messages
 	 */
 	List<String> started() {
@@ -241,7 +241,7 @@
 			.map(LinkMessage.Finished::outcome)
 			.toList();
 		if (outcomes.size() > 1) {
-			throw new AssertionError("an attempt ended more than once: " + outcomes);
+			throw new AssertionError("attempt finished more than once: " + outcomes);
 		}
 		return outcomes.stream().findFirst();
 	}
@@ -260,7 +260,7 @@
 		for (LinkMessage.Delta delta : messages(LinkMessage.Delta.class)) {
 			if (delta.attempt().equals(attempt)) {
 				if (delta.sequence() != sequence++) {
-					throw new AssertionError("a part is missing or came twice: " + delta);
+					throw new AssertionError("missing or duplicate part of the answer: " + delta);
 				}
 				text.append(delta.text());
 			}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarLeftovers.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarLeftovers.java
@@ -7,8 +7,8 @@
 import io.vavr.collection.Set;
 
 /**
- * Names the collections of a sidecar's state that hold something although nothing is
- * under way and all programs have ended.
+ * Lists the collections of a sidecar's state that are not empty after all calls have
+ * finished and all programs have ended.
  */
 public final class SidecarLeftovers {
 
@@ -17,18 +17,18 @@
 
 	public static List<String> in(SidecarState state) {
 		List<String> left = new ArrayList<>();
-		note(left, "jobs", state.jobs.size());
-		note(left, "attempts", state.jobsByAttempt.size());
-		note(left, "runs", state.runs.size());
-		note(left, "blamed", state.awaitingCrashRecord.size());
-		note(left, "alone", (state.isolatedJob.isPresent()) ? 1 : 0);
-		note(left, "queue", state.queue.size());
-		note(left, "homes", state.homes.size());
-		note(left, "waiting", state.programsByWaitingAttempt.size());
-		note(left, "parked", state.awaitingLog.size());
-		note(left, "appends", state.appends.size());
-		note(left, "sessions", state.sessions.size());
-		note(left, "open", state.openAttempts.values().map(Set::size).sum().intValue());
+		addIfNotEmpty(left, "jobs", state.jobs.size());
+		addIfNotEmpty(left, "jobsByAttempt", state.jobsByAttempt.size());
+		addIfNotEmpty(left, "runs", state.runs.size());
+		addIfNotEmpty(left, "awaitingCrashRecord", state.awaitingCrashRecord.size());
+		addIfNotEmpty(left, "isolatedJob", (state.isolatedJob.isPresent()) ? 1 : 0);
+		addIfNotEmpty(left, "queue", state.queue.size());
+		addIfNotEmpty(left, "homes", state.homes.size());
+		addIfNotEmpty(left, "programsByWaitingAttempt", state.programsByWaitingAttempt.size());
+		addIfNotEmpty(left, "awaitingLog", state.awaitingLog.size());
+		addIfNotEmpty(left, "appends", state.appends.size());
+		addIfNotEmpty(left, "sessions", state.sessions.size());
+		addIfNotEmpty(left, "openAttempts", state.openAttempts.values().map(Set::size).sum().intValue());
 		return left;
 	}
 
@@ -36,7 +36,7 @@
 		return state.log.ledger();
 	}
 
-	private static void note(List<String> left, String name, int size) {
+	private static void addIfNotEmpty(List<String> left, String name, int size) {
 		if (size > 0) {
 			left.add(name + "=" + size);
 		}
