--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
@@ -10,7 +10,7 @@
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.HistoryMode;
 import io.lentilslip.core.call.ProgramCall;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.configuration.CallerPolicy;
 import io.lentilslip.core.configuration.Configuration;
@@ -84,7 +84,7 @@
 				.map((group) -> requestOf(group, place.call(), submission))
 				.orElseGet(() -> refused(FailureCause.FORBIDDEN, "The caller's group is not configured.")))
 			.flatMap((request) -> routeOf(request).map((route) -> Call.of(event.ticket(), request, route, event.now(),
-					event.now().plus(timeFor(submission)), this.draft.log.rounds())));
+					event.now().plus(timeFor(submission)), this.draft.log.catchUpCount())));
 	}
 
 	private static <T> Either<CallFailure, T> refused(FailureCause cause, String message) {
@@ -178,7 +178,7 @@
 		if (service.isEmpty()) {
 			return refused(FailureCause.NOT_FOUND, "The service is not configured.");
 		}
-		ServiceMessage message = payload.message();
+		ServiceRequest message = payload.message();
 		Digest content = Digest.of(payload.service().value())
 			.then(Digest.of(message.method()))
 			.then(Digest.of(message.path()))
@@ -189,11 +189,11 @@
 
 	private Either<CallFailure, Route> routeOf(CallRequest request) {
 		if (this.draft.log.ledger()
-			.crashCount(request.content()) >= configuration().limits().faults().crashesBeforeStop()) {
+			.crashCount(request.contentDigest()) >= configuration().limits().faults().crashesBeforeStop()) {
 			return Either.left(CallFailure.mayHaveRun(FailureCause.CRASHES_UPSTREAMS,
 					"The request crashed upstreams before and is not run again."));
 		}
-		Optional<ProgramId> program = request.place().map(ProgramCall::program);
+		Optional<ProgramId> program = request.programCall().map(ProgramCall::program);
 		Optional<ProgramState> ended = program.flatMap(this.draft.log.ledger()::program)
 			.filter((state) -> state.endReason().isPresent());
 		if (ended.isPresent()) {
@@ -207,14 +207,14 @@
 	}
 
 	private static Route byKey(CallRequest call) {
-		return call.key()
+		return call.idempotencyKey()
 			.<Route>map((key) -> new Route.ForClaim(new CallKey.ForIdempotencyKey(call.group(), key)))
 			.orElseGet(Route.ForAny::new);
 	}
 
 	private static Route serviceRoute(CallRequest.ForService call) {
-		Optional<ProgramCall> place = call.place().filter((each) -> each.number().isPresent());
-		if (call.key().isEmpty() && place.isPresent() && !call.repeatable()) {
+		Optional<ProgramCall> place = call.programCall().filter((each) -> each.number().isPresent());
+		if (call.idempotencyKey().isEmpty() && place.isPresent() && !call.repeatable()) {
 			return new Route.ForClaim(new CallKey.ForProgramCall(place.get().program(), call.service(),
 					place.get().number().orElseThrow()));
 		}
@@ -263,7 +263,7 @@
 		}
 		AttemptId attempt = this.draft.nextAttempt();
 		this.draft.questions = this.draft.questions.put(event.ticket(), new Question.ForState(program, attempt));
-		this.draft.run(new EntryEffect.Send(home, new LinkMessage.AskProgram(attempt, program)));
+		this.draft.run(new EntryEffect.Send(home, new LinkMessage.ProgramRequest(attempt, program)));
 		this.draft.remind(ANSWER_WAIT, new Duty.GiveUpQuestion(event.ticket()));
 	}
 
@@ -289,7 +289,7 @@
 				new ProgramView(program, state.epoch(), state.lastCall(), 0, state.endReason(), List.of())));
 	}
 
-	void answered(LinkMessage.ProgramAnswer answer) {
+	void answered(LinkMessage.ProgramResponse answer) {
 		Option<Tuple2<Ticket, Question>> question = this.draft.questions
 			.find((each) -> each._2() instanceof Question.ForState state && state.attempt().equals(answer.attempt()));
 		if (question.isEmpty()) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
@@ -38,27 +38,27 @@
 	void learned(LogEvent event) {
 		switch (event) {
 			case LogEvent.BatchRead read -> read(read);
-			case LogEvent.CaughtUp caughtUp -> back(caughtUp.next());
+			case LogEvent.CaughtUp caughtUp -> back(caughtUp.nextOffset());
 			case LogEvent.Unreachable unreachable -> unreachable();
-			case LogEvent.GapFound gap -> startAnew(gap);
+			case LogEvent.GapDetected gap -> startAnew(gap);
 			case LogEvent.AppendEnded ended -> appended(ended);
 		}
 	}
 
 	private void read(LogEvent.BatchRead event) {
-		if (event.offset() < this.draft.log.next()) {
+		if (event.offset() < this.draft.log.nextOffset()) {
 			return;
 		}
-		this.draft.clock = Optional.of(LogClock.update(this.draft.clock, event.time(), this.draft.now));
+		this.draft.clock = Optional.of(LogClock.update(this.draft.clock, event.logTime(), this.draft.now));
 		int index = 0;
 		for (LedgerRecord record : event.batch()) {
 			Position position = new Position(event.offset(), index);
-			Ledger.ApplyResult reading = this.draft.log.ledger().apply(position, event.time(), record);
+			Ledger.ApplyResult reading = this.draft.log.ledger().apply(position, event.logTime(), record);
 			this.draft.log = this.draft.log.withLedger(reading.ledger());
 			reading.changes().forEach((change) -> follow(change, event.offset()));
 			index++;
 		}
-		this.draft.log = this.draft.log.readTo(event.offset() + 1, event.time());
+		this.draft.log = this.draft.log.advanceTo(event.offset() + 1, event.logTime());
 	}
 
 	private void follow(LedgerChange change, long offset) {
@@ -93,7 +93,7 @@
 		if (!this.draft.log.isReachable()) {
 			this.draft.report(NoticeCode.LOG_BACK.with(FieldName.OFFSET, next));
 		}
-		this.draft.log = this.draft.log.reachable();
+		this.draft.log = this.draft.log.caughtUp();
 	}
 
 	private void unreachable() {
@@ -105,10 +105,10 @@
 
 	// What was lost may have changed homes and claims: only what the log still has
 	// counts.
-	private void startAnew(LogEvent.GapFound gap) {
-		this.draft.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.from())
-			.with(FieldName.COUNT, gap.first() - gap.from()));
-		this.draft.log = LogView.unread().readTo(gap.first(), Instant.EPOCH);
+	private void startAnew(LogEvent.GapDetected gap) {
+		this.draft.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.expectedOffset())
+			.with(FieldName.COUNT, gap.firstOffset() - gap.expectedOffset()));
+		this.draft.log = LogView.empty().advanceTo(gap.firstOffset(), Instant.EPOCH);
 		this.draft.accounts = this.draft.accounts.mapValues(Account::discardSlices);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
@@ -10,9 +10,9 @@
 import io.lentilslip.core.notice.FieldName;
 import io.lentilslip.core.notice.NoticeCode;
 import io.lentilslip.core.retry.RetryBudget;
-import io.lentilslip.core.role.Agenda;
 import io.lentilslip.core.role.NodeEffect;
 import io.lentilslip.core.role.NodeEvent;
+import io.lentilslip.core.role.TimerQueue;
 
 /**
  * The rules for time, configuration, membership and the end of the process. Confined to
@@ -80,7 +80,7 @@
 
 	private void listed(NodeEvent.VmListRead event) {
 		for (Peer peer : this.draft.peers.values()) {
-			boolean leaving = event.leaving().contains(peer.policy().vm());
+			boolean leaving = event.draining().contains(peer.policy().vm());
 			if (leaving != peer.listedLeaving()) {
 				this.draft.put(peer.listedAsLeaving(leaving));
 			}
@@ -88,8 +88,8 @@
 	}
 
 	private void tick() {
-		Agenda.Due<Duty> due = this.draft.agenda.due(this.draft.now);
-		this.draft.agenda = due.agenda();
+		TimerQueue.DueItems<Duty> due = this.draft.agenda.pollDue(this.draft.now);
+		this.draft.agenda = due.remaining();
 		due.items().forEach(this::fulfil);
 		measure();
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ClaimRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ClaimRules.java
@@ -10,7 +10,7 @@
 import io.lentilslip.core.ledger.CallKey;
 import io.lentilslip.core.ledger.ClaimState;
 import io.lentilslip.core.ledger.LedgerRecord;
-import io.lentilslip.core.link.Standing;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.sidecar.Job.Stage;
 
 /**
@@ -30,14 +30,14 @@
 	 * @param incoming the attempt
 	 * @param standing the claim that the attempt refers to
 	 */
-	void handle(IncomingAttempt incoming, Standing.ForClaimedCall standing) {
+	void handle(IncomingAttempt incoming, ExecutionAuthority.ForClaimedCall standing) {
 		Optional<ClaimState> claim = this.builder.log.ledger().claim(standing.key());
 		if (claim.isEmpty() || !claim.get().executor().equals(this.builder.self)) {
 			this.builder.refuse(incoming,
 					EntryRules.retryableRefusal(FailureCause.MOVED, "The claim on the call was released."));
 			return;
 		}
-		if (!claim.get().content().equals(incoming.call().content())) {
+		if (!claim.get().content().equals(incoming.call().contentDigest())) {
 			this.builder.refuse(incoming, CallFailure.notRun(FailureCause.KEY_REUSED,
 					"The key or number of the call was already used for a call with different content."));
 			return;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
@@ -11,9 +11,9 @@
 import io.lentilslip.core.identity.ProgramId;
 import io.lentilslip.core.ledger.ProgramState;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
 import io.lentilslip.core.link.LinkMessage.ProgramView;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.sidecar.Job.Stage;
 import io.vavr.collection.HashSet;
 import io.vavr.collection.Vector;
@@ -44,7 +44,7 @@
 				this.builder.openAttempts.getOrElse(entry, HashSet.empty()));
 		this.builder.lastReport = Optional.empty();
 		if (this.builder.draining) {
-			this.builder.send(entry, new LinkMessage.Leaving());
+			this.builder.send(entry, new LinkMessage.Draining());
 		}
 	}
 
@@ -64,7 +64,7 @@
 		switch (message) {
 			case LinkMessage.Dispatch dispatch -> dispatch(entry, dispatch);
 			case LinkMessage.Cancel cancel -> cancel(entry, cancel.attempt());
-			case LinkMessage.AskProgram question -> sendProgramView(entry, question);
+			case LinkMessage.ProgramRequest question -> sendProgramView(entry, question);
 			case LinkMessage.Hello hello -> {
 			}
 			case LinkMessage.Heartbeat heartbeat -> {
@@ -78,8 +78,8 @@
 		if (this.builder.isOpen(message.attempt())) {
 			return;
 		}
-		IncomingAttempt incoming = new IncomingAttempt(message.attempt(), entry, message.call(), message.standing(),
-				this.builder.now.plus(message.timeLeft()), message.delivered());
+		IncomingAttempt incoming = new IncomingAttempt(message.attempt(), entry, message.call(), message.authority(),
+				this.builder.now.plus(message.timeout()), message.deliveredText());
 		this.builder.addOpenAttempt(entry, incoming.attempt());
 		if (this.builder.configuration.flatMap(ActiveConfiguration::upstream).isEmpty()) {
 			this.builder.refuse(incoming,
@@ -91,7 +91,7 @@
 
 	private void route(IncomingAttempt incoming) {
 		switch (incoming.standing()) {
-			case Standing.ForHome standing -> {
+			case ExecutionAuthority.ForHome standing -> {
 				if (!standing.home().equals(this.builder.self)) {
 					this.builder.refuse(incoming,
 							retryableRefusal(FailureCause.MOVED, "The program has moved to another home."));
@@ -103,7 +103,7 @@
 					awaitLog(incoming);
 				}
 			}
-			case Standing.ForClaimedCall standing -> {
+			case ExecutionAuthority.ForClaimedCall standing -> {
 				if (!standing.executor().equals(this.builder.self)) {
 					// The incarnation that holds the claim has ended and may have run the
 					// call.
@@ -117,7 +117,7 @@
 					awaitLog(incoming);
 				}
 			}
-			case Standing.ForSingleCall standing -> handleSingleCall(incoming);
+			case ExecutionAuthority.ForSingleCall standing -> handleSingleCall(incoming);
 		}
 	}
 
@@ -242,13 +242,13 @@
 		}
 	}
 
-	private void sendProgramView(ProcessId entry, LinkMessage.AskProgram question) {
+	private void sendProgramView(ProcessId entry, LinkMessage.ProgramRequest question) {
 		Optional<ProgramState> state = this.builder.log.ledger().program(question.program());
 		Optional<ProgramView> view = this.builder.home(question.program())
 			.filter(Home::ready)
 			.map((home) -> new ProgramView(home.program(), home.epoch(), home.turns().size(), home.pendingCount(),
 					state.flatMap(ProgramState::endReason), home.messages().asJava()));
-		this.builder.send(entry, new LinkMessage.ProgramAnswer(question.attempt(), view));
+		this.builder.send(entry, new LinkMessage.ProgramResponse(question.attempt(), view));
 	}
 
 	static CallFailure retryableRefusal(FailureCause cause, String message) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.CallRequest;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.HistoryMode;
@@ -24,8 +24,8 @@
 import io.lentilslip.core.ledger.ProgramState;
 import io.lentilslip.core.ledger.Turn;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.measurement.Measurement;
 import io.lentilslip.core.notice.FieldName;
 import io.lentilslip.core.notice.NoticeCode;
@@ -66,8 +66,8 @@
 	 * @param incoming the attempt
 	 * @param standing the claim of the home that the attempt refers to
 	 */
-	void handle(IncomingAttempt incoming, Standing.ForHome standing) {
-		ProgramId program = incoming.call().place().orElseThrow().program();
+	void handle(IncomingAttempt incoming, ExecutionAuthority.ForHome standing) {
+		ProgramId program = incoming.call().programCall().orElseThrow().program();
 		Optional<ProgramState> state = this.builder.log.ledger().program(program);
 		if (state.isEmpty() || !state.get().home().equals(this.builder.self)
 				|| !state.get().epoch().equals(standing.epoch())) {
@@ -96,7 +96,7 @@
 	}
 
 	private Home openHome(ProgramId program, ProgramState state) {
-		Duration age = Duration.between(state.createdAt(), this.builder.log.time());
+		Duration age = Duration.between(state.createdAt(), this.builder.log.lastRecordTime());
 		Instant expires = this.builder.now.plus(limits().programs().lifetime().minus(age));
 		Home home = Home.of(program, state.epoch(), state.lastTurnPosition().isEmpty(), this.builder.now, expires);
 		this.builder.put(home);
@@ -190,14 +190,14 @@
 		if (incoming.callNumber().isPresent()) {
 			return job.key() instanceof JobKey.ForTurn turn && turn.number() == incoming.callNumber().get();
 		}
-		if (call.key().isPresent()) {
-			return call.key().equals(job.call().key());
+		if (call.idempotencyKey().isPresent()) {
+			return call.idempotencyKey().equals(job.call().idempotencyKey());
 		}
-		return call.content().equals(job.call().content());
+		return call.contentDigest().equals(job.call().contentDigest());
 	}
 
 	private void answerResend(IncomingAttempt incoming, Home home, Turn turn) {
-		if (!turn.content().equals(incoming.call().content())) {
+		if (!turn.content().equals(incoming.call().contentDigest())) {
 			this.builder.refuse(incoming, keyReused());
 			return;
 		}
@@ -208,7 +208,7 @@
 		}
 		Durability durability = (turn.number() <= home.committed()) ? Durability.COMMITTED : Durability.PENDING;
 		this.builder.finish(incoming.entry(), incoming.attempt(),
-				new CallOutcome.Answered(turn.answer(), durability, turn.number()));
+				new CallOutcome.Completed(turn.answer(), durability, turn.number()));
 		this.builder.report(NoticeCode.DUPLICATE_ANSWERED.with(FieldName.PROGRAM, home.program())
 			.with(FieldName.CALL, turn.number()));
 	}
@@ -225,11 +225,11 @@
 	 * @return always {@code true}: the attempt was added or refused
 	 */
 	boolean join(IncomingAttempt incoming, Job job) {
-		if (!job.call().content().equals(incoming.call().content())) {
+		if (!job.call().contentDigest().equals(incoming.call().contentDigest())) {
 			this.builder.refuse(incoming, keyReused());
 			return true;
 		}
-		Optional<String> remainder = job.transcript().after(incoming.delivered());
+		Optional<String> remainder = job.transcript().suffixAfter(incoming.delivered());
 		if (remainder.isEmpty()) {
 			this.builder.refuse(incoming, CallFailure.mayHaveRun(FailureCause.UPSTREAM_FAILED,
 					"The part of the answer that was already delivered does not match the running request."));
@@ -321,16 +321,16 @@
 	 * @param program the program
 	 * @param answer the answer
 	 */
-	void answered(Job job, ProgramId program, Answer.FromModel answer) {
+	void answered(Job job, ProgramId program, CallResponse.FromModel answer) {
 		Optional<Home> home = this.builder.home(program)
 			.filter((known) -> known.activeJob().equals(Optional.of(job.key())));
 		if (home.isEmpty()) {
 			return;
 		}
 		int number = home.get().nextNumber();
-		Turn turn = new Turn(number, job.call().content(), job.call().key(), job.added(), answer);
+		Turn turn = new Turn(number, job.call().contentDigest(), job.call().idempotencyKey(), job.added(), answer);
 		this.builder.put(home.get().withTurn(turn, this.builder.now));
-		awaitCommit(job, new CallOutcome.Answered(answer, Durability.COMMITTED, number));
+		awaitCommit(job, new CallOutcome.Completed(answer, Durability.COMMITTED, number));
 		appendNextTurn(program);
 		processWaiting(program);
 	}
@@ -572,7 +572,7 @@
 	// Without its history a home can't distinguish a new call from a retry of a committed
 	// one, so it must not report the call as not run.
 	private void refuseWaiting(IncomingAttempt incoming, Home home, CallFailure failure) {
-		this.builder.refuse(incoming, (home.ready()) ? failure : failure.after(Verdict.MAY_HAVE_RUN));
+		this.builder.refuse(incoming, (home.ready()) ? failure : failure.combineWith(Verdict.MAY_HAVE_RUN));
 	}
 
 	private void closeJob(JobKey key, FailureCause cause, String message) {
@@ -604,7 +604,7 @@
 		switch (key) {
 			case JobKey.ForTurn turn -> {
 				this.builder.jobs = this.builder.jobs.remove(key);
-				if (outcome instanceof CallOutcome.Answered) {
+				if (outcome instanceof CallOutcome.Completed) {
 					this.builder.report(NoticeCode.TURN_PENDING.with(FieldName.PROGRAM, turn.program())
 						.with(FieldName.CALL, turn.number()));
 				}
@@ -619,8 +619,8 @@
 
 	private static CallOutcome asPending(CallOutcome outcome) {
 		return switch (outcome) {
-			case CallOutcome.Answered answered ->
-				new CallOutcome.Answered(answered.answer(), Durability.PENDING, answered.number());
+			case CallOutcome.Completed answered ->
+				new CallOutcome.Completed(answered.response(), Durability.PENDING, answered.number());
 			case CallOutcome.Failed failed -> failed;
 		};
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/IncomingAttempt.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/IncomingAttempt.java
@@ -7,7 +7,7 @@
 import io.lentilslip.core.call.ProgramCall;
 import io.lentilslip.core.identity.ProcessId;
 import io.lentilslip.core.link.AttemptId;
-import io.lentilslip.core.link.Standing;
+import io.lentilslip.core.link.ExecutionAuthority;
 
 /**
  * Immutable attempt received from an entry, with the deadline in the time of this
@@ -20,8 +20,8 @@
  * @param deadline when the caller stops waiting
  * @param delivered the part of the answer that the caller has already received
  */
-record IncomingAttempt(AttemptId attempt, ProcessId entry, CallRequest call, Standing standing, Instant deadline,
-		String delivered) {
+record IncomingAttempt(AttemptId attempt, ProcessId entry, CallRequest call, ExecutionAuthority standing,
+		Instant deadline, String delivered) {
 
 	/**
 	 * Returns the model call of this attempt.
@@ -36,7 +36,7 @@
 	 * @return the number, or an empty result
 	 */
 	Optional<Integer> callNumber() {
-		return this.call.place().flatMap(ProgramCall::number);
+		return this.call.programCall().flatMap(ProgramCall::number);
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
@@ -39,26 +39,26 @@
 	void handle(LogEvent event) {
 		switch (event) {
 			case LogEvent.BatchRead read -> applyBatch(read);
-			case LogEvent.CaughtUp caughtUp -> logReachable(caughtUp.next());
+			case LogEvent.CaughtUp caughtUp -> logReachable(caughtUp.nextOffset());
 			case LogEvent.Unreachable unreachable -> logUnreachable();
-			case LogEvent.GapFound gap -> resetAfterGap(gap);
+			case LogEvent.GapDetected gap -> resetAfterGap(gap);
 			case LogEvent.AppendEnded ended -> appendCompleted(ended);
 		}
 	}
 
 	private void applyBatch(LogEvent.BatchRead event) {
-		if (event.offset() < this.builder.log.next()) {
+		if (event.offset() < this.builder.log.nextOffset()) {
 			return;
 		}
 		int index = 0;
 		for (LedgerRecord record : event.batch()) {
 			Position position = new Position(event.offset(), index);
-			Ledger.ApplyResult reading = this.builder.log.ledger().apply(position, event.time(), record);
+			Ledger.ApplyResult reading = this.builder.log.ledger().apply(position, event.logTime(), record);
 			this.builder.log = this.builder.log.withLedger(reading.ledger());
 			reading.changes().forEach((change) -> handleChange(change, position));
 			index++;
 		}
-		this.builder.log = this.builder.log.readTo(event.offset() + 1, event.time());
+		this.builder.log = this.builder.log.advanceTo(event.offset() + 1, event.logTime());
 		new EntryRules(this.builder).retryAwaitingLog();
 		new QueueRules(this.builder).startJobs();
 	}
@@ -88,7 +88,7 @@
 		if (this.builder.log.unreachableSince().isPresent()) {
 			this.builder.report(NoticeCode.LOG_BACK.with(FieldName.OFFSET, next));
 		}
-		this.builder.log = this.builder.log.reachable();
+		this.builder.log = this.builder.log.caughtUp();
 	}
 
 	private void logUnreachable() {
@@ -100,16 +100,16 @@
 
 	// Records were deleted before they were read, and a home may have moved unnoticed.
 	// The sidecar starts over like a new process and reads the remaining records.
-	private void resetAfterGap(LogEvent.GapFound gap) {
-		this.builder.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.from())
-			.with(FieldName.COUNT, gap.first() - gap.from()));
-		if (this.builder.log.next() > 0) {
+	private void resetAfterGap(LogEvent.GapDetected gap) {
+		this.builder.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.expectedOffset())
+			.with(FieldName.COUNT, gap.firstOffset() - gap.expectedOffset()));
+		if (this.builder.log.nextOffset() > 0) {
 			for (ProgramId program : this.builder.homes.keySet()) {
 				new HomeRules(this.builder).close(program, FailureCause.MOVED,
 						"The program may have moved to another home.");
 			}
 		}
-		this.builder.log = LogView.unread().readTo(gap.first(), Instant.EPOCH);
+		this.builder.log = LogView.empty().advanceTo(gap.firstOffset(), Instant.EPOCH);
 	}
 
 	private void appendCompleted(LogEvent.AppendEnded event) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
@@ -11,9 +11,9 @@
 import io.lentilslip.core.measurement.Measurement;
 import io.lentilslip.core.notice.FieldName;
 import io.lentilslip.core.notice.NoticeCode;
-import io.lentilslip.core.role.Agenda;
 import io.lentilslip.core.role.NodeEffect;
 import io.lentilslip.core.role.NodeEvent;
+import io.lentilslip.core.role.TimerQueue;
 import io.lentilslip.core.share.QueueBounds;
 import io.lentilslip.core.share.Shares;
 import io.lentilslip.core.sidecar.SidecarState.SessionPhase;
@@ -56,8 +56,8 @@
 	}
 
 	private void tick() {
-		Agenda.Due<SidecarTimer> due = this.builder.timers.due(this.builder.now);
-		this.builder.timers = due.agenda();
+		TimerQueue.DueItems<SidecarTimer> due = this.builder.timers.pollDue(this.builder.now);
+		this.builder.timers = due.remaining();
 		due.items().forEach(this::handleTimer);
 		new QueueRules(this.builder).startJobs();
 		reportLoad();
@@ -117,7 +117,7 @@
 			return;
 		}
 		this.builder.draining = true;
-		this.builder.openAttempts.keySet().forEach((entry) -> this.builder.send(entry, new LinkMessage.Leaving()));
+		this.builder.openAttempts.keySet().forEach((entry) -> this.builder.send(entry, new LinkMessage.Draining()));
 		this.builder.report(NoticeCode.DRAINING_BEGAN.with(FieldName.COUNT, this.builder.jobs.size()));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
@@ -80,11 +80,11 @@
 	Job createJob(JobKey key, IncomingAttempt incoming, List<String> added) {
 		CallRequest call = incoming.call();
 		FairQueue.Entry<JobKey, JobKey> entry = new FairQueue.Entry<>(key, call.group(),
-				call.place().map(ProgramCall::program), classOf(call), this.builder.now, incoming.deadline(),
+				call.programCall().map(ProgramCall::program), classOf(call), this.builder.now, incoming.deadline(),
 				estimateCost(call, added), key);
 		Listener listener = new Listener(incoming.attempt(), incoming.entry(), 0);
-		return new Job(key, call, added, Vector.of(listener), new Stage.Queued(),
-				Transcript.beginningWith(incoming.delivered()), incoming.delivered(), false, entry);
+		return new Job(key, call, added, Vector.of(listener), new Stage.Queued(), Transcript.of(incoming.delivered()),
+				incoming.delivered(), false, entry);
 	}
 
 	private void accept(Job job, IncomingAttempt incoming) {
@@ -101,7 +101,7 @@
 
 	private ServiceClass classOf(CallRequest call) {
 		return this.builder.configuration
-			.flatMap((setup) -> call.place()
+			.flatMap((setup) -> call.programCall()
 				.map((place) -> setup.configuration().classOf(call.group(), place.program().name())))
 			.orElse(ServiceClass.INTERACTIVE);
 	}
@@ -110,7 +110,7 @@
 		return switch (call) {
 			case CallRequest.ForModel model -> {
 				long added = 1 + messages.stream().mapToLong(String::length).sum() / CHARACTERS_PER_TOKEN;
-				int generated = Math.min(model.maximumTokens(), EXPECTED_GENERATED_TOKENS);
+				int generated = Math.min(model.maxTokens(), EXPECTED_GENERATED_TOKENS);
 				yield costOf(model).of(added, 0, generated);
 			}
 			case CallRequest.ForService service -> SERVICE_COST;
@@ -183,7 +183,7 @@
 			case CallRequest.ForModel call ->
 				this.builder.emit(new SidecarEffect.Generate(run, generationRequest(job, call)));
 			case CallRequest.ForService call ->
-				this.builder.emit(new SidecarEffect.CallService(run, call.service(), call.message(), timeoutOf(call)));
+				this.builder.emit(new SidecarEffect.CallService(run, call.service(), call.request(), timeoutOf(call)));
 		}
 	}
 
@@ -193,7 +193,7 @@
 		program.ifPresent(new SessionRules(this.builder)::markHeld);
 		Vector<String> history = program.flatMap(this.builder::home).map(Home::messages).orElse(Vector.empty());
 		return new GenerationRequest(call.model(), history.appendAll(job.added()).asJava(), job.prefix(),
-				call.maximumTokens(), call.parameters(), program, CACHE_LEASE);
+				call.maxTokens(), call.parameters(), program, CACHE_LEASE);
 	}
 
 	private Duration timeoutOf(CallRequest.ForService call) {
@@ -203,7 +203,7 @@
 	}
 
 	private int crashesOf(CallRequest call) {
-		return this.builder.log.ledger().crashCount(call.content());
+		return this.builder.log.ledger().crashCount(call.contentDigest());
 	}
 
 	private boolean isPoison(CallRequest call) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunResult.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunResult.java
@@ -1,6 +1,6 @@
 package io.lentilslip.core.sidecar;
 
-import io.lentilslip.core.call.Answer;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.verdict.Verdict;
 
@@ -25,7 +25,7 @@
 	 *
 	 * @param answer the response
 	 */
-	record Served(Answer.FromService answer) implements RunResult {
+	record Served(CallResponse.FromService answer) implements RunResult {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunRules.java
@@ -2,10 +2,10 @@
 
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.CallRequest;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.Usage;
@@ -79,8 +79,8 @@
 		correctCharge(job, result);
 		switch (result) {
 			case RunResult.Generated generated -> {
-				Answer.FromModel answer = new Answer.FromModel(generated.message(), generated.finishReason(),
-						generated.usage());
+				CallResponse.FromModel answer = new CallResponse.FromModel(generated.message(),
+						generated.finishReason(), generated.usage());
 				succeed(job, answer);
 			}
 			case RunResult.Served served -> succeed(job, served.answer());
@@ -121,16 +121,16 @@
 		return cost.of(computed, usage.cachedTokens(), usage.generatedTokens());
 	}
 
-	private void succeed(Job job, Answer answer) {
+	private void succeed(Job job, CallResponse answer) {
 		clearCrashes(job);
 		switch (job.key()) {
 			case JobKey.ForTurn key ->
-				new HomeRules(this.builder).answered(job, key.program(), (Answer.FromModel) answer);
+				new HomeRules(this.builder).answered(job, key.program(), (CallResponse.FromModel) answer);
 			case JobKey.ForClaim key -> new ClaimRules(this.builder).appendOutcome(job, key.key(),
-					new CallOutcome.Answered(answer, Durability.COMMITTED, 0));
+					new CallOutcome.Completed(answer, Durability.COMMITTED, 0));
 			case JobKey.ForAttempt key -> {
 				this.builder.jobs = this.builder.jobs.remove(key);
-				this.builder.finishAll(job, new CallOutcome.Answered(answer, Durability.NOT_KEPT, 0));
+				this.builder.finishAll(job, new CallOutcome.Completed(answer, Durability.NOT_KEPT, 0));
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 	// The request ran in isolation without a crash, so it did not cause the earlier one.
 	private void clearCrashes(Job job) {
 		if (job.isolated()) {
-			this.builder.append(new LedgerRecord.CrashesCleared(job.call().content(), this.builder.self));
+			this.builder.append(new LedgerRecord.CrashesCleared(job.call().contentDigest(), this.builder.self));
 		}
 	}
 
@@ -174,7 +174,7 @@
 	// The outcome is sent once the crash is recorded in the log, so that the next sidecar
 	// runs the request in isolation instead of alongside others.
 	private void recordCrash(Job job, CallFailure failure) {
-		Digest content = job.call().content();
+		Digest content = job.call().contentDigest();
 		this.builder.append(new LedgerRecord.UpstreamCrashed(content, this.builder.self, job.isolated()));
 		this.builder.report(NoticeCode.ENGINE_CRASHED.with(FieldName.VM, this.builder.self.vm())
 			.with(FieldName.COUNT, this.builder.runs.size() + 1));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarState.java
@@ -12,9 +12,9 @@
 import io.lentilslip.core.ledger.LedgerRecord;
 import io.lentilslip.core.link.AttemptId;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.role.Agenda;
 import io.lentilslip.core.role.AppendId;
 import io.lentilslip.core.role.LogView;
+import io.lentilslip.core.role.TimerQueue;
 import io.lentilslip.core.share.FairQueue;
 import io.lentilslip.core.share.Ordering;
 import io.lentilslip.core.share.QueueBounds;
@@ -71,7 +71,7 @@
 
 	final UpstreamView upstream;
 
-	final Agenda<SidecarTimer> timers;
+	final TimerQueue<SidecarTimer> timers;
 
 	final Optional<LinkMessage.LoadReport> lastReport;
 
@@ -87,7 +87,7 @@
 		this.self = self;
 		this.zone = zone;
 		this.configuration = Optional.empty();
-		this.log = LogView.unread();
+		this.log = LogView.empty();
 		this.openAttempts = HashMap.empty();
 		this.jobs = HashMap.empty();
 		this.jobsByAttempt = HashMap.empty();
@@ -103,7 +103,7 @@
 		this.uncertainReleases = HashSet.empty();
 		this.sessions = HashMap.empty();
 		this.upstream = UpstreamView.unknown();
-		this.timers = Agenda.empty();
+		this.timers = TimerQueue.empty();
 		this.lastReport = Optional.empty();
 		this.lastMeasured = Instant.EPOCH;
 		this.nextNumber = 1;
@@ -155,7 +155,7 @@
 	public SidecarStatus status() {
 		return new SidecarStatus(this.self,
 				this.configuration.map(ActiveConfiguration::version).orElse((long) NO_CONFIGURATION_VERSION),
-				this.log.next(), this.upstream.reachable(), this.openAttempts.size(), this.queue.size(),
+				this.log.nextOffset(), this.upstream.reachable(), this.openAttempts.size(), this.queue.size(),
 				this.runs.size(), this.configuration.map(ActiveConfiguration::maximumCalls).orElse(0),
 				this.homes.size(), this.homes.values().map(Home::pendingCount).sum().intValue(), this.sessions.size(),
 				this.upstream.heldTokens(), this.draining);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/StateBuilder.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/StateBuilder.java
@@ -19,10 +19,10 @@
 import io.lentilslip.core.measurement.Measurement;
 import io.lentilslip.core.notice.Notice;
 import io.lentilslip.core.reducer.Step;
-import io.lentilslip.core.role.Agenda;
 import io.lentilslip.core.role.AppendId;
 import io.lentilslip.core.role.LogView;
 import io.lentilslip.core.role.NodeEffect;
+import io.lentilslip.core.role.TimerQueue;
 import io.lentilslip.core.share.FairQueue;
 import io.lentilslip.core.sidecar.SidecarState.SessionPhase;
 import io.vavr.collection.HashSet;
@@ -74,7 +74,7 @@
 
 	UpstreamView upstream;
 
-	Agenda<SidecarTimer> timers;
+	TimerQueue<SidecarTimer> timers;
 
 	Optional<LinkMessage.LoadReport> lastReport;
 
@@ -133,17 +133,17 @@
 	}
 
 	void report(Notice notice) {
-		emit(new NodeEffect.Report(notice));
+		emit(new NodeEffect.WriteNotice(notice));
 	}
 
 	void measure(Measurement measurement) {
-		emit(new NodeEffect.Measure(measurement));
+		emit(new NodeEffect.RecordMeasurement(measurement));
 	}
 
 	void append(LedgerRecord record) {
 		AppendId id = new AppendId(nextNumber());
 		this.appends = this.appends.put(id, record);
-		emit(new NodeEffect.Append(id, record));
+		emit(new NodeEffect.AppendRecord(id, record));
 	}
 
 	void schedule(Duration delay, SidecarTimer duty) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/QueueRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/QueueRulesTests.java
@@ -110,7 +110,7 @@
 		assertThat(sidecar.started()).containsExactly("poison", "harmless", "harmless");
 		sidecar.answer(2);
 		sidecar.completeAppends();
-		assertThat(sidecar.answerOf(isolated).answer()).isNotNull();
+		assertThat(sidecar.answerOf(isolated).response()).isNotNull();
 		sidecar.callWithoutProgram("harmless", LONG);
 		assertThat(sidecar.started()).containsExactly("poison", "harmless", "harmless", "other", "harmless");
 	}
