--- a/lentilslip-core/src/main/java/io/lentilslip/core/admission/ConcurrencyLimit.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/admission/ConcurrencyLimit.java
@@ -115,11 +115,11 @@
 	record Adaptive(int minimum, int maximum, double target, double baseline, Phase phase, int rounds,
 			Round round) implements ConcurrencyLimit {
 
-		private static final double TOLERANCE = 1.5;
+		private static final double LATENCY_TOLERANCE = 1.5;
 
-		private static final double LEAST_GRADIENT = 0.5;
+		private static final double MIN_GRADIENT = 0.5;
 
-		private static final double AFTER_FAILURE = 0.9;
+		private static final double FAILURE_FACTOR = 0.9;
 
 		private static final int ROUNDS_BETWEEN_PROBES = 50;
 
@@ -167,17 +167,17 @@
 
 		private Adaptive adjusted(Round measured) {
 			if (measured.failures() > 0) {
-				return next(this.target * AFTER_FAILURE, this.baseline, Phase.STEADY);
+				return next(this.target * FAILURE_FACTOR, this.baseline, Phase.STEADY);
 			}
-			double time = measured.timeForWork();
+			double time = measured.secondsPerWorkUnit();
 			if (this.phase == Phase.PROBE) {
 				return next(this.target, time, Phase.STEADY);
 			}
 			double least = Math.min(this.baseline, time);
-			if (measured.mostRunning() * 2 < limit()) {
+			if (measured.maxRunning() * 2 < limit()) {
 				return next(this.target, least, this.phase);
 			}
-			double gradient = Math.clamp(TOLERANCE * least / time, LEAST_GRADIENT, 1);
+			double gradient = Math.clamp(LATENCY_TOLERANCE * least / time, MIN_GRADIENT, 1);
 			if (this.phase == Phase.STARTUP && gradient == 1) {
 				return next(this.target * 2, least, Phase.STARTUP);
 			}
@@ -226,14 +226,14 @@
 	 * @param work the work of those that did not fail
 	 * @param mostRunning the most calls that ran at once
 	 */
-	record Round(int calls, int failures, double seconds, long work, int mostRunning) {
+	record Round(int calls, int failures, double seconds, long work, int maxRunning) {
 
 		private static final Round EMPTY = new Round(0, 0, 0, 0, 0);
 
 		private static final double NANOS_PER_SECOND = 1e9;
 
 		private Round with(Sample sample) {
-			int most = Math.max(this.mostRunning, sample.running());
+			int most = Math.max(this.maxRunning, sample.running());
 			if (sample.failed()) {
 				return new Round(this.calls + 1, this.failures + 1, this.seconds, this.work, most);
 			}
@@ -241,7 +241,7 @@
 					this.seconds + sample.duration().toNanos() / NANOS_PER_SECOND, this.work + sample.work(), most);
 		}
 
-		private double timeForWork() {
+		private double secondsPerWorkUnit() {
 			return this.seconds / Math.max(1, this.work);
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/admission/ServiceRate.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/admission/ServiceRate.java
@@ -11,17 +11,17 @@
  * safe for use by several threads.
  *
  * @param lastService when a call was last served while others waited
- * @param secondsBetween the smoothed time between two services
+ * @param meanIntervalSeconds the smoothed time between two services
  * @param intervals the number of times that were smoothed
  */
-public record ServiceRate(Optional<Instant> lastService, double secondsBetween, int intervals) {
+public record ServiceRate(Optional<Instant> lastService, double meanIntervalSeconds, int intervals) {
 
 	/**
 	 * The rate of a queue that was not measured yet.
 	 */
 	public static final ServiceRate UNKNOWN = new ServiceRate(Optional.empty(), 0, 0);
 
-	private static final int INTERVALS_TO_KNOW = 16;
+	private static final int MIN_INTERVALS = 16;
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
@@ -32,9 +32,9 @@
 	 * @return the rate
 	 */
 	public ServiceRate served(Instant now, int stillWaiting) {
-		ServiceRate measured = this.lastService.map((last) -> with(Duration.between(last, now))).orElse(this);
+		ServiceRate measured = this.lastService.map((last) -> withInterval(Duration.between(last, now))).orElse(this);
 		Optional<Instant> service = (stillWaiting > 0) ? Optional.of(now) : Optional.empty();
-		return new ServiceRate(service, measured.secondsBetween, measured.intervals);
+		return new ServiceRate(service, measured.meanIntervalSeconds, measured.intervals);
 	}
 
 	/**
@@ -50,15 +50,15 @@
 		if (!deadline.isAfter(now)) {
 			return false;
 		}
-		if (this.intervals < INTERVALS_TO_KNOW) {
+		if (this.intervals < MIN_INTERVALS) {
 			return true;
 		}
-		return callsAhead * this.secondsBetween <= seconds(Duration.between(now, deadline));
+		return callsAhead * this.meanIntervalSeconds <= seconds(Duration.between(now, deadline));
 	}
 
-	private ServiceRate with(Duration interval) {
-		int count = Math.min(this.intervals + 1, INTERVALS_TO_KNOW);
-		double smoothed = this.secondsBetween + (seconds(interval) - this.secondsBetween) / count;
+	private ServiceRate withInterval(Duration interval) {
+		int count = Math.min(this.intervals + 1, MIN_INTERVALS);
+		double smoothed = this.meanIntervalSeconds + (seconds(interval) - this.meanIntervalSeconds) / count;
 		return new ServiceRate(this.lastService, smoothed, count);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Setup.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/ActiveConfiguration.java
@@ -8,6 +8,6 @@
  * @param version the version
  * @param configuration the configuration
  */
-record Setup(long version, Configuration configuration) {
+record ActiveConfiguration(long version, Configuration configuration) {
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
@@ -35,17 +35,17 @@
 	 * How long a call waits for a slice. Tokens that lie unused in other entries are back
 	 * by then.
 	 */
-	static final Duration SLICE_WAIT = Account.IDLE_TIMEOUT.plusSeconds(2);
+	static final Duration SLICE_TIMEOUT = Account.IDLE_TIMEOUT.plusSeconds(2);
 
 	/**
 	 * The longest period that the log decides on. A longer one is cut into equal parts:
 	 * what the records of a longer one said would be forgotten within it.
 	 */
-	static final Duration LONGEST_PERIOD = Ledger.RETENTION.minusHours(2);
+	static final Duration MAX_PERIOD = Ledger.RETENTION.minusHours(2);
 
-	private static final Duration LOG_WAIT = Duration.ofSeconds(2);
+	private static final Duration LOG_TIMEOUT = Duration.ofSeconds(2);
 
-	private static final Duration RETRY_SOON = Duration.ofSeconds(1);
+	private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
 	private final Draft draft;
 
@@ -63,19 +63,19 @@
 	void admit(Call call) {
 		GroupName group = call.request().group();
 		Optional<Terms> terms = termsOf(group);
-		if (terms.isEmpty() || isAnswered(call)) {
-			this.routes.go(call);
+		if (terms.isEmpty() || hasRecordedAnswer(call)) {
+			this.routes.route(call);
 			return;
 		}
 		long tokens = estimateOf(call.request());
 		if (tokens == 0) {
-			this.routes.go(call);
+			this.routes.route(call);
 			return;
 		}
 		Account<Ticket> account = accountOf(group, terms.get());
 		if (account.canHold(tokens)) {
 			this.draft.put(group, account.hold(call.ticket(), tokens, this.draft.now));
-			this.routes.go(call);
+			this.routes.route(call);
 			return;
 		}
 		this.draft.put(group, account);
@@ -84,9 +84,9 @@
 			refuse(call, refusal.get());
 			return;
 		}
-		this.draft.put(call.at(new Call.Phase.Reserving()));
+		this.draft.put(call.withPhase(new Call.Phase.Reserving()));
 		this.draft.putAndAdvance(group, account.waiting(call.ticket(), tokens));
-		this.draft.remind(SLICE_WAIT, new Duty.GiveUpSlice(call.ticket()));
+		this.draft.startTimer(SLICE_TIMEOUT, new Timer.SliceTimeout(call.ticket()));
 	}
 
 	private Optional<CallFailure> refusalOf(GroupName group, Terms terms, Account<Ticket> account, long tokens) {
@@ -100,9 +100,9 @@
 		if (account.isFull()) {
 			return Optional
 				.of(CallFailure.notRun(FailureCause.QUEUE_FULL, "Too many requests wait for the budget of their group.")
-					.retryAfter(RETRY_SOON));
+					.retryAfter(RETRY_AFTER));
 		}
-		if (account.isExhausted() && account.needsReturnedTokens(tokens, leftOf(group, terms, account))) {
+		if (account.isExhausted() && account.needsReturnedTokens(tokens, remainingOf(group, terms, account))) {
 			return Optional.of(exhausted(terms));
 		}
 		return Optional.empty();
@@ -112,20 +112,20 @@
 		return CallFailure
 			.notRun(FailureCause.LOG_UNAVAILABLE,
 					"The budget needs the log, which cannot be reached or does not answer.")
-			.retryAfter(RETRY_SOON);
+			.retryAfter(RETRY_AFTER);
 	}
 
 	private CallFailure exhausted(Terms terms) {
 		return CallFailure.notRun(FailureCause.BUDGET_EXHAUSTED, "The budget of the group is used for this period.")
-			.retryAfter(untilTurnover(terms));
+			.retryAfter(untilPeriodEnd(terms));
 	}
 
-	private Duration untilTurnover(Terms terms) {
+	private Duration untilPeriodEnd(Terms terms) {
 		long length = terms.period().toMillis();
-		return this.draft.clock
+		return this.draft.logClock
 			.map((clock) -> Duration
 				.ofMillis(length - Math.floorMod(clock.logTime(this.draft.now).toEpochMilli(), length)))
-			.orElse(RETRY_SOON);
+			.orElse(RETRY_AFTER);
 	}
 
 	// A call without key and number is no resend of another. Of any other one, another
@@ -146,7 +146,7 @@
 
 	// The call that ran was charged. Refusing its resend would hide an answer that costs
 	// nothing.
-	private boolean isAnswered(Call call) {
+	private boolean hasRecordedAnswer(Call call) {
 		Ledger ledger = this.draft.log.ledger();
 		return switch (call.route()) {
 			case Route.ForHome route -> {
@@ -175,12 +175,12 @@
 	}
 
 	private Optional<Terms> termsOf(GroupName group) {
-		if (this.draft.setup.isEmpty()) {
+		if (this.draft.activeConfiguration.isEmpty()) {
 			return Optional.empty();
 		}
-		Setup setup = this.draft.setup.get();
+		ActiveConfiguration setup = this.draft.activeConfiguration.get();
 		Optional<Budget> budget = setup.configuration().group(group).flatMap(GroupPolicy::budget);
-		return budget.map((each) -> each.inPartsOf(LONGEST_PERIOD))
+		return budget.map((each) -> each.inPartsOf(MAX_PERIOD))
 			.map((each) -> this.draft.log.ledger()
 				.budget(group)
 				.filter((state) -> state.configurationVersion() > setup.version())
@@ -197,7 +197,8 @@
 
 	private long indexOf(GroupName group, Terms terms) {
 		long read = stateOf(group, terms).map(BudgetState::periodIndex).orElse(Long.MIN_VALUE);
-		long now = this.draft.clock.map((clock) -> BudgetState.indexAt(clock.logTime(this.draft.now), terms.period()))
+		long now = this.draft.logClock
+			.map((clock) -> BudgetState.indexAt(clock.logTime(this.draft.now), terms.period()))
 			.orElse(Long.MIN_VALUE);
 		return Math.max(read, now);
 	}
@@ -206,7 +207,7 @@
 		return this.draft.log.ledger().budget(group).filter((state) -> state.period().equals(terms.period()));
 	}
 
-	private long leftOf(GroupName group, Terms terms, Account<Ticket> account) {
+	private long remainingOf(GroupName group, Terms terms, Account<Ticket> account) {
 		return Math.max(0, terms.limit() - reservedOf(group, terms, account.periodIndex()));
 	}
 
@@ -221,7 +222,7 @@
 	 * @param change what was reserved
 	 * @param offset where the record stands
 	 */
-	void granted(LedgerChange.SliceGranted change, long offset) {
+	void sliceGranted(LedgerChange.SliceGranted change, long offset) {
 		LedgerRecord.SliceReserved record = change.record();
 		GroupName group = record.group();
 		if (!record.entry().equals(this.draft.self) || termsOf(group).isEmpty()) {
@@ -242,7 +243,7 @@
 	 * @param change what came back
 	 * @param offset where the record stands
 	 */
-	void givenBack(LedgerChange.SliceReturned change, long offset) {
+	void sliceReturned(LedgerChange.SliceReturned change, long offset) {
 		LedgerRecord.SliceReturned record = change.record();
 		boolean own = record.entry().equals(this.draft.self);
 		for (Account<Ticket> account : this.draft.accounts.get(record.group())) {
@@ -261,18 +262,18 @@
 	 * Notes that a record of this entry took no effect.
 	 * @param record the record
 	 */
-	void voided(LedgerRecord record) {
+	void recordVoided(LedgerRecord record) {
 		switch (record) {
 			case LedgerRecord.SliceReserved reserved when reserved.entry().equals(this.draft.self) ->
-				voided(reserved.group(), reserved.sequence());
+				recordVoided(reserved.group(), reserved.sequence());
 			case LedgerRecord.SliceReturned returned when returned.entry().equals(this.draft.self) ->
-				voided(returned.group(), returned.sequence());
+				recordVoided(returned.group(), returned.sequence());
 			default -> {
 			}
 		}
 	}
 
-	private void voided(GroupName group, long sequence) {
+	private void recordVoided(GroupName group, long sequence) {
 		for (Account<Ticket> account : this.draft.accounts.get(group)) {
 			putDecided(group, account, sequence);
 		}
@@ -297,7 +298,7 @@
 	 * second one is void.
 	 * @param record the record
 	 */
-	void appendAgain(LedgerRecord record) {
+	void retryAppend(LedgerRecord record) {
 		boolean wanted = switch (record) {
 			case LedgerRecord.SliceReserved reserved ->
 				this.draft.accounts.get(reserved.group()).exists((account) -> account.isInFlight(reserved.sequence()));
@@ -314,7 +315,7 @@
 	 * Refuses a call that has waited for a slice long enough.
 	 * @param ticket the call
 	 */
-	void giveUp(Ticket ticket) {
+	void expireSliceWait(Ticket ticket) {
 		Optional<Call> call = this.draft.call(ticket).filter((each) -> each.phase() instanceof Call.Phase.Reserving);
 		if (call.isEmpty()) {
 			return;
@@ -326,18 +327,18 @@
 		}
 		Account<Ticket> account = accountOf(group, terms.get());
 		boolean silent = account.inFlightSince()
-			.filter((since) -> Duration.between(since, this.draft.now).compareTo(LOG_WAIT) >= 0)
+			.filter((since) -> Duration.between(since, this.draft.now).compareTo(LOG_TIMEOUT) >= 0)
 			.isPresent();
 		if (silent || !this.draft.log.isReachable()) {
 			refuse(call.get(), logUnavailable());
 			return;
 		}
-		long left = leftOf(group, terms.get(), account);
+		long left = remainingOf(group, terms.get(), account);
 		if (account.inFlightSince().isPresent()
 				|| !account.needsReturnedTokens(account.waitingTokensOf(ticket), left)) {
 			// The log answers, and there may be enough: calls before this one are served.
 			this.draft.putAndAdvance(group, account);
-			this.draft.remind(LOG_WAIT, new Duty.GiveUpSlice(ticket));
+			this.draft.startTimer(LOG_TIMEOUT, new Timer.SliceTimeout(ticket));
 			return;
 		}
 		if (!account.isExhausted()) {
@@ -353,7 +354,7 @@
 	 * Follows a new configuration: a budget that was taken away, or lowered below what is
 	 * reserved.
 	 */
-	void configured() {
+	void configurationChanged() {
 		for (GroupName group : this.draft.accounts.keySet()) {
 			Account<Ticket> account = this.draft.accounts.get(group).get();
 			Optional<Terms> terms = termsOf(group);
@@ -378,7 +379,7 @@
 	}
 
 	void measure() {
-		this.draft.setup.ifPresent((setup) -> setup.configuration().groups().forEach(this::measure));
+		this.draft.activeConfiguration.ifPresent((setup) -> setup.configuration().groups().forEach(this::measure));
 		this.draft.measure(new Measurement.CollectionSize(CollectionName.BUDGET_SLICES,
 				this.draft.accounts.values().count(Account::hasSlice), 0));
 	}
@@ -401,7 +402,7 @@
 				advance(group, terms.get());
 			}
 			else {
-				release(group);
+				releaseWaitingCalls(group);
 			}
 		}
 	}
@@ -412,15 +413,15 @@
 		while (ready.isPresent()) {
 			Ticket ticket = ready.get().call();
 			this.draft.put(group, account.removeWaiting(ticket).hold(ticket, ready.get().tokens(), this.draft.now));
-			this.draft.call(ticket).ifPresent(this.routes::go);
+			this.draft.call(ticket).ifPresent(this.routes::route);
 			account = accountOf(group, terms);
 			ready = account.nextReady();
 		}
 		this.draft.put(group, account);
-		ask(group, terms, account);
+		appendSliceRecord(group, terms, account);
 	}
 
-	private void ask(GroupName group, Terms terms, Account<Ticket> account) {
+	private void appendSliceRecord(GroupName group, Terms terms, Account<Ticket> account) {
 		if (account.inFlightSince().isPresent() || !this.draft.log.isReachable()) {
 			return;
 		}
@@ -431,21 +432,22 @@
 					this.draft.self, sequence));
 			return;
 		}
-		Optional<Long> tokens = account.tokensToReserve(leftOf(group, terms, account), terms.limit(), this.draft.now);
+		Optional<Long> tokens = account.tokensToReserve(remainingOf(group, terms, account), terms.limit(),
+				this.draft.now);
 		if (tokens.isPresent()) {
 			long sequence = this.draft.nextNumber();
 			this.draft.put(group, account.recordSent(sequence, this.draft.now));
-			this.draft.append(new LedgerRecord.SliceReserved(group, tokens.get(), terms.own().tokens(),
-					terms.own().period(), terms.version(), this.draft.self, sequence));
+			this.draft.append(new LedgerRecord.SliceReserved(group, tokens.get(), terms.configured().tokens(),
+					terms.configured().period(), terms.version(), this.draft.self, sequence));
 		}
 	}
 
 	// Lets the calls of a group go that has no budget any more.
-	private void release(GroupName group) {
+	private void releaseWaitingCalls(GroupName group) {
 		Optional<Account<Ticket>> account = this.draft.accounts.get(group).toJavaOptional();
 		this.draft.accounts = this.draft.accounts.remove(group);
 		account.ifPresent(
-				(each) -> each.waiting().forEach((wish) -> this.draft.call(wish.call()).ifPresent(this.routes::go)));
+				(each) -> each.waiting().forEach((wish) -> this.draft.call(wish.call()).ifPresent(this.routes::route)));
 	}
 
 	/**
@@ -457,7 +459,7 @@
 	 * @param own the budget in the configuration of this entry
 	 * @param version the version of that configuration
 	 */
-	private record Terms(long limit, Duration period, Budget own, long version) {
+	private record Terms(long limit, Duration period, Budget configured, long version) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Call.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Call.java
@@ -27,11 +27,11 @@
  * @param attempts how often it was sent
  * @param queueing the time it waited beside the upstream
  * @param firstToken when the caller got the first text, if it has
- * @param round how often this entry had read all of the log when the call arrived
+ * @param arrivalRound how often this entry had read all of the log when the call arrived
  */
 record Call(Ticket ticket, CallRequest request, Route route, Instant arrived, Instant deadline, Phase phase,
 		Transcript delivered, Verdict verdict, int attempts, Duration queueing, Optional<Instant> firstToken,
-		long round) {
+		long arrivalRound) {
 
 	static Call of(Ticket ticket, CallRequest request, Route route, Instant arrived, Instant deadline, long round) {
 		return new Call(ticket, request, route, arrived, deadline, new Phase.Waiting(), Transcript.beginningWith(""),
@@ -42,31 +42,31 @@
 	 * Returns when the entry ends the call by itself.
 	 * @return a time a little after the deadline
 	 */
-	Instant givenUp() {
+	Instant expiresAt() {
 		return this.deadline.plus(RouteRules.DEADLINE_GRACE);
 	}
 
-	Call at(Phase next) {
+	Call withPhase(Phase next) {
 		int made = (next instanceof Phase.Sent && !(this.phase instanceof Phase.Sent)) ? this.attempts + 1
 				: this.attempts;
 		return new Call(this.ticket, this.request, this.route, this.arrived, this.deadline, next, this.delivered,
-				this.verdict, made, this.queueing, this.firstToken, this.round);
+				this.verdict, made, this.queueing, this.firstToken, this.arrivalRound);
 	}
 
-	Call knownAs(Verdict latest) {
+	Call withVerdict(Verdict latest) {
 		return new Call(this.ticket, this.request, this.route, this.arrived, this.deadline, this.phase, this.delivered,
-				this.verdict.and(latest), this.attempts, this.queueing, this.firstToken, this.round);
+				this.verdict.and(latest), this.attempts, this.queueing, this.firstToken, this.arrivalRound);
 	}
 
-	Call afterQueueing(Duration waited) {
+	Call withQueueing(Duration waited) {
 		return new Call(this.ticket, this.request, this.route, this.arrived, this.deadline, this.phase, this.delivered,
-				this.verdict, this.attempts, this.queueing.plus(waited), this.firstToken, this.round);
+				this.verdict, this.attempts, this.queueing.plus(waited), this.firstToken, this.arrivalRound);
 	}
 
 	Call withText(String text, Instant now) {
 		return new Call(this.ticket, this.request, this.route, this.arrived, this.deadline, this.phase,
 				this.delivered.with(text), this.verdict, this.attempts, this.queueing,
-				Optional.of(this.firstToken.orElse(now)), this.round);
+				Optional.of(this.firstToken.orElse(now)), this.arrivalRound);
 	}
 
 	/**
@@ -93,7 +93,7 @@
 		 *
 		 * @param failure why it is not sent
 		 */
-		record Refused(CallFailure failure) implements Phase {
+		record RefusalPending(CallFailure failure) implements Phase {
 
 		}
 
@@ -105,10 +105,10 @@
 		 * @param epoch the epoch of the home, or none if it was not sent to a home
 		 * @param sequence the number of the next part of the answer
 		 */
-		record Sent(AttemptId attempt, ProcessId sidecar, Epoch epoch, int sequence) implements Phase {
+		record Sent(AttemptId attempt, ProcessId sidecar, Epoch epoch, int nextSequence) implements Phase {
 
-			Sent afterDelta() {
-				return new Sent(this.attempt, this.sidecar, this.epoch, this.sequence + 1);
+			Sent withNextSequence() {
+				return new Sent(this.attempt, this.sidecar, this.epoch, this.nextSequence + 1);
 			}
 
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
@@ -41,11 +41,11 @@
  */
 final class CallerRules {
 
-	private static final Duration RETRY_SOON = Duration.ofSeconds(1);
+	private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-	private static final Duration ANSWER_WAIT = Duration.ofSeconds(3);
+	private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(3);
 
-	private static final int DEFAULT_TOKENS = 1024;
+	private static final int DEFAULT_MAXIMUM_TOKENS = 1024;
 
 	private final Draft draft;
 
@@ -53,21 +53,21 @@
 		this.draft = draft;
 	}
 
-	void arrived(EntryEvent.CallArrived event, long seed) {
+	void callArrived(EntryEvent.CallArrived event, long seed) {
 		Either<CallFailure, Call> call = check(event);
 		if (call.isLeft()) {
-			this.draft.run(new EntryEffect.Complete(event.ticket(), new CallOutcome.Failed(call.getLeft())));
+			this.draft.emit(new EntryEffect.Complete(event.ticket(), new CallOutcome.Failed(call.getLeft())));
 			measureRefusal(call.getLeft());
 			return;
 		}
 		this.draft.put(call.get());
 		this.draft.retries = this.draft.retries.afterFirstAttempt();
-		this.draft.remindAt(call.get().givenUp(), new Duty.GiveUp(event.ticket()));
+		this.draft.startTimerAt(call.get().expiresAt(), new Timer.CallDeadline(event.ticket()));
 		RouteRules routes = new RouteRules(this.draft, seed);
 		if (this.draft.stopping) {
 			routes.refuseUnsent(call.get(),
 					CallFailure.notRun(FailureCause.STOPPING, "This entry is stopping; another one takes the request.")
-						.retryAfter(RETRY_SOON));
+						.retryAfter(RETRY_AFTER));
 			return;
 		}
 		new BudgetRules(this.draft, routes).admit(call.get());
@@ -84,16 +84,16 @@
 				.map((group) -> requestOf(group, place.call(), submission))
 				.orElseGet(() -> refused(FailureCause.FORBIDDEN, "The caller's group is not configured.")))
 			.flatMap((request) -> routeOf(request).map((route) -> Call.of(event.ticket(), request, route, event.now(),
-					event.now().plus(timeFor(submission)), this.draft.log.rounds())));
+					event.now().plus(timeoutOf(submission)), this.draft.log.rounds())));
 	}
 
 	private static <T> Either<CallFailure, T> refused(FailureCause cause, String message) {
 		CallFailure failure = CallFailure.notRun(cause, message);
-		return Either.left((cause.isTransient()) ? failure.retryAfter(RETRY_SOON) : failure);
+		return Either.left((cause.isTransient()) ? failure.retryAfter(RETRY_AFTER) : failure);
 	}
 
 	private Either<CallFailure, CallerPolicy> callerOf(Digest key) {
-		if (this.draft.setup.isEmpty()) {
+		if (this.draft.activeConfiguration.isEmpty()) {
 			return refused(FailureCause.NOT_READY, "This entry has no configuration yet.");
 		}
 		return configuration().caller(key)
@@ -102,7 +102,7 @@
 	}
 
 	private Configuration configuration() {
-		return this.draft.setup.orElseThrow().configuration();
+		return this.draft.activeConfiguration.orElseThrow().configuration();
 	}
 
 	private Either<CallFailure, PlaceInGroup> placeOf(CallerPolicy caller, Submission submission) {
@@ -151,7 +151,7 @@
 			return refused(FailureCause.TOO_LARGE, "Too many messages.");
 		}
 		long most = model.get().maximumOutputTokens();
-		int tokens = (int) Math.min(payload.maximumTokens().orElse(DEFAULT_TOKENS), most);
+		int tokens = (int) Math.min(payload.maximumTokens().orElse(DEFAULT_MAXIMUM_TOKENS), most);
 		if (tokens < 1) {
 			return refused(FailureCause.INVALID, "The most tokens to generate must be positive.");
 		}
@@ -201,12 +201,12 @@
 		}
 		return Either.right(switch (request) {
 			case CallRequest.ForModel call when program.isPresent() -> new Route.ForHome(program.get());
-			case CallRequest.ForModel call -> byKey(call);
+			case CallRequest.ForModel call -> routeByKey(call);
 			case CallRequest.ForService call -> serviceRoute(call);
 		});
 	}
 
-	private static Route byKey(CallRequest call) {
+	private static Route routeByKey(CallRequest call) {
 		return call.key()
 			.<Route>map((key) -> new Route.ForClaim(new CallKey.ForIdempotencyKey(call.group(), key)))
 			.orElseGet(Route.ForAny::new);
@@ -218,10 +218,10 @@
 			return new Route.ForClaim(new CallKey.ForProgramCall(place.get().program(), call.service(),
 					place.get().number().orElseThrow()));
 		}
-		return byKey(call);
+		return routeByKey(call);
 	}
 
-	private Duration timeFor(Submission submission) {
+	private Duration timeoutOf(Submission submission) {
 		DeadlineLimits limits = configuration().limits().deadlines();
 		Duration wanted = submission.timeLeft().orElse(limits.standard());
 		return (wanted.compareTo(limits.maximum()) > 0) ? limits.maximum() : wanted;
@@ -231,17 +231,17 @@
 	 * Ends a request whose caller has gone.
 	 * @param ticket the request
 	 */
-	void gone(Ticket ticket) {
-		this.draft.questions = this.draft.questions.remove(ticket);
+	void callerDisconnected(Ticket ticket) {
+		this.draft.programRequests = this.draft.programRequests.remove(ticket);
 		Optional<Call> call = this.draft.call(ticket);
 		if (call.isEmpty()) {
 			return;
 		}
 		this.draft.remove(call.get());
-		this.draft.stopWaiting(call.get());
+		this.draft.removeWaiting(call.get());
 		if (call.get().phase() instanceof Call.Phase.Sent sent) {
-			this.draft.forget(sent);
-			this.draft.run(new EntryEffect.Send(sent.sidecar(), new LinkMessage.Cancel(sent.attempt())));
+			this.draft.removeAttempt(sent);
+			this.draft.emit(new EntryEffect.Send(sent.sidecar(), new LinkMessage.Cancel(sent.attempt())));
 		}
 		CompletionRules completions = new CompletionRules(this.draft);
 		boolean mayRun = call.get().phase() instanceof Call.Phase.Sent;
@@ -249,7 +249,7 @@
 		completions.measure(call.get(), Measurement.CallEnded.Outcome.CALLER_LEFT, Usage.NONE);
 	}
 
-	void asked(EntryEvent.ProgramAsked event) {
+	void stateRequested(EntryEvent.ProgramStateRequested event) {
 		Optional<ProgramState> state = knownProgram(event.ticket(), event.caller(), event.program());
 		if (state.isEmpty()) {
 			return;
@@ -258,13 +258,14 @@
 		ProcessId home = state.get().home();
 		if (state.get().endReason().isPresent()
 				|| this.draft.peer(home.vm()).filter((peer) -> peer.isLinkedTo(home)).isEmpty()) {
-			show(event.ticket(), program, state.get());
+			sendStateFromLog(event.ticket(), program, state.get());
 			return;
 		}
 		AttemptId attempt = this.draft.nextAttempt();
-		this.draft.questions = this.draft.questions.put(event.ticket(), new Question.ForState(program, attempt));
-		this.draft.run(new EntryEffect.Send(home, new LinkMessage.AskProgram(attempt, program)));
-		this.draft.remind(ANSWER_WAIT, new Duty.GiveUpQuestion(event.ticket()));
+		this.draft.programRequests = this.draft.programRequests.put(event.ticket(),
+				new ProgramRequest.ForState(program, attempt));
+		this.draft.emit(new EntryEffect.Send(home, new LinkMessage.AskProgram(attempt, program)));
+		this.draft.startTimer(ANSWER_TIMEOUT, new Timer.ProgramRequestTimeout(event.ticket()));
 	}
 
 	private ProgramId programOf(Digest caller, ProgramName name) {
@@ -278,46 +279,47 @@
 			.<Either<CallFailure, ProgramState>>map(Either::right)
 			.orElseGet(() -> refused(FailureCause.NOT_FOUND, "The program is not known.")));
 		if (state.isLeft()) {
-			this.draft.run(new EntryEffect.Complete(ticket, new CallOutcome.Failed(state.getLeft())));
+			this.draft.emit(new EntryEffect.Complete(ticket, new CallOutcome.Failed(state.getLeft())));
 		}
 		return state.toJavaOptional();
 	}
 
 	// Shows what the log says, without the messages, since the home cannot be asked.
-	private void show(Ticket ticket, ProgramId program, ProgramState state) {
-		this.draft.run(new EntryEffect.ShowProgram(ticket,
+	private void sendStateFromLog(Ticket ticket, ProgramId program, ProgramState state) {
+		this.draft.emit(new EntryEffect.SendProgramState(ticket,
 				new ProgramView(program, state.epoch(), state.lastCall(), 0, state.endReason(), List.of())));
 	}
 
-	void answered(LinkMessage.ProgramAnswer answer) {
-		Option<Tuple2<Ticket, Question>> question = this.draft.questions
-			.find((each) -> each._2() instanceof Question.ForState state && state.attempt().equals(answer.attempt()));
+	void stateReceived(LinkMessage.ProgramAnswer answer) {
+		Option<Tuple2<Ticket, ProgramRequest>> question = this.draft.programRequests
+			.find((each) -> each._2() instanceof ProgramRequest.ForState state
+					&& state.attempt().equals(answer.attempt()));
 		if (question.isEmpty()) {
 			return;
 		}
 		Ticket ticket = question.get()._1();
 		ProgramId program = question.get()._2().program();
-		this.draft.questions = this.draft.questions.remove(ticket);
+		this.draft.programRequests = this.draft.programRequests.remove(ticket);
 		if (answer.view().isPresent()) {
-			this.draft.run(new EntryEffect.ShowProgram(ticket, answer.view().get()));
+			this.draft.emit(new EntryEffect.SendProgramState(ticket, answer.view().get()));
 			return;
 		}
-		this.draft.log.ledger().program(program).ifPresent((state) -> show(ticket, program, state));
+		this.draft.log.ledger().program(program).ifPresent((state) -> sendStateFromLog(ticket, program, state));
 	}
 
-	void endAsked(EntryEvent.ProgramEndAsked event) {
+	void endRequested(EntryEvent.ProgramEndRequested event) {
 		Optional<ProgramState> state = knownProgram(event.ticket(), event.caller(), event.program());
 		if (state.isEmpty()) {
 			return;
 		}
 		ProgramId program = programOf(event.caller(), event.program());
 		if (state.get().endReason().isPresent()) {
-			show(event.ticket(), program, state.get());
+			sendStateFromLog(event.ticket(), program, state.get());
 			return;
 		}
-		this.draft.questions = this.draft.questions.put(event.ticket(), new Question.ForEnd(program));
+		this.draft.programRequests = this.draft.programRequests.put(event.ticket(), new ProgramRequest.ForEnd(program));
 		this.draft.append(new LedgerRecord.ProgramEnded(program, EndReason.BY_CALLER));
-		this.draft.remind(ANSWER_WAIT, new Duty.GiveUpQuestion(event.ticket()));
+		this.draft.startTimer(ANSWER_TIMEOUT, new Timer.ProgramRequestTimeout(event.ticket()));
 	}
 
 	/**
@@ -325,28 +327,28 @@
 	 * @param program the program
 	 * @param state its state
 	 */
-	void ended(ProgramId program, ProgramState state) {
-		for (Tuple2<Ticket, Question> question : this.draft.questions) {
+	void programEnded(ProgramId program, ProgramState state) {
+		for (Tuple2<Ticket, ProgramRequest> question : this.draft.programRequests) {
 			if (question._2().program().equals(program)) {
-				this.draft.questions = this.draft.questions.remove(question._1());
-				show(question._1(), program, state);
+				this.draft.programRequests = this.draft.programRequests.remove(question._1());
+				sendStateFromLog(question._1(), program, state);
 			}
 		}
 	}
 
-	void giveUpQuestion(Ticket ticket) {
-		Option<Question> question = this.draft.questions.get(ticket);
+	void expireProgramRequest(Ticket ticket) {
+		Option<ProgramRequest> question = this.draft.programRequests.get(ticket);
 		if (question.isEmpty()) {
 			return;
 		}
-		this.draft.questions = this.draft.questions.remove(ticket);
+		this.draft.programRequests = this.draft.programRequests.remove(ticket);
 		CallFailure failure = switch (question.get()) {
-			case Question.ForState state ->
+			case ProgramRequest.ForState state ->
 				CallFailure.notRun(FailureCause.NO_UPSTREAM, "The home of the program does not answer.");
-			case Question.ForEnd end -> CallFailure.mayHaveRun(FailureCause.LOG_UNAVAILABLE,
+			case ProgramRequest.ForEnd end -> CallFailure.mayHaveRun(FailureCause.LOG_UNAVAILABLE,
 					"The end of the program could not be confirmed by the log.");
 		};
-		this.draft.run(new EntryEffect.Complete(ticket, new CallOutcome.Failed(failure.retryAfter(RETRY_SOON))));
+		this.draft.emit(new EntryEffect.Complete(ticket, new CallOutcome.Failed(failure.retryAfter(RETRY_AFTER))));
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
@@ -38,17 +38,17 @@
 	 */
 	void complete(Call call, CallOutcome outcome) {
 		this.draft.remove(call);
-		this.draft.stopWaiting(call);
+		this.draft.removeWaiting(call);
 		if (call.phase() instanceof Call.Phase.Sent sent) {
-			this.draft.forget(sent);
+			this.draft.removeAttempt(sent);
 		}
-		CallOutcome told = switch (outcome) {
+		CallOutcome result = switch (outcome) {
 			case CallOutcome.Answered answered -> answered;
 			case CallOutcome.Failed failed -> new CallOutcome.Failed(failed.failure().after(call.verdict()));
 		};
-		this.draft.run(new EntryEffect.Complete(call.ticket(), told));
-		count(call, told);
-		switch (told) {
+		this.draft.emit(new EntryEffect.Complete(call.ticket(), result));
+		recordOutcome(call, result);
+		switch (result) {
 			case CallOutcome.Answered answered -> settle(call, call.verdict(), usageOf(answered.answer()));
 			case CallOutcome.Failed failed -> settle(call, failed.failure().verdict(), Usage.NONE);
 		}
@@ -77,7 +77,7 @@
 		complete(call, new CallOutcome.Failed(failure));
 	}
 
-	private void count(Call call, CallOutcome outcome) {
+	private void recordOutcome(Call call, CallOutcome outcome) {
 		switch (outcome) {
 			case CallOutcome.Answered answered ->
 				measure(call, Measurement.CallEnded.Outcome.ANSWERED, usageOf(answered.answer()));
@@ -115,13 +115,13 @@
 
 	void measure(Call call, Measurement.CallEnded.Outcome outcome, Usage usage) {
 		Optional<Duration> firstToken = call.firstToken().map((time) -> Duration.between(call.arrived(), time));
-		this.draft.measure(new Measurement.CallEnded(call.request().group(), classOf(call), outcome,
+		this.draft.measure(new Measurement.CallEnded(call.request().group(), serviceClassOf(call), outcome,
 				Duration.between(call.arrived(), this.draft.now), call.queueing(), firstToken, usage.promptTokens(),
 				usage.cachedTokens(), usage.generatedTokens()));
 	}
 
-	private String classOf(Call call) {
-		return this.draft.setup
+	private String serviceClassOf(Call call) {
+		return this.draft.activeConfiguration
 			.flatMap((setup) -> call.request()
 				.place()
 				.map((place) -> setup.configuration().classOf(call.request().group(), place.program().name())))
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Draft.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Draft.java
@@ -43,7 +43,7 @@
 
 	final ZoneName zone;
 
-	Optional<Setup> setup;
+	Optional<ActiveConfiguration> activeConfiguration;
 
 	LogView log;
 
@@ -55,23 +55,23 @@
 
 	Map<AttemptId, Ticket> attempts;
 
-	Map<VmName, Set<AttemptId>> sent;
+	Map<VmName, Set<AttemptId>> attemptsByVm;
 
-	Map<Route, Set<Ticket>> waiting;
+	Map<Route, Set<Ticket>> waitingByRoute;
 
-	Map<Route, Long> claims;
+	Map<Route, Long> pendingClaims;
 
-	Map<AppendId, LedgerRecord> appends;
+	Map<AppendId, LedgerRecord> pendingAppends;
 
-	Map<Ticket, Question> questions;
+	Map<Ticket, ProgramRequest> programRequests;
 
 	Map<GroupName, Account<Ticket>> accounts;
 
 	Set<GroupName> changedAccounts = HashSet.empty();
 
-	Optional<LogClock> clock;
+	Optional<LogClock> logClock;
 
-	Agenda<Duty> agenda;
+	Agenda<Timer> timers;
 
 	RetryBudget retries;
 
@@ -89,20 +89,20 @@
 		this.now = now;
 		this.self = state.self;
 		this.zone = state.zone;
-		this.setup = state.setup;
+		this.activeConfiguration = state.activeConfiguration;
 		this.log = state.log;
 		this.peers = state.peers;
 		this.candidates = state.candidates;
 		this.calls = state.calls;
 		this.attempts = state.attempts;
-		this.sent = state.sent;
-		this.waiting = state.waiting;
-		this.claims = state.claims;
-		this.appends = state.appends;
-		this.questions = state.questions;
+		this.attemptsByVm = state.attemptsByVm;
+		this.waitingByRoute = state.waitingByRoute;
+		this.pendingClaims = state.pendingClaims;
+		this.pendingAppends = state.pendingAppends;
+		this.programRequests = state.programRequests;
 		this.accounts = state.accounts;
-		this.clock = state.clock;
-		this.agenda = state.agenda;
+		this.logClock = state.logClock;
+		this.timers = state.timers;
 		this.retries = state.retries;
 		this.lastMeasured = state.lastMeasured;
 		this.nextNumber = state.nextNumber;
@@ -114,34 +114,34 @@
 		return new Step<>(new EntryState(this), this.effects);
 	}
 
-	void run(EntryEffect effect) {
+	void emit(EntryEffect effect) {
 		this.effects.add(effect);
 	}
 
-	void run(NodeEffect effect) {
+	void emit(NodeEffect effect) {
 		this.effects.add(new EntryEffect.ForNode(effect));
 	}
 
 	void report(Notice notice) {
-		run(new NodeEffect.Report(notice));
+		emit(new NodeEffect.Report(notice));
 	}
 
 	void measure(Measurement measurement) {
-		run(new NodeEffect.Measure(measurement));
+		emit(new NodeEffect.Measure(measurement));
 	}
 
 	void append(LedgerRecord record) {
 		AppendId id = new AppendId(nextNumber());
-		this.appends = this.appends.put(id, record);
-		run(new NodeEffect.Append(id, record));
+		this.pendingAppends = this.pendingAppends.put(id, record);
+		emit(new NodeEffect.Append(id, record));
 	}
 
-	void remind(Duration delay, Duty duty) {
-		remindAt(this.now.plus(delay), duty);
+	void startTimer(Duration delay, Timer duty) {
+		startTimerAt(this.now.plus(delay), duty);
 	}
 
-	void remindAt(Instant time, Duty duty) {
-		this.agenda = this.agenda.with(time, duty);
+	void startTimerAt(Instant time, Timer duty) {
+		this.timers = this.timers.with(time, duty);
 	}
 
 	long nextNumber() {
@@ -165,7 +165,7 @@
 	 */
 	void remove(Call call) {
 		this.calls = this.calls.remove(call.ticket());
-		this.agenda = this.agenda.without(call.givenUp(), new Duty.GiveUp(call.ticket()));
+		this.timers = this.timers.without(call.expiresAt(), new Timer.CallDeadline(call.ticket()));
 	}
 
 	void put(Call call) {
@@ -225,7 +225,7 @@
 	 * @param vm the VM of the upstream
 	 * @param change the change of what placement knows
 	 */
-	void count(VmName vm, UnaryOperator<Candidate> change) {
+	void updateCandidate(VmName vm, UnaryOperator<Candidate> change) {
 		peer(vm).ifPresent((peer) -> {
 			for (Target target : targetsOf(peer.policy())) {
 				this.candidates = this.candidates.put(target,
@@ -238,31 +238,32 @@
 	 * Lets a call wait in the set of its route.
 	 * @param call the call
 	 */
-	void await(Call call) {
-		put(call.at(new Call.Phase.Waiting()));
-		this.waiting = this.waiting.put(call.route(),
-				this.waiting.getOrElse(call.route(), HashSet.empty()).add(call.ticket()));
+	void waitForRoute(Call call) {
+		put(call.withPhase(new Call.Phase.Waiting()));
+		this.waitingByRoute = this.waitingByRoute.put(call.route(),
+				this.waitingByRoute.getOrElse(call.route(), HashSet.empty()).add(call.ticket()));
 	}
 
 	/**
 	 * Takes a call out of the set of its route.
 	 * @param call the call
 	 */
-	void stopWaiting(Call call) {
-		Set<Ticket> others = this.waiting.getOrElse(call.route(), HashSet.empty()).remove(call.ticket());
-		this.waiting = (others.isEmpty()) ? this.waiting.remove(call.route()) : this.waiting.put(call.route(), others);
+	void removeWaiting(Call call) {
+		Set<Ticket> others = this.waitingByRoute.getOrElse(call.route(), HashSet.empty()).remove(call.ticket());
+		this.waitingByRoute = (others.isEmpty()) ? this.waitingByRoute.remove(call.route())
+				: this.waitingByRoute.put(call.route(), others);
 	}
 
 	/**
 	 * Takes an attempt out of the maps of what was sent.
-	 * @param sent the attempt
+	 * @param attemptsByVm the attempt
 	 */
-	void forget(Call.Phase.Sent sent) {
+	void removeAttempt(Call.Phase.Sent sent) {
 		VmName vm = sent.sidecar().vm();
 		this.attempts = this.attempts.remove(sent.attempt());
-		Set<AttemptId> others = this.sent.getOrElse(vm, HashSet.empty()).remove(sent.attempt());
-		this.sent = (others.isEmpty()) ? this.sent.remove(vm) : this.sent.put(vm, others);
-		count(vm, Candidate::ended);
+		Set<AttemptId> others = this.attemptsByVm.getOrElse(vm, HashSet.empty()).remove(sent.attempt());
+		this.attemptsByVm = (others.isEmpty()) ? this.attemptsByVm.remove(vm) : this.attemptsByVm.put(vm, others);
+		updateCandidate(vm, Candidate::callEnded);
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEffect.java
@@ -77,7 +77,7 @@
 	 * @param ticket the request
 	 * @param view the state
 	 */
-	record ShowProgram(Ticket ticket, LinkMessage.ProgramView view) implements EntryEffect {
+	record SendProgramState(Ticket ticket, LinkMessage.ProgramView view) implements EntryEffect {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEvent.java
@@ -27,7 +27,7 @@
 	 *
 	 * @param event what was learned
 	 */
-	record LogSpoke(LogEvent event) implements EntryEvent {
+	record LogEventReceived(LogEvent event) implements EntryEvent {
 
 		@Override
 		public Instant now() {
@@ -41,7 +41,7 @@
 	 *
 	 * @param event what happened
 	 */
-	record NodeSpoke(NodeEvent event) implements EntryEvent {
+	record NodeEventReceived(NodeEvent event) implements EntryEvent {
 
 		@Override
 		public Instant now() {
@@ -68,7 +68,7 @@
 	 * @param ticket the request
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record CallerGone(Ticket ticket, Instant now) implements EntryEvent {
+	record CallerDisconnected(Ticket ticket, Instant now) implements EntryEvent {
 
 	}
 
@@ -80,7 +80,7 @@
 	 * @param program the program
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record ProgramAsked(Ticket ticket, Digest caller, ProgramName program, Instant now) implements EntryEvent {
+	record ProgramStateRequested(Ticket ticket, Digest caller, ProgramName program, Instant now) implements EntryEvent {
 
 	}
 
@@ -92,7 +92,7 @@
 	 * @param program the program
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record ProgramEndAsked(Ticket ticket, Digest caller, ProgramName program, Instant now) implements EntryEvent {
+	record ProgramEndRequested(Ticket ticket, Digest caller, ProgramName program, Instant now) implements EntryEvent {
 
 	}
 
@@ -124,7 +124,8 @@
 	 * @param message the message
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record SidecarSpoke(ProcessId sidecar, LinkMessage.FromSidecar message, Instant now) implements EntryEvent {
+	record SidecarMessageReceived(ProcessId sidecar, LinkMessage.FromSidecar message,
+			Instant now) implements EntryEvent {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryReducer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryReducer.java
@@ -19,7 +19,7 @@
 	public Step<EntryState, EntryEffect> apply(EntryState state, EntryEvent event) {
 		Draft draft = new Draft(state, event.now());
 		RouteRules routes = new RouteRules(draft, seedOf(event));
-		follow(draft, routes, event);
+		handle(draft, routes, event);
 		new BudgetRules(draft, routes).advance();
 		new NodeRules(draft, routes).stopIfDone();
 		return draft.toStep();
@@ -29,24 +29,25 @@
 	private static long seedOf(EntryEvent event) {
 		return switch (event) {
 			case EntryEvent.CallArrived arrived -> arrived.seed();
-			case EntryEvent.NodeSpoke spoke when spoke.event() instanceof NodeEvent.Ticked ticked -> ticked.seed();
+			case EntryEvent.NodeEventReceived spoke when spoke.event() instanceof NodeEvent.Ticked ticked ->
+				ticked.seed();
 			default -> event.now().getNano();
 		};
 	}
 
-	private static void follow(Draft draft, RouteRules routes, EntryEvent event) {
+	private static void handle(Draft draft, RouteRules routes, EntryEvent event) {
 		SidecarRules sidecars = new SidecarRules(draft, routes);
 		CallerRules callers = new CallerRules(draft);
 		switch (event) {
-			case EntryEvent.LogSpoke spoke -> new LedgerRules(draft, routes).learned(spoke.event());
-			case EntryEvent.NodeSpoke spoke -> new NodeRules(draft, routes).happened(spoke.event());
-			case EntryEvent.CallArrived arrived -> callers.arrived(arrived, arrived.seed());
-			case EntryEvent.CallerGone gone -> callers.gone(gone.ticket());
-			case EntryEvent.ProgramAsked asked -> callers.asked(asked);
-			case EntryEvent.ProgramEndAsked asked -> callers.endAsked(asked);
+			case EntryEvent.LogEventReceived spoke -> new LedgerRules(draft, routes).handle(spoke.event());
+			case EntryEvent.NodeEventReceived spoke -> new NodeRules(draft, routes).handle(spoke.event());
+			case EntryEvent.CallArrived arrived -> callers.callArrived(arrived, arrived.seed());
+			case EntryEvent.CallerDisconnected gone -> callers.callerDisconnected(gone.ticket());
+			case EntryEvent.ProgramStateRequested asked -> callers.stateRequested(asked);
+			case EntryEvent.ProgramEndRequested asked -> callers.endRequested(asked);
 			case EntryEvent.SidecarLinked linked -> sidecars.linked(linked);
 			case EntryEvent.SidecarUnlinked unlinked -> sidecars.unlinked(unlinked);
-			case EntryEvent.SidecarSpoke spoke -> sidecars.spoke(spoke);
+			case EntryEvent.SidecarMessageReceived spoke -> sidecars.messageReceived(spoke);
 			case EntryEvent.SendRefused refused -> sidecars.sendRefused(refused);
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
@@ -33,13 +33,13 @@
  */
 public final class EntryState {
 
-	private static final int NOTHING_CONFIGURED = -1;
+	private static final int NO_CONFIGURATION_VERSION = -1;
 
 	final ProcessId self;
 
 	final ZoneName zone;
 
-	final Optional<Setup> setup;
+	final Optional<ActiveConfiguration> activeConfiguration;
 
 	final LogView log;
 
@@ -51,21 +51,21 @@
 
 	final Map<AttemptId, Ticket> attempts;
 
-	final Map<VmName, Set<AttemptId>> sent;
+	final Map<VmName, Set<AttemptId>> attemptsByVm;
 
-	final Map<Route, Set<Ticket>> waiting;
+	final Map<Route, Set<Ticket>> waitingByRoute;
 
-	final Map<Route, Long> claims;
+	final Map<Route, Long> pendingClaims;
 
-	final Map<AppendId, LedgerRecord> appends;
+	final Map<AppendId, LedgerRecord> pendingAppends;
 
-	final Map<Ticket, Question> questions;
+	final Map<Ticket, ProgramRequest> programRequests;
 
 	final Map<GroupName, Account<Ticket>> accounts;
 
-	final Optional<LogClock> clock;
+	final Optional<LogClock> logClock;
 
-	final Agenda<Duty> agenda;
+	final Agenda<Timer> timers;
 
 	final RetryBudget retries;
 
@@ -80,21 +80,21 @@
 	private EntryState(ProcessId self, ZoneName zone) {
 		this.self = self;
 		this.zone = zone;
-		this.setup = Optional.empty();
+		this.activeConfiguration = Optional.empty();
 		this.log = LogView.unread();
 		this.peers = HashMap.empty();
 		this.candidates = HashMap.empty();
 		this.calls = HashMap.empty();
 		this.attempts = HashMap.empty();
-		this.sent = HashMap.empty();
-		this.waiting = HashMap.empty();
-		this.claims = HashMap.empty();
-		this.appends = HashMap.empty();
-		this.questions = HashMap.empty();
+		this.attemptsByVm = HashMap.empty();
+		this.waitingByRoute = HashMap.empty();
+		this.pendingClaims = HashMap.empty();
+		this.pendingAppends = HashMap.empty();
+		this.programRequests = HashMap.empty();
 		this.accounts = HashMap.empty();
-		this.clock = Optional.empty();
-		this.agenda = Agenda.empty();
-		this.retries = RetryBudget.of(FaultLimits.DEFAULT.retryPercent(), RetryBudget.DEFAULT_BOUND);
+		this.logClock = Optional.empty();
+		this.timers = Agenda.empty();
+		this.retries = RetryBudget.of(FaultLimits.DEFAULT.retryPercent(), RetryBudget.DEFAULT_CAPACITY);
 		this.lastMeasured = Instant.EPOCH;
 		this.nextNumber = 1;
 		this.stopping = false;
@@ -104,20 +104,20 @@
 	EntryState(Draft draft) {
 		this.self = draft.self;
 		this.zone = draft.zone;
-		this.setup = draft.setup;
+		this.activeConfiguration = draft.activeConfiguration;
 		this.log = draft.log;
 		this.peers = draft.peers;
 		this.candidates = draft.candidates;
 		this.calls = draft.calls;
 		this.attempts = draft.attempts;
-		this.sent = draft.sent;
-		this.waiting = draft.waiting;
-		this.claims = draft.claims;
-		this.appends = draft.appends;
-		this.questions = draft.questions;
+		this.attemptsByVm = draft.attemptsByVm;
+		this.waitingByRoute = draft.waitingByRoute;
+		this.pendingClaims = draft.pendingClaims;
+		this.pendingAppends = draft.pendingAppends;
+		this.programRequests = draft.programRequests;
 		this.accounts = draft.accounts;
-		this.clock = draft.clock;
-		this.agenda = draft.agenda;
+		this.logClock = draft.logClock;
+		this.timers = draft.timers;
 		this.retries = draft.retries;
 		this.lastMeasured = draft.lastMeasured;
 		this.nextNumber = draft.nextNumber;
@@ -140,7 +140,7 @@
 	 * @return the configuration, or an empty result before the first one
 	 */
 	public Optional<Configuration> configuration() {
-		return this.setup.map(Setup::configuration);
+		return this.activeConfiguration.map(ActiveConfiguration::configuration);
 	}
 
 	/**
@@ -152,7 +152,8 @@
 			.map(EntryState::view)
 			.sortBy(EntryStatus.Upstream::vm)
 			.asJava();
-		return new EntryStatus(this.self, this.setup.map(Setup::version).orElse((long) NOTHING_CONFIGURED),
+		return new EntryStatus(this.self,
+				this.activeConfiguration.map(ActiveConfiguration::version).orElse((long) NO_CONFIGURATION_VERSION),
 				this.log.next(), this.log.isReachable(), this.calls.size(), this.log.ledger().programCount(), upstreams,
 				groups(), this.stopping);
 	}
@@ -164,12 +165,12 @@
 	private EntryStatus.Group view(GroupPolicy policy) {
 		long used = this.log.ledger()
 			.budget(policy.name())
-			.map((state) -> this.clock.map((each) -> state.advanceTo(each.logTime(this.lastMeasured)))
+			.map((state) -> this.logClock.map((each) -> state.advanceTo(each.logTime(this.lastMeasured)))
 				.orElse(state)
 				.reserved())
 			.orElse(0L);
 		return new EntryStatus.Group(policy.name(), policy.share(), used,
-				policy.budget().map((budget) -> budget.inPartsOf(BudgetRules.LONGEST_PERIOD)).map(Budget::tokens));
+				policy.budget().map((budget) -> budget.inPartsOf(BudgetRules.MAX_PERIOD)).map(Budget::tokens));
 	}
 
 	private static EntryStatus.Upstream view(Peer peer) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
@@ -21,7 +21,7 @@
  */
 final class LedgerRules {
 
-	private static final Duration PAUSE_BEFORE_APPEND_AGAIN = Duration.ofMillis(100);
+	private static final Duration APPEND_RETRY_DELAY = Duration.ofMillis(100);
 
 	private final Draft draft;
 
@@ -35,13 +35,13 @@
 		this.budgets = new BudgetRules(draft, routes);
 	}
 
-	void learned(LogEvent event) {
+	void handle(LogEvent event) {
 		switch (event) {
 			case LogEvent.BatchRead read -> read(read);
-			case LogEvent.CaughtUp caughtUp -> back(caughtUp.next());
-			case LogEvent.Unreachable unreachable -> unreachable();
-			case LogEvent.GapFound gap -> startAnew(gap);
-			case LogEvent.AppendEnded ended -> appended(ended);
+			case LogEvent.CaughtUp caughtUp -> logReachable(caughtUp.next());
+			case LogEvent.Unreachable unreachable -> logUnreachable();
+			case LogEvent.GapFound gap -> resetAfterGap(gap);
+			case LogEvent.AppendEnded ended -> appendEnded(ended);
 		}
 	}
 
@@ -49,31 +49,31 @@
 		if (event.offset() < this.draft.log.next()) {
 			return;
 		}
-		this.draft.clock = Optional.of(LogClock.update(this.draft.clock, event.time(), this.draft.now));
+		this.draft.logClock = Optional.of(LogClock.update(this.draft.logClock, event.time(), this.draft.now));
 		int index = 0;
 		for (LedgerRecord record : event.batch()) {
 			Position position = new Position(event.offset(), index);
 			Ledger.ApplyResult reading = this.draft.log.ledger().apply(position, event.time(), record);
 			this.draft.log = this.draft.log.withLedger(reading.ledger());
-			reading.changes().forEach((change) -> follow(change, event.offset()));
+			reading.changes().forEach((change) -> applyChange(change, event.offset()));
 			index++;
 		}
 		this.draft.log = this.draft.log.readTo(event.offset() + 1, event.time());
 	}
 
-	private void follow(LedgerChange change, long offset) {
+	private void applyChange(LedgerChange change, long offset) {
 		switch (change) {
 			case LedgerChange.HomeChanged changed -> this.routes.claimDecided(new Route.ForHome(changed.program()));
 			case LedgerChange.ProgramEnded closed -> {
 				this.routes.claimDecided(new Route.ForHome(closed.program()));
-				new CallerRules(this.draft).ended(closed.program(), closed.state());
+				new CallerRules(this.draft).programEnded(closed.program(), closed.state());
 			}
 			case LedgerChange.CallClaimed taken -> this.routes.claimDecided(new Route.ForClaim(taken.key()));
 			case LedgerChange.CallCompleted done -> this.routes.claimDecided(new Route.ForClaim(done.key()));
-			case LedgerChange.CallReleased released -> this.routes.lookAgain(new Route.ForClaim(released.key()));
-			case LedgerChange.Voided voided -> voided(voided.record());
-			case LedgerChange.SliceGranted granted -> this.budgets.granted(granted, offset);
-			case LedgerChange.SliceReturned givenBack -> this.budgets.givenBack(givenBack, offset);
+			case LedgerChange.CallReleased released -> this.routes.reroute(new Route.ForClaim(released.key()));
+			case LedgerChange.Voided voided -> recordVoided(voided.record());
+			case LedgerChange.SliceGranted granted -> this.budgets.sliceGranted(granted, offset);
+			case LedgerChange.SliceReturned givenBack -> this.budgets.sliceReturned(givenBack, offset);
 			case LedgerChange.TurnAdded added -> {
 			}
 			case LedgerChange.CrashCountChanged counted -> {
@@ -81,22 +81,22 @@
 		}
 	}
 
-	private void voided(LedgerRecord record) {
+	private void recordVoided(LedgerRecord record) {
 		switch (record) {
 			case LedgerRecord.ProgramClaimed claimed -> this.routes.claimDecided(new Route.ForHome(claimed.program()));
 			case LedgerRecord.CallClaimed claimed -> this.routes.claimDecided(new Route.ForClaim(claimed.key()));
-			default -> this.budgets.voided(record);
+			default -> this.budgets.recordVoided(record);
 		}
 	}
 
-	private void back(long next) {
+	private void logReachable(long next) {
 		if (!this.draft.log.isReachable()) {
 			this.draft.report(NoticeCode.LOG_BACK.with(FieldName.OFFSET, next));
 		}
 		this.draft.log = this.draft.log.reachable();
 	}
 
-	private void unreachable() {
+	private void logUnreachable() {
 		if (this.draft.log.isReachable()) {
 			this.draft.report(NoticeCode.LOG_UNAVAILABLE.with(FieldName.STREAM, "programs"));
 		}
@@ -105,33 +105,33 @@
 
 	// What was lost may have changed homes and claims: only what the log still has
 	// counts.
-	private void startAnew(LogEvent.GapFound gap) {
+	private void resetAfterGap(LogEvent.GapFound gap) {
 		this.draft.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.from())
 			.with(FieldName.COUNT, gap.first() - gap.from()));
 		this.draft.log = LogView.unread().readTo(gap.first(), Instant.EPOCH);
 		this.draft.accounts = this.draft.accounts.mapValues(Account::discardSlices);
 	}
 
-	private void appended(LogEvent.AppendEnded event) {
-		Optional<LedgerRecord> record = this.draft.appends.get(event.append()).toJavaOptional();
-		this.draft.appends = this.draft.appends.remove(event.append());
+	private void appendEnded(LogEvent.AppendEnded event) {
+		Optional<LedgerRecord> record = this.draft.pendingAppends.get(event.append()).toJavaOptional();
+		this.draft.pendingAppends = this.draft.pendingAppends.remove(event.append());
 		if (record.isEmpty() || event.result() == AppendResult.APPENDED) {
 			return;
 		}
 		if (event.result() == AppendResult.UNKNOWN) {
 			this.draft.report(NoticeCode.APPEND_UNKNOWN.with(FieldName.STREAM, "programs"));
 		}
-		appendAgain(record.get()).ifPresent((duty) -> this.draft.remind(PAUSE_BEFORE_APPEND_AGAIN, duty));
+		retryTimer(record.get()).ifPresent((duty) -> this.draft.startTimer(APPEND_RETRY_DELAY, duty));
 	}
 
-	private static Optional<Duty> appendAgain(LedgerRecord record) {
+	private static Optional<Timer> retryTimer(LedgerRecord record) {
 		return switch (record) {
 			case LedgerRecord.ProgramClaimed claimed ->
-				Optional.of(new Duty.ClaimAgain(new Route.ForHome(claimed.program()), record));
+				Optional.of(new Timer.ClaimRetry(new Route.ForHome(claimed.program()), record));
 			case LedgerRecord.CallClaimed claimed ->
-				Optional.of(new Duty.ClaimAgain(new Route.ForClaim(claimed.key()), record));
-			case LedgerRecord.SliceReserved reserved -> Optional.of(new Duty.SliceAgain(record));
-			case LedgerRecord.SliceReturned returned -> Optional.of(new Duty.SliceAgain(record));
+				Optional.of(new Timer.ClaimRetry(new Route.ForClaim(claimed.key()), record));
+			case LedgerRecord.SliceReserved reserved -> Optional.of(new Timer.SliceRetry(record));
+			case LedgerRecord.SliceReturned returned -> Optional.of(new Timer.SliceRetry(record));
 			default -> Optional.empty();
 		};
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
@@ -34,30 +34,31 @@
 		this.budgets = new BudgetRules(draft, routes);
 	}
 
-	void happened(NodeEvent event) {
+	void handle(NodeEvent event) {
 		switch (event) {
 			case NodeEvent.ConfigurationAccepted accepted -> accept(accepted);
-			case NodeEvent.VmListRead read -> listed(read);
+			case NodeEvent.VmListRead read -> vmListRead(read);
 			case NodeEvent.Ticked ticked -> tick();
 			case NodeEvent.StopRequested requested -> stop();
 		}
 	}
 
 	private void accept(NodeEvent.ConfigurationAccepted event) {
-		if (this.draft.setup.filter((setup) -> setup.version() >= event.version()).isPresent()) {
+		if (this.draft.activeConfiguration.filter((setup) -> setup.version() >= event.version()).isPresent()) {
 			return;
 		}
 		Configuration configuration = event.configuration();
-		this.draft.setup = Optional.of(new Setup(event.version(), configuration));
-		this.draft.retries = RetryBudget.of(configuration.limits().faults().retryPercent(), RetryBudget.DEFAULT_BOUND);
+		this.draft.activeConfiguration = Optional.of(new ActiveConfiguration(event.version(), configuration));
+		this.draft.retries = RetryBudget.of(configuration.limits().faults().retryPercent(),
+				RetryBudget.DEFAULT_CAPACITY);
 		for (Peer peer : this.draft.peers.values()) {
 			if (configuration.upstream(peer.policy().vm()).isEmpty()) {
 				disconnect(peer);
 			}
 		}
 		configuration.upstreams().forEach(this::connect);
-		this.draft.waiting.keySet().forEach(this.routes::lookAgain);
-		this.budgets.configured();
+		this.draft.waitingByRoute.keySet().forEach(this.routes::reroute);
+		this.budgets.configurationChanged();
 	}
 
 	private void connect(UpstreamPolicy policy) {
@@ -69,16 +70,16 @@
 		}
 		known.ifPresent(this::disconnect);
 		this.draft.put(Peer.of(policy, this.draft.now));
-		this.draft.run(new EntryEffect.Connect(policy.vm(), policy.sidecar()));
+		this.draft.emit(new EntryEffect.Connect(policy.vm(), policy.sidecar()));
 	}
 
 	private void disconnect(Peer peer) {
 		this.draft.remove(peer);
-		this.draft.run(new EntryEffect.Disconnect(peer.policy().vm()));
+		this.draft.emit(new EntryEffect.Disconnect(peer.policy().vm()));
 		this.routes.linkLost(peer.policy().vm());
 	}
 
-	private void listed(NodeEvent.VmListRead event) {
+	private void vmListRead(NodeEvent.VmListRead event) {
 		for (Peer peer : this.draft.peers.values()) {
 			boolean leaving = event.leaving().contains(peer.policy().vm());
 			if (leaving != peer.listedLeaving()) {
@@ -88,21 +89,22 @@
 	}
 
 	private void tick() {
-		Agenda.Due<Duty> due = this.draft.agenda.due(this.draft.now);
-		this.draft.agenda = due.agenda();
-		due.items().forEach(this::fulfil);
+		Agenda.Due<Timer> due = this.draft.timers.due(this.draft.now);
+		this.draft.timers = due.agenda();
+		due.items().forEach(this::fire);
 		measure();
 	}
 
-	private void fulfil(Duty duty) {
+	private void fire(Timer duty) {
 		switch (duty) {
-			case Duty.GiveUp giveUp -> this.routes.giveUp(giveUp.ticket());
-			case Duty.LookAgain look -> this.routes.lookAgain(look.ticket());
-			case Duty.ClaimAgain again -> this.routes.claimAgain(again.route(), again.record());
-			case Duty.GiveUpClaim giveUp -> this.routes.giveUpClaim(giveUp.route(), giveUp.claim());
-			case Duty.SliceAgain again -> this.budgets.appendAgain(again.record());
-			case Duty.GiveUpSlice giveUp -> this.budgets.giveUp(giveUp.ticket());
-			case Duty.GiveUpQuestion giveUp -> new CallerRules(this.draft).giveUpQuestion(giveUp.ticket());
+			case Timer.CallDeadline giveUp -> this.routes.expireCall(giveUp.ticket());
+			case Timer.RouteRetry look -> this.routes.reroute(look.ticket());
+			case Timer.ClaimRetry again -> this.routes.retryClaim(again.route(), again.record());
+			case Timer.ClaimTimeout giveUp -> this.routes.expireClaim(giveUp.route(), giveUp.claim());
+			case Timer.SliceRetry again -> this.budgets.retryAppend(again.record());
+			case Timer.SliceTimeout giveUp -> this.budgets.expireSliceWait(giveUp.ticket());
+			case Timer.ProgramRequestTimeout giveUp ->
+				new CallerRules(this.draft).expireProgramRequest(giveUp.ticket());
 		}
 	}
 
@@ -116,16 +118,16 @@
 		int linked = this.draft.peers.values().count((peer) -> peer.process().isPresent());
 		this.draft
 			.measure(new Measurement.LinkState(Measurement.LinkState.Kind.SIDECAR, linked, this.draft.peers.size()));
-		size(CollectionName.WAITING_CALLS, this.draft.calls.size() - this.draft.attempts.size());
-		size(CollectionName.RUNNING_CALLS, this.draft.attempts.size());
-		size(CollectionName.PROGRAMS, this.draft.log.ledger().programCount());
-		size(CollectionName.IDEMPOTENCY_RECORDS, this.draft.log.ledger().claimCount());
-		size(CollectionName.CRASH_RECORDS, this.draft.log.ledger().crashRecordCount());
-		size(CollectionName.UPSTREAMS, this.draft.peers.size());
-		size(CollectionName.APPEND_QUEUE, this.draft.appends.size());
+		measureSize(CollectionName.WAITING_CALLS, this.draft.calls.size() - this.draft.attempts.size());
+		measureSize(CollectionName.RUNNING_CALLS, this.draft.attempts.size());
+		measureSize(CollectionName.PROGRAMS, this.draft.log.ledger().programCount());
+		measureSize(CollectionName.IDEMPOTENCY_RECORDS, this.draft.log.ledger().claimCount());
+		measureSize(CollectionName.CRASH_RECORDS, this.draft.log.ledger().crashRecordCount());
+		measureSize(CollectionName.UPSTREAMS, this.draft.peers.size());
+		measureSize(CollectionName.APPEND_QUEUE, this.draft.pendingAppends.size());
 	}
 
-	private void size(CollectionName name, long size) {
+	private void measureSize(CollectionName name, long size) {
 		this.draft.measure(new Measurement.CollectionSize(name, size, 0));
 	}
 
@@ -141,12 +143,12 @@
 	 */
 	void stopIfDone() {
 		if (!this.draft.stopping || this.draft.stopped || !this.draft.calls.isEmpty()
-				|| !this.draft.questions.isEmpty()) {
+				|| !this.draft.programRequests.isEmpty()) {
 			return;
 		}
 		this.draft.stopped = true;
 		this.draft.report(NoticeCode.DRAINING_ENDED.with(FieldName.COUNT, 0));
-		this.draft.run(new NodeEffect.Stopped());
+		this.draft.emit(new NodeEffect.Stopped());
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Question.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/ProgramRequest.java
@@ -7,7 +7,7 @@
  * A request about a program that waits for its answer. Implementations are immutable and
  * safe for use by several threads.
  */
-sealed interface Question {
+sealed interface ProgramRequest {
 
 	/**
 	 * Returns the program.
@@ -21,7 +21,7 @@
 	 * @param program the program
 	 * @param attempt the number under which its home was asked
 	 */
-	record ForState(ProgramId program, AttemptId attempt) implements Question {
+	record ForState(ProgramId program, AttemptId attempt) implements ProgramRequest {
 
 	}
 
@@ -30,7 +30,7 @@
 	 *
 	 * @param program the program
 	 */
-	record ForEnd(ProgramId program) implements Question {
+	record ForEnd(ProgramId program) implements ProgramRequest {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/RouteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/RouteRules.java
@@ -45,19 +45,19 @@
 	 */
 	static final Duration DEADLINE_GRACE = Duration.ofMillis(250);
 
-	private static final Duration TAKEOVER_TIME = Duration.ofSeconds(3);
+	private static final Duration TAKEOVER_DELAY = Duration.ofSeconds(3);
 
-	private static final Duration CLAIM_WAIT = Duration.ofSeconds(2);
+	private static final Duration CLAIM_TIMEOUT = Duration.ofSeconds(2);
 
-	private static final Duration PAUSE_BEFORE_LOOK = Duration.ofMillis(50);
+	private static final Duration REROUTE_DELAY = Duration.ofMillis(50);
 
-	private static final Duration RETRY_SOON = Duration.ofSeconds(1);
+	private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-	private static final int MOST_ATTEMPTS = 6;
+	private static final int MAX_ATTEMPTS = 6;
 
-	private static final int DECIDERS = 2;
+	private static final int ASSUMED_ENTRIES = 2;
 
-	private static final int ROUNDS_TO_BE_SURE = 2;
+	private static final int ROUNDS_FOR_FULL_READ = 2;
 
 	private final Draft draft;
 
@@ -72,18 +72,18 @@
 	 * Sends a call, or lets it wait for what it needs.
 	 * @param call the call, which is neither sent nor waiting
 	 */
-	void go(Call call) {
+	void route(Call call) {
 		switch (call.route()) {
-			case Route.ForHome route -> goHome(call, route);
-			case Route.ForClaim route -> goToExecutor(call, route);
-			case Route.ForAny route -> goAnywhere(call);
+			case Route.ForHome route -> routeToHome(call, route);
+			case Route.ForClaim route -> routeToExecutor(call, route);
+			case Route.ForAny route -> routeToAny(call);
 		}
 	}
 
-	private void goHome(Call call, Route.ForHome route) {
+	private void routeToHome(Call call, Route.ForHome route) {
 		Optional<ProgramState> known = this.draft.log.ledger().program(route.program());
 		if (known.isEmpty()) {
-			goToFirstHome(call, route);
+			claimFirstHome(call, route);
 			return;
 		}
 		ProgramState state = known.get();
@@ -92,7 +92,7 @@
 			return;
 		}
 		Optional<Peer> peer = this.draft.peer(state.home().vm()).filter((each) -> serves(each, call));
-		if (peer.isEmpty() || isOtherLife(peer.get(), state.home())) {
+		if (peer.isEmpty() || isOtherIncarnation(peer.get(), state.home())) {
 			claimHome(call, route, state.epoch().next(), Optional.empty());
 			return;
 		}
@@ -101,7 +101,7 @@
 					state.epoch());
 			return;
 		}
-		Instant takeover = peer.get().since().plus(TAKEOVER_TIME);
+		Instant takeover = peer.get().since().plus(TAKEOVER_DELAY);
 		if (takeover.isAfter(this.draft.now)) {
 			waitUntil(takeover, call);
 			return;
@@ -112,7 +112,7 @@
 	// The first claim of a sub-agent whose parent has ended is void for good. Without the
 	// look at the parent the call would claim again each time it reads that, and fill the
 	// log until its deadline.
-	private void goToFirstHome(Call call, Route.ForHome route) {
+	private void claimFirstHome(Call call, Route.ForHome route) {
 		boolean orphaned = call.request()
 			.place()
 			.flatMap(ProgramCall::parent)
@@ -126,7 +126,7 @@
 		claimHome(call, route, Epoch.NONE.next(), Optional.empty());
 	}
 
-	private static boolean isOtherLife(Peer peer, ProcessId known) {
+	private static boolean isOtherIncarnation(Peer peer, ProcessId known) {
 		return peer.process().isPresent() && !peer.isLinkedTo(known);
 	}
 
@@ -134,7 +134,7 @@
 		return Draft.targetsOf(peer.policy()).contains(Target.of(call.request()));
 	}
 
-	private void goToExecutor(Call call, Route.ForClaim route) {
+	private void routeToExecutor(Call call, Route.ForClaim route) {
 		Optional<ClaimState> known = this.draft.log.ledger().claim(route.key());
 		if (known.isEmpty()) {
 			claimCall(call, route);
@@ -150,7 +150,7 @@
 			return;
 		}
 		Optional<Peer> peer = this.draft.peer(claim.executor().vm());
-		if (peer.isEmpty() || isOtherLife(peer.get(), claim.executor())) {
+		if (peer.isEmpty() || isOtherIncarnation(peer.get(), claim.executor())) {
 			// The life that could tell is over. Nobody else may run the call, and nobody
 			// can say that it did not run.
 			refuse(call, CallFailure.mayHaveRun(FailureCause.OUTCOME_UNKNOWN,
@@ -163,19 +163,19 @@
 					Epoch.NONE);
 			return;
 		}
-		Instant patience = peer.get().since().plus(TAKEOVER_TIME);
-		if (patience.isAfter(this.draft.now)) {
-			waitUntil(patience, call);
+		Instant retryUntil = peer.get().since().plus(TAKEOVER_DELAY);
+		if (retryUntil.isAfter(this.draft.now)) {
+			waitUntil(retryUntil, call);
 			return;
 		}
 		refuse(call,
 				CallFailure
 					.mayHaveRun(FailureCause.OUTCOME_UNKNOWN,
 							"The process that was to run the request cannot be reached.")
-					.retryAfter(RETRY_SOON));
+					.retryAfter(RETRY_AFTER));
 	}
 
-	private void goAnywhere(Call call) {
+	private void routeToAny(Call call) {
 		Optional<ProcessId> sidecar = choose(call, Optional.empty());
 		if (sidecar.isEmpty()) {
 			refuse(call, noUpstream());
@@ -186,14 +186,14 @@
 
 	private static CallFailure noUpstream() {
 		return CallFailure.notRun(FailureCause.NO_UPSTREAM, "No upstream for this request can be reached.")
-			.retryAfter(RETRY_SOON);
+			.retryAfter(RETRY_AFTER);
 	}
 
 	private Optional<ProcessId> choose(Call call, Optional<VmName> excluded) {
 		Candidates all = this.draft.candidates.getOrElse(Target.of(call.request()), Candidates.NONE);
 		Candidates candidates = excluded.map(all::without).orElse(all);
 		PlacementRequest request = new PlacementRequest(this.draft.zone, List.of(), call.ticket().value(),
-				this.seed ^ call.ticket().value(), DECIDERS);
+				this.seed ^ call.ticket().value(), ASSUMED_ENTRIES);
 		return Placement.Default.STANDARD.choose(candidates, request).flatMap(this.draft::peer).flatMap(Peer::process);
 	}
 
@@ -205,8 +205,8 @@
 	 * @param excluded a VM that must not be chosen
 	 */
 	void claimHome(Call call, Route.ForHome route, Epoch epoch, Optional<VmName> excluded) {
-		if (this.draft.claims.containsKey(route)) {
-			this.draft.await(call);
+		if (this.draft.pendingClaims.containsKey(route)) {
+			this.draft.waitForRoute(call);
 			return;
 		}
 		Optional<ProcessId> home = choose(call, excluded);
@@ -219,8 +219,8 @@
 	}
 
 	private void claimCall(Call call, Route.ForClaim route) {
-		if (this.draft.claims.containsKey(route)) {
-			this.draft.await(call);
+		if (this.draft.pendingClaims.containsKey(route)) {
+			this.draft.waitForRoute(call);
 			return;
 		}
 		Optional<ProcessId> executor = choose(call, Optional.empty());
@@ -237,15 +237,15 @@
 			return;
 		}
 		long number = this.draft.nextNumber();
-		this.draft.claims = this.draft.claims.put(call.route(), number);
-		this.draft.await(call);
+		this.draft.pendingClaims = this.draft.pendingClaims.put(call.route(), number);
+		this.draft.waitForRoute(call);
 		this.draft.append(record);
-		this.draft.remind(CLAIM_WAIT, new Duty.GiveUpClaim(call.route(), number));
+		this.draft.startTimer(CLAIM_TIMEOUT, new Timer.ClaimTimeout(call.route(), number));
 	}
 
 	private static CallFailure logUnavailable() {
 		return CallFailure.notRun(FailureCause.LOG_UNAVAILABLE, "The request needs the log, which cannot be reached.")
-			.retryAfter(RETRY_SOON);
+			.retryAfter(RETRY_AFTER);
 	}
 
 	/**
@@ -257,11 +257,11 @@
 	 * @return the verdict
 	 */
 	Verdict unsentVerdict(Call call) {
-		boolean proved = !isKnown(call) && this.draft.log.isReachable() && hasReadSince(call);
+		boolean proved = !isInLog(call) && this.draft.log.isReachable() && hasReadSinceArrival(call);
 		return (proved) ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN;
 	}
 
-	private boolean isKnown(Call call) {
+	private boolean isInLog(Call call) {
 		Ledger ledger = this.draft.log.ledger();
 		return switch (call.route()) {
 			case Route.ForHome route -> ledger.program(route.program()).isPresent();
@@ -271,8 +271,9 @@
 	}
 
 	// The first round that ends after the call arrived may have begun before.
-	private boolean hasReadSince(Call call) {
-		return call.route() instanceof Route.ForAny || this.draft.log.rounds() >= call.round() + ROUNDS_TO_BE_SURE;
+	private boolean hasReadSinceArrival(Call call) {
+		return call.route() instanceof Route.ForAny
+				|| this.draft.log.rounds() >= call.arrivalRound() + ROUNDS_FOR_FULL_READ;
 	}
 
 	/**
@@ -282,14 +283,14 @@
 	 * @param failure why it is not sent
 	 */
 	void refuseUnsent(Call call, CallFailure failure) {
-		boolean waits = !isKnown(call) && this.draft.log.isReachable() && !hasReadSince(call)
+		boolean waits = !isInLog(call) && this.draft.log.isReachable() && !hasReadSinceArrival(call)
 				&& call.deadline().isAfter(this.draft.now);
 		if (!waits) {
 			refuse(call, failure.after(unsentVerdict(call)));
 			return;
 		}
-		waitUntil(this.draft.now.plus(PAUSE_BEFORE_LOOK), call);
-		this.draft.put(call.at(new Call.Phase.Refused(failure)));
+		waitUntil(this.draft.now.plus(REROUTE_DELAY), call);
+		this.draft.put(call.withPhase(new Call.Phase.RefusalPending(failure)));
 	}
 
 	private void refuse(Call call, CallFailure failure) {
@@ -297,25 +298,25 @@
 	}
 
 	private void waitUntil(Instant time, Call call) {
-		this.draft.await(call);
-		this.draft.remindAt(time, new Duty.LookAgain(call.ticket()));
+		this.draft.waitForRoute(call);
+		this.draft.startTimerAt(time, new Timer.RouteRetry(call.ticket()));
 	}
 
 	private void send(Call call, ProcessId sidecar, Standing standing, Epoch epoch) {
-		if (call.attempts() >= MOST_ATTEMPTS) {
+		if (call.attempts() >= MAX_ATTEMPTS) {
 			refuse(call, noUpstream().after(unsentVerdict(call)));
 			return;
 		}
 		AttemptId attempt = this.draft.nextAttempt();
-		Call sent = call.at(new Call.Phase.Sent(attempt, sidecar, epoch, 0));
-		this.draft.stopWaiting(call);
+		Call sent = call.withPhase(new Call.Phase.Sent(attempt, sidecar, epoch, 0));
+		this.draft.removeWaiting(call);
 		this.draft.put(sent);
 		this.draft.attempts = this.draft.attempts.put(attempt, call.ticket());
-		Set<AttemptId> others = this.draft.sent.getOrElse(sidecar.vm(), HashSet.empty());
-		this.draft.sent = this.draft.sent.put(sidecar.vm(), others.add(attempt));
-		this.draft.count(sidecar.vm(), Candidate::sent);
+		Set<AttemptId> others = this.draft.attemptsByVm.getOrElse(sidecar.vm(), HashSet.empty());
+		this.draft.attemptsByVm = this.draft.attemptsByVm.put(sidecar.vm(), others.add(attempt));
+		this.draft.updateCandidate(sidecar.vm(), Candidate::callSent);
 		Duration left = Duration.between(this.draft.now, call.deadline());
-		this.draft.run(new EntryEffect.Send(sidecar, new LinkMessage.Dispatch(attempt, call.request(), standing,
+		this.draft.emit(new EntryEffect.Send(sidecar, new LinkMessage.Dispatch(attempt, call.request(), standing,
 				(left.isNegative()) ? Duration.ZERO : left, call.delivered().text())));
 	}
 
@@ -323,18 +324,18 @@
 	 * Looks again at the calls that wait for a program or a claim.
 	 * @param route what they wait for
 	 */
-	void lookAgain(Route route) {
-		for (Ticket ticket : this.draft.waiting.getOrElse(route, HashSet.empty())) {
-			lookAgain(ticket);
+	void reroute(Route route) {
+		for (Ticket ticket : this.draft.waitingByRoute.getOrElse(route, HashSet.empty())) {
+			reroute(ticket);
 		}
 	}
 
-	void lookAgain(Ticket ticket) {
+	void reroute(Ticket ticket) {
 		this.draft.call(ticket).ifPresent((call) -> {
 			switch (call.phase()) {
-				case Call.Phase.Waiting waiting -> goAgain(call);
-				case Call.Phase.Refused refused -> {
-					this.draft.stopWaiting(call);
+				case Call.Phase.Waiting waiting -> rerouteUnlessClaiming(call);
+				case Call.Phase.RefusalPending refused -> {
+					this.draft.removeWaiting(call);
 					refuseUnsent(call, refused.failure());
 				}
 				case Call.Phase.Reserving reserving -> {
@@ -345,10 +346,10 @@
 		});
 	}
 
-	private void goAgain(Call call) {
-		if (!this.draft.claims.containsKey(call.route())) {
-			this.draft.stopWaiting(call);
-			go(call);
+	private void rerouteUnlessClaiming(Call call) {
+		if (!this.draft.pendingClaims.containsKey(call.route())) {
+			this.draft.removeWaiting(call);
+			route(call);
 		}
 	}
 
@@ -357,8 +358,8 @@
 	 * @param route what was claimed
 	 */
 	void claimDecided(Route route) {
-		this.draft.claims = this.draft.claims.remove(route);
-		lookAgain(route);
+		this.draft.pendingClaims = this.draft.pendingClaims.remove(route);
+		reroute(route);
 	}
 
 	/**
@@ -367,8 +368,8 @@
 	 * @param route what is claimed
 	 * @param record the claim
 	 */
-	void claimAgain(Route route, LedgerRecord record) {
-		if (this.draft.claims.containsKey(route)) {
+	void retryClaim(Route route, LedgerRecord record) {
+		if (this.draft.pendingClaims.containsKey(route)) {
 			this.draft.append(record);
 		}
 	}
@@ -378,12 +379,12 @@
 	 * @param route what was claimed
 	 * @param claim the number of the claim
 	 */
-	void giveUpClaim(Route route, long claim) {
-		if (!this.draft.claims.get(route).contains(claim)) {
+	void expireClaim(Route route, long claim) {
+		if (!this.draft.pendingClaims.get(route).contains(claim)) {
 			return;
 		}
-		this.draft.claims = this.draft.claims.remove(route);
-		for (Ticket ticket : this.draft.waiting.getOrElse(route, HashSet.empty())) {
+		this.draft.pendingClaims = this.draft.pendingClaims.remove(route);
+		for (Ticket ticket : this.draft.waitingByRoute.getOrElse(route, HashSet.empty())) {
 			this.draft.call(ticket).ifPresent((call) -> refuse(call, logUnavailable().after(unsentVerdict(call))));
 		}
 	}
@@ -394,28 +395,28 @@
 	 * @param sent the attempt
 	 * @param failure how it ended
 	 */
-	void failed(Call call, Call.Phase.Sent sent, CallFailure failure) {
-		this.draft.forget(sent);
-		Call known = call.knownAs(failure.verdict()).at(new Call.Phase.Waiting());
+	void attemptFailed(Call call, Call.Phase.Sent sent, CallFailure failure) {
+		this.draft.removeAttempt(sent);
+		Call known = call.withVerdict(failure.verdict()).withPhase(new Call.Phase.Waiting());
 		this.draft.put(known);
 		switch (call.route()) {
-			case Route.ForHome route -> afterHome(known, route, sent, failure);
-			case Route.ForClaim route -> afterExecutor(known, failure);
-			case Route.ForAny route -> afterAny(known, failure);
+			case Route.ForHome route -> afterHomeFailure(known, route, sent, failure);
+			case Route.ForClaim route -> afterExecutorFailure(known, failure);
+			case Route.ForAny route -> afterAnyFailure(known, failure);
 		}
 	}
 
 	// A turn counts once whatever happens to the attempts: so another home may run the
 	// call even if this one may have begun.
-	private void afterHome(Call call, Route.ForHome route, Call.Phase.Sent sent, CallFailure failure) {
-		if (call.attempts() >= MOST_ATTEMPTS || !call.deadline().isAfter(this.draft.now)) {
-			refuse(call, asFarAsKnown(call, failure));
+	private void afterHomeFailure(Call call, Route.ForHome route, Call.Phase.Sent sent, CallFailure failure) {
+		if (call.attempts() >= MAX_ATTEMPTS || !call.deadline().isAfter(this.draft.now)) {
+			refuse(call, withUnsentVerdict(call, failure));
 			return;
 		}
 		switch (failure.cause()) {
-			case MOVED, NOT_READY -> waitUntil(this.draft.now.plus(PAUSE_BEFORE_LOOK), call);
+			case MOVED, NOT_READY -> waitUntil(this.draft.now.plus(REROUTE_DELAY), call);
 			case STOPPING, NO_UPSTREAM, UPSTREAM_FAILED -> moveHome(call, route, sent, failure);
-			default -> refuse(call, asFarAsKnown(call, failure));
+			default -> refuse(call, withUnsentVerdict(call, failure));
 		}
 	}
 
@@ -433,36 +434,36 @@
 			claimHome(call, route, sent.epoch().next(), Optional.of(sent.sidecar().vm()));
 			return;
 		}
-		go(call);
+		route(call);
 	}
 
-	private void afterExecutor(Call call, CallFailure failure) {
+	private void afterExecutorFailure(Call call, CallFailure failure) {
 		boolean released = failure.verdict() == Verdict.NOT_RUN && call.verdict() == Verdict.NOT_RUN;
-		boolean goesOn = released && call.attempts() < MOST_ATTEMPTS && call.deadline().isAfter(this.draft.now);
+		boolean goesOn = released && call.attempts() < MAX_ATTEMPTS && call.deadline().isAfter(this.draft.now);
 		switch (failure.cause()) {
 			case MOVED, STOPPING, NO_UPSTREAM, UPSTREAM_FAILED, NOT_READY -> {
 				if (goesOn) {
-					waitUntil(this.draft.now.plus(PAUSE_BEFORE_LOOK), call);
+					waitUntil(this.draft.now.plus(REROUTE_DELAY), call);
 				}
 				else {
-					refuse(call, asFarAsKnown(call, failure));
+					refuse(call, withUnsentVerdict(call, failure));
 				}
 			}
-			default -> refuse(call, asFarAsKnown(call, failure));
+			default -> refuse(call, withUnsentVerdict(call, failure));
 		}
 	}
 
 	// A sidecar that is not the home or executor, or could not read the log, knows only
 	// of
 	// itself that it did not run the call.
-	private CallFailure asFarAsKnown(Call call, CallFailure failure) {
+	private CallFailure withUnsentVerdict(Call call, CallFailure failure) {
 		return switch (failure.cause()) {
 			case MOVED, NOT_READY, LOG_UNAVAILABLE -> failure.after(unsentVerdict(call));
 			default -> failure;
 		};
 	}
 
-	private void afterAny(Call call, CallFailure failure) {
+	private void afterAnyFailure(Call call, CallFailure failure) {
 		Duration left = Duration.between(this.draft.now, call.deadline());
 		FailedAttempts attempts = new FailedAttempts(failure.after(call.verdict()), call.attempts(),
 				isRepeatable(call.request()), left);
@@ -471,7 +472,7 @@
 			case RetryDecision.RetryElsewhere retry -> {
 				this.draft.retries = retry.budget();
 				this.draft.measure(new Measurement.Retries(Measurement.Retries.Operation.CALL, 1, 0));
-				goAnywhere(call);
+				routeToAny(call);
 			}
 		}
 	}
@@ -492,39 +493,39 @@
 	 * @param vm the VM of the sidecar
 	 */
 	void linkLost(VmName vm) {
-		for (AttemptId attempt : this.draft.sent.getOrElse(vm, HashSet.empty())) {
+		for (AttemptId attempt : this.draft.attemptsByVm.getOrElse(vm, HashSet.empty())) {
 			Optional<Call> call = this.draft.attempts.get(attempt).toJavaOptional().flatMap(this.draft::call);
 			if (call.isPresent() && call.get().phase() instanceof Call.Phase.Sent sent) {
-				lost(call.get(), sent);
+				attemptLost(call.get(), sent);
 			}
 		}
 	}
 
-	private void lost(Call call, Call.Phase.Sent sent) {
+	private void attemptLost(Call call, Call.Phase.Sent sent) {
 		CallFailure failure = CallFailure.mayHaveRun(FailureCause.UPSTREAM_FAILED,
 				"The link to the upstream's sidecar was lost.");
 		if (call.route() instanceof Route.ForAny) {
-			failed(call, sent, failure);
+			attemptFailed(call, sent, failure);
 			return;
 		}
-		this.draft.forget(sent);
-		Call known = call.knownAs(Verdict.MAY_HAVE_RUN).at(new Call.Phase.Waiting());
+		this.draft.removeAttempt(sent);
+		Call known = call.withVerdict(Verdict.MAY_HAVE_RUN).withPhase(new Call.Phase.Waiting());
 		this.draft.put(known);
-		go(known);
+		route(known);
 	}
 
 	/**
 	 * Ends a call whose deadline has passed without a word of the sidecar.
 	 * @param ticket the call
 	 */
-	void giveUp(Ticket ticket) {
+	void expireCall(Ticket ticket) {
 		Optional<Call> call = this.draft.call(ticket);
 		if (call.isEmpty()) {
 			return;
 		}
 		CallFailure failure = CallFailure.notRun(FailureCause.DEADLINE_PASSED, "The deadline passed.");
 		if (call.get().phase() instanceof Call.Phase.Sent sent) {
-			this.draft.run(new EntryEffect.Send(sent.sidecar(), new LinkMessage.Cancel(sent.attempt())));
+			this.draft.emit(new EntryEffect.Send(sent.sidecar(), new LinkMessage.Cancel(sent.attempt())));
 			refuse(call.get(), failure.after(Verdict.MAY_HAVE_RUN));
 			return;
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/SidecarRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/SidecarRules.java
@@ -35,14 +35,14 @@
 		// else a call could reach a process that another one's claims do not bind.
 		if (!event.sidecar().vm().equals(event.vm())) {
 			this.draft.report(NoticeCode.MESSAGE_REFUSED.with(FieldName.REASON, "another VM answers"));
-			this.draft.run(new EntryEffect.Disconnect(event.vm()));
+			this.draft.emit(new EntryEffect.Disconnect(event.vm()));
 			return;
 		}
 		this.draft.put(peer.get().linked(event.sidecar(), this.draft.now));
 		this.routes.linkLost(event.vm());
 		this.draft.report(NoticeCode.SIDECAR_LINKED.with(FieldName.VM, event.vm())
 			.with(FieldName.ZONE, peer.get().policy().zone()));
-		lookAgainAtAll();
+		rerouteAll();
 	}
 
 	void unlinked(EntryEvent.SidecarUnlinked event) {
@@ -52,17 +52,17 @@
 		}
 		if (peer.get().process().isPresent()) {
 			this.draft.report(NoticeCode.LINK_LOST.with(FieldName.COUNT,
-					this.draft.sent.get(event.vm()).map(Set::size).getOrElse(0)));
+					this.draft.attemptsByVm.get(event.vm()).map(Set::size).getOrElse(0)));
 		}
 		this.draft.put(peer.get().unlinked(this.draft.now));
 		this.routes.linkLost(event.vm());
 	}
 
-	private void lookAgainAtAll() {
-		this.draft.waiting.keySet().forEach(this.routes::lookAgain);
+	private void rerouteAll() {
+		this.draft.waitingByRoute.keySet().forEach(this.routes::reroute);
 	}
 
-	void spoke(EntryEvent.SidecarSpoke event) {
+	void messageReceived(EntryEvent.SidecarMessageReceived event) {
 		VmName vm = event.sidecar().vm();
 		Optional<Peer> peer = this.draft.peer(vm).filter((each) -> each.isLinkedTo(event.sidecar()));
 		if (peer.isEmpty()) {
@@ -72,9 +72,9 @@
 			case LinkMessage.Accepted accepted -> {
 			}
 			case LinkMessage.Started started -> started(started);
-			case LinkMessage.Delta delta -> progressed(delta);
+			case LinkMessage.Delta delta -> deltaReceived(delta);
 			case LinkMessage.Finished finished -> finished(finished);
-			case LinkMessage.ProgramAnswer answer -> new CallerRules(this.draft).answered(answer);
+			case LinkMessage.ProgramAnswer answer -> new CallerRules(this.draft).stateReceived(answer);
 			case LinkMessage.LoadReport report -> this.draft.put(peer.get().reporting(report));
 			case LinkMessage.Leaving leaving -> leaving(peer.get());
 			case LinkMessage.Hello hello -> {
@@ -97,23 +97,23 @@
 	}
 
 	private void started(LinkMessage.Started message) {
-		callOf(message.attempt()).ifPresent((call) -> this.draft.put(call.afterQueueing(message.queued())));
+		callOf(message.attempt()).ifPresent((call) -> this.draft.put(call.withQueueing(message.queued())));
 	}
 
-	private void progressed(LinkMessage.Delta message) {
+	private void deltaReceived(LinkMessage.Delta message) {
 		Optional<Call> call = callOf(message.attempt());
 		if (call.isEmpty() || !(call.get().phase() instanceof Call.Phase.Sent sent)) {
 			return;
 		}
-		if (sent.sequence() != message.sequence()) {
+		if (sent.nextSequence() != message.sequence()) {
 			// A part is missing or came twice: the caller must not get a text with a gap.
-			this.draft.run(new EntryEffect.Send(sent.sidecar(), new LinkMessage.Cancel(sent.attempt())));
-			this.routes.failed(call.get(), sent,
+			this.draft.emit(new EntryEffect.Send(sent.sidecar(), new LinkMessage.Cancel(sent.attempt())));
+			this.routes.attemptFailed(call.get(), sent,
 					CallFailure.mayHaveRun(FailureCause.INTERNAL, "A part of the answer was lost."));
 			return;
 		}
-		this.draft.put(call.get().withText(message.text(), this.draft.now).at(sent.afterDelta()));
-		this.draft.run(new EntryEffect.Deliver(call.get().ticket(), message.text()));
+		this.draft.put(call.get().withText(message.text(), this.draft.now).withPhase(sent.withNextSequence()));
+		this.draft.emit(new EntryEffect.Deliver(call.get().ticket(), message.text()));
 	}
 
 	private void finished(LinkMessage.Finished message) {
@@ -123,7 +123,7 @@
 		}
 		switch (message.outcome()) {
 			case CallOutcome.Answered answered -> new CompletionRules(this.draft).complete(call.get(), answered);
-			case CallOutcome.Failed failed -> this.routes.failed(call.get(), sent, failed.failure());
+			case CallOutcome.Failed failed -> this.routes.attemptFailed(call.get(), sent, failed.failure());
 		}
 	}
 
@@ -138,7 +138,7 @@
 		}
 		Optional<Call> call = callOf(dispatch.attempt());
 		if (call.isPresent() && call.get().phase() instanceof Call.Phase.Sent sent) {
-			this.routes.failed(call.get(), sent,
+			this.routes.attemptFailed(call.get(), sent,
 					CallFailure.notRun(FailureCause.NOT_READY, "The link to the upstream's sidecar is not open."));
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Duty.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Timer.java
@@ -6,14 +6,14 @@
  * Something to look at when its time comes. It may have become needless by then.
  * Implementations are immutable and safe for use by several threads.
  */
-sealed interface Duty {
+sealed interface Timer {
 
 	/**
 	 * The deadline of a call has come.
 	 *
 	 * @param ticket the call
 	 */
-	record GiveUp(Ticket ticket) implements Duty {
+	record CallDeadline(Ticket ticket) implements Timer {
 
 	}
 
@@ -22,7 +22,7 @@
 	 *
 	 * @param ticket the call
 	 */
-	record LookAgain(Ticket ticket) implements Duty {
+	record RouteRetry(Ticket ticket) implements Timer {
 
 	}
 
@@ -32,7 +32,7 @@
 	 * @param route what was claimed
 	 * @param record the claim
 	 */
-	record ClaimAgain(Route route, LedgerRecord record) implements Duty {
+	record ClaimRetry(Route route, LedgerRecord record) implements Timer {
 
 	}
 
@@ -42,7 +42,7 @@
 	 * @param route what was claimed
 	 * @param claim the number of the claim
 	 */
-	record GiveUpClaim(Route route, long claim) implements Duty {
+	record ClaimTimeout(Route route, long claim) implements Timer {
 
 	}
 
@@ -51,7 +51,7 @@
 	 *
 	 * @param record the record
 	 */
-	record SliceAgain(LedgerRecord record) implements Duty {
+	record SliceRetry(LedgerRecord record) implements Timer {
 
 	}
 
@@ -60,7 +60,7 @@
 	 *
 	 * @param ticket the call
 	 */
-	record GiveUpSlice(Ticket ticket) implements Duty {
+	record SliceTimeout(Ticket ticket) implements Timer {
 
 	}
 
@@ -69,7 +69,7 @@
 	 *
 	 * @param ticket the request
 	 */
-	record GiveUpQuestion(Ticket ticket) implements Duty {
+	record ProgramRequestTimeout(Ticket ticket) implements Timer {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidate.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidate.java
@@ -15,10 +15,10 @@
  * @param zone the availability zone of the VM
  * @param availability whether it may be given work
  * @param load the load it reported last
- * @param sentSince the calls that this entry sent since the report and that have not
- * ended
+ * @param sentSinceReport the calls that this entry sent since the report and that have
+ * not ended
  */
-public record Candidate(VmName vm, ZoneName zone, Availability availability, Load load, int sentSince) {
+public record Candidate(VmName vm, ZoneName zone, Availability availability, Load load, int sentSinceReport) {
 
 	/**
 	 * Creates a candidate.
@@ -26,8 +26,8 @@
 	 * @param zone the availability zone of the VM
 	 * @param availability whether it may be given work
 	 * @param load the load it reported last
-	 * @param sentSince the calls that this entry sent since the report and that have not
-	 * ended
+	 * @param sentSinceReport the calls that this entry sent since the report and that
+	 * have not ended
 	 */
 	public Candidate {
 		Objects.requireNonNull(vm, "vm");
@@ -53,16 +53,16 @@
 	 * @return the candidate
 	 */
 	public Candidate with(Availability changed) {
-		return new Candidate(this.vm, this.zone, changed, this.load, this.sentSince);
+		return new Candidate(this.vm, this.zone, changed, this.load, this.sentSinceReport);
 	}
 
 	/**
 	 * Returns this candidate after it reported its load. A report counts the calls that
 	 * were sent before; those still on their way are too few to matter.
-	 * @param reported the load it reported
+	 * @param withLoad the load it reported
 	 * @return the candidate
 	 */
-	public Candidate reported(Load reported) {
+	public Candidate withLoad(Load reported) {
 		return new Candidate(this.vm, this.zone, this.availability, reported, 0);
 	}
 
@@ -70,29 +70,29 @@
 	 * Returns this candidate after a call was sent to it.
 	 * @return the candidate
 	 */
-	public Candidate sent() {
-		return new Candidate(this.vm, this.zone, this.availability, this.load, this.sentSince + 1);
+	public Candidate callSent() {
+		return new Candidate(this.vm, this.zone, this.availability, this.load, this.sentSinceReport + 1);
 	}
 
 	/**
 	 * Returns this candidate after a call that this entry had sent to it ended.
 	 * @return the candidate
 	 */
-	public Candidate ended() {
-		if (this.sentSince > 0) {
-			return new Candidate(this.vm, this.zone, this.availability, this.load, this.sentSince - 1);
+	public Candidate callEnded() {
+		if (this.sentSinceReport > 0) {
+			return new Candidate(this.vm, this.zone, this.availability, this.load, this.sentSinceReport - 1);
 		}
-		return new Candidate(this.vm, this.zone, this.availability, this.load.withOneLess(), 0);
+		return new Candidate(this.vm, this.zone, this.availability, this.load.withoutOneCall(), 0);
 	}
 
 	/**
 	 * Returns the calls at this upstream for each call that it takes at once.
-	 * @param deciders the entries that send calls by the same reports: each is taken to
+	 * @param entryCount the entries that send calls by the same reports: each is taken to
 	 * have sent as much as this one
 	 * @return the utilization: above one, calls wait
 	 */
-	public double utilization(int deciders) {
-		return (double) (this.load.calls() + (long) this.sentSince * deciders) / this.load.limit();
+	public double utilization(int entryCount) {
+		return (double) (this.load.calls() + (long) this.sentSinceReport * entryCount) / this.load.limit();
 	}
 
 	/**
@@ -147,7 +147,7 @@
 			return this.queued + this.running;
 		}
 
-		private Load withOneLess() {
+		private Load withoutOneCall() {
 			if (this.queued > 0) {
 				return new Load(this.queued - 1, this.running, this.limit, this.reportedAt);
 			}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidates.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidates.java
@@ -25,7 +25,7 @@
 	public static final Candidates NONE = new Candidates(HashMap.empty(), Vector.empty(), HashMap.empty(),
 			TreeSet.empty());
 
-	private final Map<VmName, Candidate> all;
+	private final Map<VmName, Candidate> byVm;
 
 	private final Vector<VmName> linked;
 
@@ -35,7 +35,7 @@
 
 	private Candidates(Map<VmName, Candidate> all, Vector<VmName> linked, Map<VmName, Integer> positions,
 			SortedSet<Utilization> byUtilization) {
-		this.all = all;
+		this.byVm = all;
 		this.linked = linked;
 		this.positions = positions;
 		this.byUtilization = byUtilization;
@@ -48,7 +48,7 @@
 	 */
 	public Candidates with(Candidate candidate) {
 		Candidates others = without(candidate.vm());
-		Map<VmName, Candidate> changed = others.all.put(candidate.vm(), candidate);
+		Map<VmName, Candidate> changed = others.byVm.put(candidate.vm(), candidate);
 		if (candidate.availability() != Availability.LINKED) {
 			return new Candidates(changed, others.linked, others.positions, others.byUtilization);
 		}
@@ -70,11 +70,11 @@
 	private Candidates without(Candidate candidate) {
 		VmName vm = candidate.vm();
 		if (candidate.availability() != Availability.LINKED) {
-			return new Candidates(this.all.remove(vm), this.linked, this.positions, this.byUtilization);
+			return new Candidates(this.byVm.remove(vm), this.linked, this.positions, this.byUtilization);
 		}
 		int position = this.positions.get(vm).get();
 		VmName last = this.linked.last();
-		return new Candidates(this.all.remove(vm), this.linked.update(position, last).init(),
+		return new Candidates(this.byVm.remove(vm), this.linked.update(position, last).init(),
 				this.positions.put(last, position).remove(vm), this.byUtilization.remove(Utilization.of(candidate)));
 	}
 
@@ -92,7 +92,7 @@
 		if (before.availability() != Availability.LINKED || after.availability() != Availability.LINKED) {
 			return with(after);
 		}
-		return new Candidates(this.all.put(after.vm(), after), this.linked, this.positions,
+		return new Candidates(this.byVm.put(after.vm(), after), this.linked, this.positions,
 				this.byUtilization.remove(Utilization.of(before)).add(Utilization.of(after)));
 	}
 
@@ -102,7 +102,7 @@
 	 * @return the candidate, or an empty result if there is none on the VM
 	 */
 	public Optional<Candidate> find(VmName vm) {
-		return this.all.get(vm).toJavaOptional();
+		return this.byVm.get(vm).toJavaOptional();
 	}
 
 	/**
@@ -128,7 +128,7 @@
 	 * @return the candidate
 	 */
 	Candidate linkedAt(int position) {
-		return this.all.get(this.linked.get(position)).get();
+		return this.byVm.get(this.linked.get(position)).get();
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/placement/Placement.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/placement/Placement.java
@@ -19,7 +19,7 @@
 	/**
 	 * The most upstreams with a prefix in their cache that a choice considers.
 	 */
-	int WARM_CANDIDATES = 4;
+	int MAX_CACHED_PREFIXES = 4;
 
 	/**
 	 * Chooses an upstream.
@@ -31,7 +31,7 @@
 		if (candidates.linkedSize() == 0) {
 			return Optional.empty();
 		}
-		return Optional.of(chosen(candidates, request).vm());
+		return Optional.of(select(candidates, request).vm());
 	}
 
 	/**
@@ -40,12 +40,12 @@
 	 * @param request what else the choice goes by
 	 * @return the upstream
 	 */
-	Candidate chosen(Candidates candidates, PlacementRequest request);
+	Candidate select(Candidates candidates, PlacementRequest request);
 
-	private static Stream<Candidate> warm(Candidates candidates, PlacementRequest request) {
-		return request.warm()
+	private static Stream<Candidate> cachedCandidates(Candidates candidates, PlacementRequest request) {
+		return request.cachedPrefixes()
 			.stream()
-			.limit(WARM_CANDIDATES)
+			.limit(MAX_CACHED_PREFIXES)
 			.flatMap((prefix) -> candidates.findLinked(prefix.vm()).stream());
 	}
 
@@ -63,7 +63,7 @@
 	record RoundRobin() implements Placement {
 
 		@Override
-		public Candidate chosen(Candidates candidates, PlacementRequest request) {
+		public Candidate select(Candidates candidates, PlacementRequest request) {
 			return candidates.linkedAt(Math.floorMod(request.number(), candidates.linkedSize()));
 		}
 
@@ -75,7 +75,7 @@
 	record LeastLoaded() implements Placement {
 
 		@Override
-		public Candidate chosen(Candidates candidates, PlacementRequest request) {
+		public Candidate select(Candidates candidates, PlacementRequest request) {
 			return candidates.leastUtilized().orElseThrow();
 		}
 
@@ -88,8 +88,9 @@
 	record AffinityOnly() implements Placement {
 
 		@Override
-		public Candidate chosen(Candidates candidates, PlacementRequest request) {
-			return warm(candidates, request).findFirst().orElseGet(() -> randomPair(candidates, request)[0]);
+		public Candidate select(Candidates candidates, PlacementRequest request) {
+			return cachedCandidates(candidates, request).findFirst()
+				.orElseGet(() -> randomPair(candidates, request)[0]);
 		}
 
 	}
@@ -130,26 +131,26 @@
 		}
 
 		@Override
-		public Candidate chosen(Candidates candidates, PlacementRequest request) {
+		public Candidate select(Candidates candidates, PlacementRequest request) {
 			Stream<Candidate> random = Stream.of(randomPair(candidates, request));
-			return Stream.concat(random, warm(candidates, request))
+			return Stream.concat(random, cachedCandidates(candidates, request))
 				.min(Comparator.comparingDouble((candidate) -> expectedSeconds(candidate, request)))
 				.orElseThrow();
 		}
 
 		private double expectedSeconds(Candidate candidate, PlacementRequest request) {
-			double waiting = seconds(this.callTime) * candidate.utilization(request.deciders());
+			double waiting = seconds(this.callTime) * candidate.utilization(request.entryCount());
 			double distance = candidate.zone().equals(request.zone()) ? 0 : seconds(this.zoneCost);
-			double saving = (double) warmTokens(candidate, request) / this.prefillRate;
+			double saving = (double) cachedTokens(candidate, request) / this.prefillRate;
 			return waiting + distance - saving;
 		}
 
-		private static long warmTokens(Candidate candidate, PlacementRequest request) {
-			return request.warm()
+		private static long cachedTokens(Candidate candidate, PlacementRequest request) {
+			return request.cachedPrefixes()
 				.stream()
-				.limit(WARM_CANDIDATES)
+				.limit(MAX_CACHED_PREFIXES)
 				.filter((prefix) -> prefix.vm().equals(candidate.vm()))
-				.mapToLong(PlacementRequest.WarmPrefix::tokens)
+				.mapToLong(PlacementRequest.CachedPrefix::tokens)
 				.findFirst()
 				.orElse(0);
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/placement/PlacementRequest.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/placement/PlacementRequest.java
@@ -11,29 +11,30 @@
  * several threads.
  *
  * @param zone the availability zone of the entry that decides
- * @param warm the upstreams that are believed to have a prefix of the prompt in their
- * cache, longest prefix first
+ * @param cachedPrefixes the upstreams that are believed to have a prefix of the prompt in
+ * their cache, longest prefix first
  * @param number the number of this decision among those of its entry
  * @param seed a random number for this decision
- * @param deciders the entries that decide by the same reports, with this one
+ * @param entryCount the entries that decide by the same reports, with this one
  */
-public record PlacementRequest(ZoneName zone, List<WarmPrefix> warm, long number, long seed, int deciders) {
+public record PlacementRequest(ZoneName zone, List<CachedPrefix> cachedPrefixes, long number, long seed,
+		int entryCount) {
 
 	/**
 	 * Creates a request.
 	 * @param zone the availability zone of the entry that decides
-	 * @param warm the upstreams that are believed to have a prefix of the prompt in their
-	 * cache, longest prefix first
+	 * @param cachedPrefixes the upstreams that are believed to have a prefix of the
+	 * prompt in their cache, longest prefix first
 	 * @param number the number of this decision among those of its entry
 	 * @param seed a random number for this decision
-	 * @param deciders the entries that decide by the same reports, with this one
+	 * @param entryCount the entries that decide by the same reports, with this one
 	 * @throws IllegalArgumentException if nobody decides
 	 */
 	public PlacementRequest {
 		Objects.requireNonNull(zone, "zone");
-		warm = List.copyOf(warm);
-		if (deciders < 1) {
-			throw new IllegalArgumentException("nobody decides: " + deciders);
+		cachedPrefixes = List.copyOf(cachedPrefixes);
+		if (entryCount < 1) {
+			throw new IllegalArgumentException("nobody decides: " + entryCount);
 		}
 	}
 
@@ -44,7 +45,7 @@
 	 * @param vm the VM of the upstream
 	 * @param tokens the length of the prefix
 	 */
-	public record WarmPrefix(VmName vm, long tokens) {
+	public record CachedPrefix(VmName vm, long tokens) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/retry/Backoff.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/retry/Backoff.java
@@ -7,10 +7,10 @@
  * off. Without the random part all processes that lost the log at once would come back to
  * it at once. Immutable and safe for use by several threads.
  *
- * @param shortest the pause after the first failure
- * @param longest the longest pause
+ * @param initial the pause after the first failure
+ * @param maximum the longest pause
  */
-public record Backoff(Duration shortest, Duration longest) {
+public record Backoff(Duration initial, Duration maximum) {
 
 	/**
 	 * The pauses between attempts to reach a service of the platform. The longest leaves
@@ -18,18 +18,18 @@
 	 */
 	public static final Backoff STANDARD = new Backoff(Duration.ofMillis(50), Duration.ofSeconds(2));
 
-	private static final int MOST_DOUBLINGS = 20;
+	private static final int MAX_DOUBLINGS = 20;
 
 	/**
 	 * Creates a back-off.
-	 * @param shortest the pause after the first failure
-	 * @param longest the longest pause
+	 * @param initial the pause after the first failure
+	 * @param maximum the longest pause
 	 * @throws IllegalArgumentException if the shortest is not positive or above the
 	 * longest
 	 */
 	public Backoff {
-		if (!shortest.isPositive() || shortest.compareTo(longest) > 0) {
-			throw new IllegalArgumentException("no pauses from " + shortest + " to " + longest);
+		if (!initial.isPositive() || initial.compareTo(maximum) > 0) {
+			throw new IllegalArgumentException("no pauses from " + initial + " to " + maximum);
 		}
 	}
 
@@ -39,10 +39,10 @@
 	 * @param seed a random number
 	 * @return the pause
 	 */
-	public Duration after(int failures, long seed) {
-		int doublings = Math.min(failures - 1, MOST_DOUBLINGS);
-		Duration whole = this.shortest.multipliedBy(1L << doublings);
-		long nanos = ((whole.compareTo(this.longest) < 0) ? whole : this.longest).toNanos();
+	public Duration delayAfter(int failures, long seed) {
+		int doublings = Math.min(failures - 1, MAX_DOUBLINGS);
+		Duration whole = this.initial.multipliedBy(1L << doublings);
+		long nanos = ((whole.compareTo(this.maximum) < 0) ? whole : this.maximum).toNanos();
 		return Duration.ofNanos(nanos - Math.floorMod(seed, nanos / 2 + 1));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/retry/RetryBudget.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/retry/RetryBudget.java
@@ -10,40 +10,42 @@
  * and safe for use by several threads.
  *
  * @param percent the retries that a hundred first attempts earn
- * @param bound the most retries that are saved up
- * @param balance the retries saved up, in hundredths
+ * @param capacity the most retries that are saved up
+ * @param balanceHundredths the retries saved up, in hundredths
  */
-public record RetryBudget(int percent, int bound, long balance) {
+public record RetryBudget(int percent, int capacity, long balanceHundredths) {
 
 	/**
 	 * The retries that are saved up by default.
 	 */
-	public static final int DEFAULT_BOUND = 10;
+	public static final int DEFAULT_CAPACITY = 10;
 
-	private static final int ONE_RETRY = 100;
+	private static final int HUNDREDTHS_PER_RETRY = 100;
 
 	/**
 	 * Creates a budget.
 	 * @param percent the retries that a hundred first attempts earn
-	 * @param bound the most retries that are saved up
-	 * @param balance the retries saved up, in hundredths
+	 * @param capacity the most retries that are saved up
+	 * @param balanceHundredths the retries saved up, in hundredths
 	 * @throws IllegalArgumentException if a number is negative or the balance above the
 	 * bound
 	 */
 	public RetryBudget {
-		if (percent < 0 || bound < 0 || balance < 0 || balance > (long) bound * ONE_RETRY) {
-			throw new IllegalArgumentException("no retry budget: " + percent + ", " + bound + ", " + balance);
+		if (percent < 0 || capacity < 0 || balanceHundredths < 0
+				|| balanceHundredths > (long) capacity * HUNDREDTHS_PER_RETRY) {
+			throw new IllegalArgumentException(
+					"no retry budget: " + percent + ", " + capacity + ", " + balanceHundredths);
 		}
 	}
 
 	/**
 	 * Returns a full budget. One that earns nothing is empty for ever.
 	 * @param percent the retries that a hundred first attempts earn
-	 * @param bound the most retries that are saved up
+	 * @param capacity the most retries that are saved up
 	 * @return the budget
 	 */
 	public static RetryBudget of(int percent, int bound) {
-		return new RetryBudget(percent, bound, (percent > 0) ? (long) bound * ONE_RETRY : 0);
+		return new RetryBudget(percent, bound, (percent > 0) ? (long) bound * HUNDREDTHS_PER_RETRY : 0);
 	}
 
 	/**
@@ -51,8 +53,8 @@
 	 * @return a budget that has earned a part of a retry
 	 */
 	public RetryBudget afterFirstAttempt() {
-		long earned = Math.min(this.balance + this.percent, (long) this.bound * ONE_RETRY);
-		return new RetryBudget(this.percent, this.bound, earned);
+		long earned = Math.min(this.balanceHundredths + this.percent, (long) this.capacity * HUNDREDTHS_PER_RETRY);
+		return new RetryBudget(this.percent, this.capacity, earned);
 	}
 
 	/**
@@ -60,10 +62,10 @@
 	 * @return a budget with one retry less, or an empty result if there is none left
 	 */
 	public Optional<RetryBudget> afterRetry() {
-		if (this.balance < ONE_RETRY) {
+		if (this.balanceHundredths < HUNDREDTHS_PER_RETRY) {
 			return Optional.empty();
 		}
-		return Optional.of(new RetryBudget(this.percent, this.bound, this.balance - ONE_RETRY));
+		return Optional.of(new RetryBudget(this.percent, this.capacity, this.balanceHundredths - HUNDREDTHS_PER_RETRY));
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/retry/RetryPolicy.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/retry/RetryPolicy.java
@@ -15,28 +15,28 @@
  * use by several threads.
  *
  * @param maximumAttempts the most attempts of one call, with the first
- * @param leastTimeLeft the time that an attempt needs to make sense
+ * @param minimumTimeLeft the time that an attempt needs to make sense
  */
-public record RetryPolicy(int maximumAttempts, Duration leastTimeLeft) {
+public record RetryPolicy(int maximumAttempts, Duration minimumTimeLeft) {
 
 	/**
 	 * The defaults.
 	 */
 	public static final RetryPolicy DEFAULT = new RetryPolicy(3, Duration.ofMillis(50));
 
-	private static final Set<FailureCause> MAY_SUCCEED_ELSEWHERE = EnumSet.of(FailureCause.QUEUE_FULL,
-			FailureCause.STOPPING, FailureCause.NOT_READY, FailureCause.NO_UPSTREAM, FailureCause.MOVED,
-			FailureCause.UPSTREAM_FAILED, FailureCause.OUTCOME_UNKNOWN);
+	private static final Set<FailureCause> RETRYABLE_CAUSES = EnumSet.of(FailureCause.QUEUE_FULL, FailureCause.STOPPING,
+			FailureCause.NOT_READY, FailureCause.NO_UPSTREAM, FailureCause.MOVED, FailureCause.UPSTREAM_FAILED,
+			FailureCause.OUTCOME_UNKNOWN);
 
 	/**
 	 * Creates rules.
 	 * @param maximumAttempts the most attempts of one call, with the first
-	 * @param leastTimeLeft the time that an attempt needs to make sense
+	 * @param minimumTimeLeft the time that an attempt needs to make sense
 	 * @throws IllegalArgumentException if there is no attempt or the time is negative
 	 */
 	public RetryPolicy {
-		if (maximumAttempts < 1 || leastTimeLeft.isNegative()) {
-			throw new IllegalArgumentException("no rules for retries: " + maximumAttempts + ", " + leastTimeLeft);
+		if (maximumAttempts < 1 || minimumTimeLeft.isNegative()) {
+			throw new IllegalArgumentException("no rules for retries: " + maximumAttempts + ", " + minimumTimeLeft);
 		}
 	}
 
@@ -47,7 +47,7 @@
 	 * @return to try again, or to give up
 	 */
 	public RetryDecision decide(FailedAttempts attempts, RetryBudget budget) {
-		if (!makesSense(attempts) || !isSafe(attempts)) {
+		if (!isWorthwhile(attempts) || !isSafe(attempts)) {
 			return new RetryDecision.GiveUp(attempts.failure());
 		}
 		Optional<RetryBudget> left = budget.afterRetry();
@@ -55,9 +55,9 @@
 			.orElseGet(() -> new RetryDecision.GiveUp(attempts.failure()));
 	}
 
-	private boolean makesSense(FailedAttempts attempts) {
-		return attempts.made() < this.maximumAttempts && attempts.timeLeft().compareTo(this.leastTimeLeft) >= 0
-				&& MAY_SUCCEED_ELSEWHERE.contains(attempts.failure().cause());
+	private boolean isWorthwhile(FailedAttempts attempts) {
+		return attempts.count() < this.maximumAttempts && attempts.timeLeft().compareTo(this.minimumTimeLeft) >= 0
+				&& RETRYABLE_CAUSES.contains(attempts.failure().cause());
 	}
 
 	private static boolean isSafe(FailedAttempts attempts) {
@@ -77,7 +77,7 @@
 	 * @param repeatable whether the call may be repeated
 	 * @param timeLeft the time left until the caller's deadline
 	 */
-	public record FailedAttempts(CallFailure failure, int made, boolean repeatable, Duration timeLeft) {
+	public record FailedAttempts(CallFailure failure, int count, boolean repeatable, Duration timeLeft) {
 
 		/**
 		 * Creates attempts.
@@ -90,7 +90,7 @@
 		public FailedAttempts {
 			Objects.requireNonNull(failure, "failure");
 			Objects.requireNonNull(timeLeft, "timeLeft");
-			if (made < 1) {
+			if (count < 1) {
 				throw new IllegalArgumentException("no attempt was made");
 			}
 		}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetRulesTests.java
@@ -34,7 +34,7 @@
 
 	private static final long LIMIT = 1000;
 
-	private static final int WAIT = (int) BudgetRules.SLICE_WAIT.toSeconds() + 1;
+	private static final int WAIT = (int) BudgetRules.SLICE_TIMEOUT.toSeconds() + 1;
 
 	@Test
 	void letsCallsWithoutABudgetPass() {
@@ -59,7 +59,7 @@
 		}
 		site.settle();
 		assertThat(site.entries.stream().mapToInt((entry) -> entry.running.size()).sum()).isEqualTo(10);
-		site.pass(WAIT);
+		site.advanceTime(WAIT);
 		List<CallFailure> refused = failures(site);
 		assertThat(refused).hasSize(90);
 		assertThat(refused).allSatisfy((failure) -> {
@@ -82,7 +82,7 @@
 		site.settle();
 		assertThat(site.entry(1).running).isEmpty();
 		site.entry(0).answer(large, 500);
-		site.pass(WAIT);
+		site.advanceTime(WAIT);
 		assertThat(site.entry(1).running).containsKey(other);
 	}
 
@@ -95,7 +95,7 @@
 		site.settle();
 		site.restart(0, LIMIT, 1);
 		long call = site.entry(1).call(200);
-		site.pass(WAIT);
+		site.advanceTime(WAIT);
 		assertThat(failure(site.entry(1), call).cause()).isEqualTo(FailureCause.BUDGET_EXHAUSTED);
 		site.now = site.now.plus(BudgetSite.PERIOD);
 		long next = site.entry(1).call(LIMIT);
@@ -140,7 +140,7 @@
 		long tooMuch = entry.call(100);
 		site.settle();
 		assertThat(entry.running).containsOnlyKeys(fits);
-		site.pass(WAIT);
+		site.advanceTime(WAIT);
 		assertThat(failure(entry, tooMuch).cause()).isEqualTo(FailureCause.BUDGET_EXHAUSTED);
 	}
 
@@ -163,7 +163,7 @@
 		site.entry(0).call("buyers", Optional.of(new ProgramName("offer-1")), 300);
 		site.settle();
 		assertThat(site.entry(0).running).hasSize(1);
-		assertThat(site.log).extracting(BudgetSite.Logged::record)
+		assertThat(site.log).extracting(BudgetSite.LoggedRecord::record)
 			.filteredOn(LedgerRecord.SliceReserved.class::isInstance)
 			.singleElement()
 			.isInstanceOfSatisfying(LedgerRecord.SliceReserved.class, (record) -> {
@@ -176,12 +176,12 @@
 	// sends it again, the log counts it once, and the call runs.
 	@Test
 	void sendsAReservationAgain() {
-		for (BudgetSite.Fate fate : BudgetSite.Fate.values()) {
+		for (BudgetSite.AppendFault fate : BudgetSite.AppendFault.values()) {
 			BudgetSite site = new BudgetSite(1, LIMIT);
 			BudgetSite.Entry entry = site.entry(0);
 			entry.call(600);
 			entry.appendNext(fate);
-			site.pass(2);
+			site.advanceTime(2);
 			assertThat(entry.running).hasSize(1);
 			assertThat(entry.account().orElseThrow().available()).isZero();
 		}
@@ -194,7 +194,7 @@
 	void asksTheLogWhenItReadNothingNew() {
 		BudgetSite site = new BudgetSite(2, LIMIT);
 		site.entry(1).call(LIMIT);
-		site.entry(1).appendNext(BudgetSite.Fate.APPENDED);
+		site.entry(1).appendNext(BudgetSite.AppendFault.APPENDED);
 		site.now = site.now.plus(BudgetSite.PERIOD);
 		site.restart(0, LIMIT, 1);
 		readAll(site.entry(0));
@@ -215,11 +215,11 @@
 		site.now = site.now.plus(BudgetSite.PERIOD);
 		long late = entry.call(100);
 		LedgerRecord early = entry.appends.remove().record();
-		site.log.add(new BudgetSite.Logged(site.now.minus(BudgetSite.PERIOD), early));
+		site.log.add(new BudgetSite.LoggedRecord(site.now.minus(BudgetSite.PERIOD), early));
 		entry.readNext();
 		assertThat(entry.running).doesNotContainKey(late);
 		assertThat(entry.appends).isEmpty();
-		site.pass(1);
+		site.advanceTime(1);
 		assertThat(entry.running).containsKey(late);
 	}
 
@@ -254,7 +254,7 @@
 		long lost = entry.call(300);
 		long notRun = entry.call(300);
 		site.settle();
-		entry.leave(left);
+		entry.disconnectCaller(left);
 		entry.finish(lost, failed(CallFailure.mayHaveRun(FailureCause.CANCELLED, "Lost.")), 300);
 		assertThat(entry.account().orElseThrow().available()).isZero();
 		entry.finish(notRun, failed(CallFailure.notRun(FailureCause.DEADLINE_PASSED, "Late.")), 0);
@@ -286,7 +286,7 @@
 					site.now = site.now.plusMillis(value % 3000);
 					entry.tick();
 					if (value % 2 == 0) {
-						site.appendLate();
+						site.appendDelayedRecords();
 					}
 				}
 				case 8 -> {
@@ -296,7 +296,7 @@
 				}
 				default -> {
 					if (value % 4 == 0) {
-						entry.appends.forEach((append) -> site.late.add(append.record()));
+						entry.appends.forEach((append) -> site.delayedRecords.add(append.record()));
 						site.restart(number, limit, version);
 						lives.add(site.entry(number));
 					}
@@ -308,8 +308,8 @@
 					}
 				}
 			}
-			Reading reading = Reading.of(site.log);
-			assertThat(reading.wrong).isFalse();
+			ExpectedBudget reading = ExpectedBudget.of(site.log);
+			assertThat(reading.violated).isFalse();
 			lives.forEach((each) -> assertSpendsOnlyWhatItWasGranted(reading, each));
 		}
 		assertRunsWhatFits(site, version + 1);
@@ -317,7 +317,7 @@
 
 	private static void appendNext(BudgetSite.Entry entry, int value) {
 		if (!entry.appends.isEmpty()) {
-			entry.appendNext(BudgetSite.Fate.values()[value % BudgetSite.Fate.values().length]);
+			entry.appendNext(BudgetSite.AppendFault.values()[value % BudgetSite.AppendFault.values().length]);
 		}
 	}
 
@@ -346,33 +346,33 @@
 		return entry.account().orElseThrow().heldFor(new Ticket(ticket));
 	}
 
-	private static void assertSpendsOnlyWhatItWasGranted(Reading reading, BudgetSite.Entry entry) {
+	private static void assertSpendsOnlyWhatItWasGranted(ExpectedBudget reading, BudgetSite.Entry entry) {
 		if (entry.account().isEmpty()) {
 			return;
 		}
 		Account<Ticket> account = entry.account().get();
 		long held = entry.running.keySet().stream().mapToLong((ticket) -> estimate(entry, ticket)).sum();
 		long granted = reading.grantedTo.getOrDefault(entry.self, 0L);
-		assertThat(entry.taken + held + account.available()).isLessThanOrEqualTo(granted + account.overdraft());
+		assertThat(entry.usedTokens + held + account.available()).isLessThanOrEqualTo(granted + account.overdraft());
 		assertThat(account.available() == 0 || account.overdraft() == 0).isTrue();
 	}
 
 	private static void assertRunsWhatFits(BudgetSite site, long version) {
-		site.appendLate();
+		site.appendDelayedRecords();
 		for (BudgetSite.Entry entry : site.entries) {
 			entry.configure(version, LIMIT);
 			readAll(entry);
-			entry.hear(new LogEvent.CaughtUp(site.log.size(), entry.clock()));
+			entry.receive(new LogEvent.CaughtUp(site.log.size(), entry.clock()));
 			List.copyOf(entry.running.keySet()).forEach((ticket) -> entry.answer(ticket, estimate(entry, ticket)));
 		}
-		site.pass(2 * WAIT);
+		site.advanceTime(2 * WAIT);
 		for (BudgetSite.Entry entry : site.entries) {
 			List.copyOf(entry.running.keySet()).forEach((ticket) -> entry.answer(ticket, estimate(entry, ticket)));
 		}
-		site.pass(2 * WAIT);
+		site.advanceTime(2 * WAIT);
 		BudgetSite.Entry last = site.entry(2);
 		assertThat(last.account().map((account) -> account.waiting().size()).orElse(0)).isZero();
-		Reading reading = Reading.of(site.log);
+		ExpectedBudget reading = ExpectedBudget.of(site.log);
 		long left = LIMIT - reading.reservedAt(site.now);
 		long overdraft = last.account().map(Account::overdraft).orElse(0L);
 		if (left - overdraft < 11) {
@@ -404,11 +404,11 @@
 	/**
 	 * What the ledger decided, counted apart from it.
 	 */
-	private static final class Reading {
+	private static final class ExpectedBudget {
 
 		private final Map<ProcessId, Long> grantedTo = new HashMap<>();
 
-		private final Map<ProcessId, Long> inPeriod = new HashMap<>();
+		private final Map<ProcessId, Long> reservedByEntry = new HashMap<>();
 
 		private final Set<LedgerRecord> granted = new HashSet<>();
 
@@ -422,10 +422,10 @@
 
 		private long reserved;
 
-		private boolean wrong;
+		private boolean violated;
 
-		static Reading of(List<BudgetSite.Logged> log) {
-			Reading reading = new Reading();
+		static ExpectedBudget of(List<BudgetSite.LoggedRecord> log) {
+			ExpectedBudget reading = new ExpectedBudget();
 			for (int offset = 0; offset < log.size(); offset++) {
 				reading.read(offset, log.get(offset));
 			}
@@ -433,12 +433,12 @@
 		}
 
 		long reservedAt(Instant time) {
-			turnTo(time);
+			advanceTo(time);
 			return this.reserved;
 		}
 
-		private void read(int offset, BudgetSite.Logged logged) {
-			turnTo(logged.time());
+		private void read(int offset, BudgetSite.LoggedRecord logged) {
+			advanceTo(logged.time());
 			Ledger.ApplyResult reading = this.ledger.apply(new Position(offset, 0), logged.time(), logged.record());
 			this.ledger = reading.ledger();
 			if (logged.record() instanceof LedgerRecord.SliceReserved record
@@ -448,7 +448,7 @@
 			}
 			switch (reading.changes().getFirst()) {
 				case LedgerChange.SliceGranted change -> grant(change.record());
-				case LedgerChange.SliceReturned change -> giveBack(change.record());
+				case LedgerChange.SliceReturned change -> returnSlice(change.record());
 				case LedgerChange.Voided change when change.reason() == LedgerChange.VoidReason.BUDGET_EXHAUSTED ->
 					refuse((LedgerRecord.SliceReserved) change.record());
 				default -> {
@@ -456,32 +456,32 @@
 			}
 		}
 
-		private void turnTo(Instant time) {
+		private void advanceTo(Instant time) {
 			long next = time.getEpochSecond() / BudgetSite.PERIOD.toSeconds();
 			if (next != this.index) {
 				this.index = next;
 				this.reserved = 0;
-				this.inPeriod.clear();
+				this.reservedByEntry.clear();
 				this.granted.clear();
 			}
 		}
 
 		private void grant(LedgerRecord.SliceReserved record) {
 			this.reserved += record.tokens();
-			this.inPeriod.merge(record.entry(), record.tokens(), Long::sum);
+			this.reservedByEntry.merge(record.entry(), record.tokens(), Long::sum);
 			this.grantedTo.merge(record.entry(), record.tokens(), Long::sum);
-			this.wrong |= this.reserved > this.limit || !this.granted.add(record);
+			this.violated |= this.reserved > this.limit || !this.granted.add(record);
 		}
 
 		private void refuse(LedgerRecord.SliceReserved record) {
-			this.wrong |= this.reserved + record.tokens() <= this.limit;
+			this.violated |= this.reserved + record.tokens() <= this.limit;
 		}
 
-		private void giveBack(LedgerRecord.SliceReturned record) {
+		private void returnSlice(LedgerRecord.SliceReturned record) {
 			this.reserved -= record.tokens();
-			this.inPeriod.merge(record.entry(), -record.tokens(), Long::sum);
+			this.reservedByEntry.merge(record.entry(), -record.tokens(), Long::sum);
 			this.grantedTo.merge(record.entry(), -record.tokens(), Long::sum);
-			this.wrong |= this.inPeriod.get(record.entry()) < 0 || record.periodIndex() != this.index;
+			this.violated |= this.reservedByEntry.get(record.entry()) < 0 || record.periodIndex() != this.index;
 		}
 
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetSite.java
@@ -67,15 +67,15 @@
 	// What an estimate counts besides the tokens to generate.
 	private static final int TOKENS_OF_PROMPT = 10;
 
-	final List<Logged> log = new ArrayList<>();
+	final List<LoggedRecord> log = new ArrayList<>();
 
-	final Deque<LedgerRecord> late = new ArrayDeque<>();
+	final Deque<LedgerRecord> delayedRecords = new ArrayDeque<>();
 
 	final List<Entry> entries = new ArrayList<>();
 
 	Instant now = Instant.parse("2026-07-14T10:10:00Z");
 
-	private long lives;
+	private long incarnations;
 
 	private long tickets;
 
@@ -102,9 +102,9 @@
 	/**
 	 * Lets records appear in the log whose appends were given up as lost.
 	 */
-	void appendLate() {
-		while (!this.late.isEmpty()) {
-			this.log.add(new Logged(this.now, this.late.remove()));
+	void appendDelayedRecords() {
+		while (!this.delayedRecords.isEmpty()) {
+			this.log.add(new LoggedRecord(this.now, this.delayedRecords.remove()));
 		}
 	}
 
@@ -118,7 +118,7 @@
 			moved = false;
 			for (Entry entry : this.entries) {
 				while (!entry.appends.isEmpty()) {
-					entry.appendNext(Fate.APPENDED);
+					entry.appendNext(AppendFault.APPENDED);
 					moved = true;
 				}
 				while (entry.read < this.log.size()) {
@@ -133,7 +133,7 @@
 	 * Lets time pass in steps of one second, with a log that works.
 	 * @param seconds how many seconds
 	 */
-	void pass(int seconds) {
+	void advanceTime(int seconds) {
 		for (int second = 0; second < seconds; second++) {
 			this.now = this.now.plusSeconds(1);
 			this.entries.forEach(Entry::tick);
@@ -159,9 +159,9 @@
 	/**
 	 * What becomes of an append.
 	 */
-	enum Fate {
+	enum AppendFault {
 
-		APPENDED, NOT_APPENDED, APPENDED_ANSWER_LOST, LOST_ANSWER_LOST, APPENDED_LATER
+		APPENDED, NOT_APPENDED, APPENDED_ANSWER_LOST, NOT_APPENDED_ANSWER_LOST, APPENDED_LATER
 
 	}
 
@@ -171,7 +171,7 @@
 	 * @param time the log's time
 	 * @param record the record
 	 */
-	record Logged(Instant time, LedgerRecord record) {
+	record LoggedRecord(Instant time, LedgerRecord record) {
 
 	}
 
@@ -181,7 +181,7 @@
 	 * @param id the number of the append
 	 * @param record the record
 	 */
-	record Append(AppendId id, LedgerRecord record) {
+	record PendingAppend(AppendId id, LedgerRecord record) {
 
 	}
 
@@ -192,13 +192,13 @@
 
 		final ProcessId self;
 
-		final Deque<Append> appends = new ArrayDeque<>();
+		final Deque<PendingAppend> appends = new ArrayDeque<>();
 
 		final Map<Long, LinkMessage.Dispatch> running = new LinkedHashMap<>();
 
 		final Map<Long, CallOutcome> outcomes = new LinkedHashMap<>();
 
-		long taken;
+		long usedTokens;
 
 		private final Duration skew;
 
@@ -209,8 +209,8 @@
 		private int read;
 
 		Entry(Duration skew, long version, long limit) {
-			BudgetSite.this.lives++;
-			this.self = new ProcessId(new VmName("entry"), new Incarnation(BudgetSite.this.lives));
+			BudgetSite.this.incarnations++;
+			this.self = new ProcessId(new VmName("entry"), new Incarnation(BudgetSite.this.incarnations));
 			this.skew = skew;
 			this.state = EntryState.of(this.self, ZONE);
 			configure(version, limit);
@@ -218,12 +218,12 @@
 		}
 
 		void configure(long version, long limit) {
-			apply(new EntryEvent.NodeSpoke(new NodeEvent.ConfigurationAccepted(version,
+			apply(new EntryEvent.NodeEventReceived(new NodeEvent.ConfigurationAccepted(version,
 					configurationWith(GroupPolicy.withShare(SELLERS, 2).within(new Budget(limit, PERIOD))), clock())));
 		}
 
 		void configureWithoutBudget(long version) {
-			apply(new EntryEvent.NodeSpoke(new NodeEvent.ConfigurationAccepted(version,
+			apply(new EntryEvent.NodeEventReceived(new NodeEvent.ConfigurationAccepted(version,
 					configurationWith(GroupPolicy.withShare(SELLERS, 2)), clock())));
 		}
 
@@ -242,8 +242,9 @@
 
 		void finish(long ticket, CallOutcome outcome, long tokens) {
 			LinkMessage.Dispatch dispatch = this.running.remove(ticket);
-			this.taken += tokens;
-			apply(new EntryEvent.SidecarSpoke(SIDECAR, new LinkMessage.Finished(dispatch.attempt(), outcome), clock()));
+			this.usedTokens += tokens;
+			apply(new EntryEvent.SidecarMessageReceived(SIDECAR, new LinkMessage.Finished(dispatch.attempt(), outcome),
+					clock()));
 		}
 
 		void answer(long ticket, long tokens) {
@@ -251,25 +252,25 @@
 					Durability.NOT_KEPT, 0), tokens);
 		}
 
-		void appendNext(Fate fate) {
-			Append append = this.appends.remove();
-			if (fate == Fate.APPENDED || fate == Fate.APPENDED_ANSWER_LOST) {
-				BudgetSite.this.log.add(new Logged(BudgetSite.this.now, append.record()));
+		void appendNext(AppendFault fate) {
+			PendingAppend append = this.appends.remove();
+			if (fate == AppendFault.APPENDED || fate == AppendFault.APPENDED_ANSWER_LOST) {
+				BudgetSite.this.log.add(new LoggedRecord(BudgetSite.this.now, append.record()));
 			}
-			if (fate == Fate.APPENDED_LATER) {
-				BudgetSite.this.late.add(append.record());
+			if (fate == AppendFault.APPENDED_LATER) {
+				BudgetSite.this.delayedRecords.add(append.record());
 			}
 			AppendResult result = switch (fate) {
 				case APPENDED -> AppendResult.APPENDED;
 				case NOT_APPENDED -> AppendResult.NOT_APPENDED;
-				case APPENDED_ANSWER_LOST, LOST_ANSWER_LOST, APPENDED_LATER -> AppendResult.UNKNOWN;
+				case APPENDED_ANSWER_LOST, NOT_APPENDED_ANSWER_LOST, APPENDED_LATER -> AppendResult.UNKNOWN;
 			};
-			hear(new LogEvent.AppendEnded(append.id(), result, clock()));
+			receive(new LogEvent.AppendEnded(append.id(), result, clock()));
 		}
 
 		void readNext() {
-			Logged next = BudgetSite.this.log.get(this.read);
-			hear(new LogEvent.BatchRead(this.read, next.time(), List.of(next.record()), clock()));
+			LoggedRecord next = BudgetSite.this.log.get(this.read);
+			receive(new LogEvent.BatchRead(this.read, next.time(), List.of(next.record()), clock()));
 			this.read++;
 		}
 
@@ -277,21 +278,21 @@
 			return this.read < BudgetSite.this.log.size();
 		}
 
-		void hear(LogEvent event) {
-			apply(new EntryEvent.LogSpoke(event));
+		void receive(LogEvent event) {
+			apply(new EntryEvent.LogEventReceived(event));
 		}
 
 		void loseLog() {
-			hear(new LogEvent.Unreachable(clock()));
+			receive(new LogEvent.Unreachable(clock()));
 		}
 
-		void leave(long ticket) {
+		void disconnectCaller(long ticket) {
 			this.running.remove(ticket);
-			apply(new EntryEvent.CallerGone(new Ticket(ticket), clock()));
+			apply(new EntryEvent.CallerDisconnected(new Ticket(ticket), clock()));
 		}
 
 		void tick() {
-			apply(new EntryEvent.NodeSpoke(new NodeEvent.Ticked(clock(), 1)));
+			apply(new EntryEvent.NodeEventReceived(new NodeEvent.Ticked(clock(), 1)));
 		}
 
 		Optional<Account<Ticket>> account() {
@@ -310,13 +311,13 @@
 		private void apply(EntryEvent event) {
 			Step<EntryState, EntryEffect> step = this.reducer.apply(this.state, event);
 			this.state = step.state();
-			step.effects().forEach(this::follow);
+			step.effects().forEach(this::handleEffect);
 		}
 
-		private void follow(EntryEffect effect) {
+		private void handleEffect(EntryEffect effect) {
 			switch (effect) {
 				case EntryEffect.ForNode node when node.effect() instanceof NodeEffect.Append append ->
-					this.appends.add(new Append(append.append(), append.record()));
+					this.appends.add(new PendingAppend(append.append(), append.record()));
 				case EntryEffect.Send send when send.message() instanceof LinkMessage.Dispatch dispatch ->
 					this.running.put(this.state.attempts.get(dispatch.attempt()).get().value(), dispatch);
 				case EntryEffect.Complete complete -> {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/CallerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/CallerRulesTests.java
@@ -75,7 +75,7 @@
 		Ticket call = this.site.call(EntrySite.order("k", "body"));
 		assertThat(this.site.outcomesOf(call)).isEmpty();
 		this.site.catchUp();
-		this.site.pass(Duration.ofMillis(50));
+		this.site.advanceTime(Duration.ofMillis(50));
 		assertNotRun(this.site.failureOf(call), FailureCause.STOPPING);
 	}
 
@@ -125,10 +125,10 @@
 
 	@Test
 	void refusesMoreMessagesThanAProgramMayHave() {
-		String[] most = Collections.nCopies(EntrySite.MOST_MESSAGES, "m").toArray(String[]::new);
+		String[] most = Collections.nCopies(EntrySite.MAX_MESSAGES, "m").toArray(String[]::new);
 		this.site.call(EntrySite.model(NO_PROGRAM, Optional.empty(), HistoryMode.WHOLE, most));
 		assertThat(this.site.dispatches()).hasSize(1);
-		String[] more = Collections.nCopies(EntrySite.MOST_MESSAGES + 1, "m").toArray(String[]::new);
+		String[] more = Collections.nCopies(EntrySite.MAX_MESSAGES + 1, "m").toArray(String[]::new);
 		assertRefused(this.site, EntrySite.model(NO_PROGRAM, Optional.empty(), HistoryMode.WHOLE, more),
 				FailureCause.TOO_LARGE);
 	}
@@ -139,7 +139,7 @@
 	void putsAProgramIntoTheGroupOfItsRule() {
 		ProgramName offer = new ProgramName("offer-7");
 		this.site.call(EntrySite.model(Optional.of(offer), Optional.of(1), HistoryMode.NEW, "m"));
-		this.site.settleLog();
+		this.site.readAppended();
 		assertThat(this.site.dispatch().call().group()).isEqualTo(EntrySite.BUYERS);
 		assertThat(this.site.dispatch().call().place().orElseThrow().program())
 			.isEqualTo(new ProgramId(EntrySite.BUYERS, offer));
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/CompletionRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/CompletionRulesTests.java
@@ -62,7 +62,7 @@
 		for (int number = 1; number <= 100; number++) {
 			answer(call(number));
 		}
-		assertThat(this.state.agenda.size()).isZero();
+		assertThat(this.state.timers.size()).isZero();
 		assertThat(this.state.calls.size()).isZero();
 		assertThat(this.state.attempts.size()).isZero();
 	}
@@ -72,9 +72,9 @@
 	void keepsNothingOfCallsWhoseCallersAreGone() {
 		start();
 		call(1);
-		assertThat(this.state.agenda.size()).isOne();
-		apply(new EntryEvent.CallerGone(new Ticket(1), NOW));
-		assertThat(this.state.agenda.size()).isZero();
+		assertThat(this.state.timers.size()).isOne();
+		apply(new EntryEvent.CallerDisconnected(new Ticket(1), NOW));
+		assertThat(this.state.timers.size()).isZero();
 	}
 
 	private void start() {
@@ -87,7 +87,7 @@
 			.with(new ModelPolicy(MODEL, 100_000, 1000, TokenCost.DEFAULT))
 			.with(upstream)
 			.build();
-		apply(new EntryEvent.NodeSpoke(new NodeEvent.ConfigurationAccepted(1, configuration, NOW)));
+		apply(new EntryEvent.NodeEventReceived(new NodeEvent.ConfigurationAccepted(1, configuration, NOW)));
 		apply(new EntryEvent.SidecarLinked(SIDECAR.vm(), SIDECAR, NOW));
 	}
 
@@ -106,7 +106,8 @@
 	private void answer(LinkMessage.Dispatch dispatch) {
 		CallOutcome outcome = new CallOutcome.Answered(new Answer.FromModel("{}", "stop", Usage.NONE),
 				Durability.NOT_KEPT, 0);
-		apply(new EntryEvent.SidecarSpoke(SIDECAR, new LinkMessage.Finished(dispatch.attempt(), outcome), NOW));
+		apply(new EntryEvent.SidecarMessageReceived(SIDECAR, new LinkMessage.Finished(dispatch.attempt(), outcome),
+				NOW));
 	}
 
 	private List<EntryEffect> apply(EntryEvent event) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/EntrySite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/EntrySite.java
@@ -64,7 +64,7 @@
 
 	static final ProcessId PLAIN = new ProcessId(new VmName("service-1"), new Incarnation(1));
 
-	static final int MOST_MESSAGES = 3;
+	static final int MAX_MESSAGES = 3;
 
 	static final Duration TIME_LEFT = Duration.ofMinutes(1);
 
@@ -82,7 +82,7 @@
 
 	private long offset;
 
-	private int settled;
+	private int readRecords;
 
 	private long tickets;
 
@@ -102,7 +102,7 @@
 	void configure() {
 		Limits.ProgramLimits programs = Limits.ProgramLimits.DEFAULT;
 		Limits limits = new Limits(Limits.RequestLimits.DEFAULT,
-				new Limits.ProgramLimits(MOST_MESSAGES, programs.turns(), programs.historyTokens(), programs.idleTime(),
+				new Limits.ProgramLimits(MAX_MESSAGES, programs.turns(), programs.historyTokens(), programs.idleTime(),
 						programs.lifetime(), programs.openPerGroup(), programs.childrenPerProgram()),
 				Limits.DeadlineLimits.DEFAULT, Limits.QueueLimits.DEFAULT, Limits.FaultLimits.DEFAULT,
 				Limits.DEFAULT.drainTime());
@@ -119,7 +119,7 @@
 			.with(upstream(SECOND, 3, new UpstreamKind.ForEngine(Set.of(MODEL), true, 100_000)))
 			.with(upstream(PLAIN, 5, new UpstreamKind.ForService(Set.of(SERVICE))))
 			.build();
-		apply(new EntryEvent.NodeSpoke(new NodeEvent.ConfigurationAccepted(1, configuration, this.now)));
+		apply(new EntryEvent.NodeEventReceived(new NodeEvent.ConfigurationAccepted(1, configuration, this.now)));
 	}
 
 	private static UpstreamPolicy upstream(ProcessId sidecar, int port, UpstreamKind kind) {
@@ -158,8 +158,8 @@
 		apply(new EntryEvent.SidecarUnlinked(sidecar.vm(), this.now));
 	}
 
-	void hear(ProcessId sidecar, LinkMessage.FromSidecar message) {
-		apply(new EntryEvent.SidecarSpoke(sidecar, message, this.now));
+	void receive(ProcessId sidecar, LinkMessage.FromSidecar message) {
+		apply(new EntryEvent.SidecarMessageReceived(sidecar, message, this.now));
 	}
 
 	/**
@@ -167,8 +167,8 @@
 	 * @param sequence the number of the part
 	 * @param text its text
 	 */
-	void progress(int sequence, String text) {
-		hear(latest().sidecar(), new LinkMessage.Delta(dispatch().attempt(), sequence, text));
+	void sendDelta(int sequence, String text) {
+		receive(latestDispatch().sidecar(), new LinkMessage.Delta(dispatch().attempt(), sequence, text));
 	}
 
 	/**
@@ -176,16 +176,16 @@
 	 * @param outcome the outcome
 	 */
 	void finish(CallOutcome outcome) {
-		hear(latest().sidecar(), new LinkMessage.Finished(dispatch().attempt(), outcome));
+		receive(latestDispatch().sidecar(), new LinkMessage.Finished(dispatch().attempt(), outcome));
 	}
 
 	void stop() {
-		apply(new EntryEvent.NodeSpoke(new NodeEvent.StopRequested(this.now)));
+		apply(new EntryEvent.NodeEventReceived(new NodeEvent.StopRequested(this.now)));
 	}
 
-	void pass(Duration time) {
+	void advanceTime(Duration time) {
 		this.now = this.now.plus(time);
-		apply(new EntryEvent.NodeSpoke(new NodeEvent.Ticked(this.now, 1)));
+		apply(new EntryEvent.NodeEventReceived(new NodeEvent.Ticked(this.now, 1)));
 	}
 
 	/**
@@ -193,24 +193,25 @@
 	 */
 	void catchUp() {
 		for (int round = 0; round < 2; round++) {
-			apply(new EntryEvent.LogSpoke(new LogEvent.CaughtUp(this.offset, this.now)));
+			apply(new EntryEvent.LogEventReceived(new LogEvent.CaughtUp(this.offset, this.now)));
 		}
 	}
 
 	void loseLog() {
-		apply(new EntryEvent.LogSpoke(new LogEvent.Unreachable(this.now)));
+		apply(new EntryEvent.LogEventReceived(new LogEvent.Unreachable(this.now)));
 	}
 
 	void read(LedgerRecord record) {
-		apply(new EntryEvent.LogSpoke(new LogEvent.BatchRead(this.offset++, this.now, List.of(record), this.now)));
+		apply(new EntryEvent.LogEventReceived(
+				new LogEvent.BatchRead(this.offset++, this.now, List.of(record), this.now)));
 	}
 
 	/**
 	 * Lets all that was appended appear in the log.
 	 */
-	void settleLog() {
-		while (this.settled < appended().size()) {
-			read(appended().get(this.settled++));
+	void readAppended() {
+		while (this.readRecords < appended().size()) {
+			read(appended().get(this.readRecords++));
 		}
 	}
 
@@ -232,12 +233,12 @@
 			.toList();
 	}
 
-	EntryEffect.Send latest() {
+	EntryEffect.Send latestDispatch() {
 		return dispatches().getLast();
 	}
 
 	LinkMessage.Dispatch dispatch() {
-		return (LinkMessage.Dispatch) latest().message();
+		return (LinkMessage.Dispatch) latestDispatch().message();
 	}
 
 	boolean isCancelled(LinkMessage.Dispatch dispatch) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/RouteRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/RouteRulesTests.java
@@ -41,10 +41,10 @@
 		this.site.call(EntrySite.turn(1, "m"));
 		assertThat(this.site.appended()).hasSize(1);
 		assertThat(this.site.dispatches()).isEmpty();
-		this.site.settleLog();
+		this.site.readAppended();
 		LedgerRecord.ProgramClaimed claim = (LedgerRecord.ProgramClaimed) this.site.appended().getFirst();
 		assertThat(claim.epoch()).isEqualTo(FIRST_EPOCH);
-		assertThat(this.site.latest().sidecar()).isEqualTo(claim.home());
+		assertThat(this.site.latestDispatch().sidecar()).isEqualTo(claim.home());
 		assertThat(this.site.dispatch().standing()).isEqualTo(new Standing.ForHome(claim.home(), FIRST_EPOCH, 0));
 	}
 
@@ -56,9 +56,9 @@
 		ProcessId chosen = ((LedgerRecord.ProgramClaimed) this.site.appended().getFirst()).home();
 		ProcessId other = otherThan(chosen);
 		this.site.read(claim(FIRST_EPOCH, other));
-		this.site.settleLog();
+		this.site.readAppended();
 		assertThat(this.site.dispatches()).hasSize(1);
-		assertThat(this.site.latest().sidecar()).isEqualTo(other);
+		assertThat(this.site.latestDispatch().sidecar()).isEqualTo(other);
 	}
 
 	// The sidecar was started anew: its old life is over, and with it what it held. The
@@ -80,16 +80,16 @@
 	void takesAProgramOverWhenItsHomeStaysAway() {
 		this.site.read(claim(FIRST_EPOCH, EntrySite.FIRST));
 		Ticket call = this.site.call(EntrySite.turn(1, "m"));
-		this.site.progress(0, "Good ");
+		this.site.sendDelta(0, "Good ");
 		this.site.unlink(EntrySite.FIRST);
-		this.site.pass(TAKEOVER_TIME.minus(MOMENT));
+		this.site.advanceTime(TAKEOVER_TIME.minus(MOMENT));
 		assertThat(this.site.appended()).isEmpty();
-		this.site.pass(MOMENT);
+		this.site.advanceTime(MOMENT);
 		assertThat(this.site.appended()).containsExactly(claim(FIRST_EPOCH.next(), EntrySite.SECOND));
-		this.site.settleLog();
-		assertThat(this.site.latest().sidecar()).isEqualTo(EntrySite.SECOND);
+		this.site.readAppended();
+		assertThat(this.site.latestDispatch().sidecar()).isEqualTo(EntrySite.SECOND);
 		assertThat(this.site.dispatch().delivered()).isEqualTo("Good ");
-		this.site.progress(0, "morning");
+		this.site.sendDelta(0, "morning");
 		assertThat(this.site.textFor(call)).isEqualTo("Good morning");
 	}
 
@@ -99,9 +99,9 @@
 		this.site.read(claim(FIRST_EPOCH, EntrySite.FIRST));
 		this.site.call(EntrySite.turn(1, "m"));
 		this.site.unlink(EntrySite.FIRST);
-		this.site.pass(TAKEOVER_TIME.minus(MOMENT));
+		this.site.advanceTime(TAKEOVER_TIME.minus(MOMENT));
 		this.site.link(EntrySite.FIRST);
-		this.site.pass(TAKEOVER_TIME);
+		this.site.advanceTime(TAKEOVER_TIME);
 		assertThat(this.site.appended()).isEmpty();
 		assertThat(this.site.dispatches()).extracting(EntryEffect.Send::sidecar)
 			.containsExactly(EntrySite.FIRST, EntrySite.FIRST);
@@ -112,7 +112,7 @@
 	@Test
 	void saysThatTheCallOfALostExecutorMayHaveRun() {
 		Ticket call = this.site.call(EntrySite.order("k", "body"));
-		this.site.settleLog();
+		this.site.readAppended();
 		this.site.link(new ProcessId(EntrySite.PLAIN.vm(), new Incarnation(2)));
 		assertUnknown(call, FailureCause.OUTCOME_UNKNOWN);
 		assertUnknown(this.site.call(EntrySite.order("k", "body")), FailureCause.OUTCOME_UNKNOWN);
@@ -125,7 +125,7 @@
 	@Test
 	void refusesAKeyWithOtherContent() {
 		this.site.call(EntrySite.order("k", "body"));
-		this.site.settleLog();
+		this.site.readAppended();
 		CallFailure failure = this.site.failureOf(this.site.call(EntrySite.order("k", "other")));
 		assertThat(failure.cause()).isEqualTo(FailureCause.KEY_REUSED);
 		assertThat(this.site.dispatches()).hasSize(1);
@@ -145,7 +145,7 @@
 	void saysNotRunOfNoKeyedCallWhoseClaimIsLost() {
 		Ticket call = this.site.call(EntrySite.order("k", "body"));
 		this.site.loseLog();
-		this.site.pass(CLAIM_WAIT);
+		this.site.advanceTime(CLAIM_WAIT);
 		assertUnknown(call, FailureCause.LOG_UNAVAILABLE);
 		assertThat(this.site.dispatches()).isEmpty();
 	}
@@ -153,12 +153,12 @@
 	// One of two engines is leaving. However many programs come, all go to the other.
 	@Test
 	void givesALeavingUpstreamNoNewProgram() {
-		this.site.hear(EntrySite.FIRST, new LinkMessage.Leaving());
+		this.site.receive(EntrySite.FIRST, new LinkMessage.Leaving());
 		for (int number = 0; number < 20; number++) {
 			this.site.call(
 					EntrySite.model(Optional.of(new ProgramName("p" + number)), Optional.of(1), HistoryMode.NEW, "m"));
 		}
-		this.site.settleLog();
+		this.site.readAppended();
 		assertThat(this.site.dispatches()).hasSize(20)
 			.allSatisfy((send) -> assertThat(send.sidecar()).isEqualTo(EntrySite.SECOND));
 	}
@@ -171,10 +171,10 @@
 		Ticket call = this.site.call(EntrySite.turn(1, "m"));
 		LinkMessage.Dispatch first = this.site.dispatch();
 		this.site.finish(new CallOutcome.Failed(CallFailure.notRun(FailureCause.STOPPING, "The upstream is leaving.")));
-		this.site.settleLog();
-		this.site.progress(0, "new");
-		this.site.hear(EntrySite.FIRST, new LinkMessage.Delta(first.attempt(), 0, "late"));
-		this.site.hear(EntrySite.FIRST, new LinkMessage.Finished(first.attempt(),
+		this.site.readAppended();
+		this.site.sendDelta(0, "new");
+		this.site.receive(EntrySite.FIRST, new LinkMessage.Delta(first.attempt(), 0, "late"));
+		this.site.receive(EntrySite.FIRST, new LinkMessage.Finished(first.attempt(),
 				new CallOutcome.Failed(CallFailure.notRun(FailureCause.INTERNAL, "late"))));
 		assertThat(this.site.textFor(call)).isEqualTo("new");
 		assertThat(this.site.outcomesOf(call)).isEmpty();
@@ -186,8 +186,8 @@
 	void endsAnAttemptWithAGapInItsParts() {
 		this.site.read(claim(FIRST_EPOCH, EntrySite.FIRST));
 		Ticket call = this.site.call(EntrySite.turn(1, "m"));
-		this.site.progress(0, "Good ");
-		this.site.progress(2, "all");
+		this.site.sendDelta(0, "Good ");
+		this.site.sendDelta(2, "all");
 		assertThat(this.site.textFor(call)).isEqualTo("Good ");
 		assertThat(this.site.isCancelled(this.site.dispatch())).isTrue();
 		assertUnknown(call, FailureCause.INTERNAL);
@@ -199,9 +199,9 @@
 	void endsACallAfterItsDeadline() {
 		this.site.read(claim(FIRST_EPOCH, EntrySite.FIRST));
 		Ticket call = this.site.call(EntrySite.turn(1, "m"));
-		this.site.pass(EntrySite.TIME_LEFT);
+		this.site.advanceTime(EntrySite.TIME_LEFT);
 		assertThat(this.site.outcomesOf(call)).isEmpty();
-		this.site.pass(RouteRules.DEADLINE_GRACE);
+		this.site.advanceTime(RouteRules.DEADLINE_GRACE);
 		assertUnknown(call, FailureCause.DEADLINE_PASSED);
 		assertThat(this.site.isCancelled(this.site.dispatch())).isTrue();
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/Callers.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/Callers.java
@@ -119,7 +119,7 @@
 			Ticket ticket = open.get(choice % open.size());
 			Attempt attempt = this.attempts.get(ticket);
 			attempt.gone = true;
-			this.world.entries.get(attempt.entry).inbox.add(new EntryEvent.CallerGone(ticket, this.world.now));
+			this.world.entries.get(attempt.entry).inbox.add(new EntryEvent.CallerDisconnected(ticket, this.world.now));
 		}
 	}
 
@@ -140,7 +140,7 @@
 		Ticket ticket = new Ticket(++this.numbers);
 		this.endings.put(ticket, entry);
 		this.world.entries.get(entry).inbox
-			.add(new EntryEvent.ProgramEndAsked(ticket, program.caller, program.id.name(), this.world.now));
+			.add(new EntryEvent.ProgramEndRequested(ticket, program.caller, program.id.name(), this.world.now));
 	}
 
 	boolean endAll() {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/Link.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/Link.java
@@ -77,7 +77,7 @@
 	void sendToEntry(ProcessId target, LinkMessage.FromSidecar message) {
 		if (this.entry.equals(Optional.of(target)) && !this.deafEntry) {
 			ProcessId from = this.sidecar.orElseThrow();
-			this.toEntry.add(new Item<>(false, (now) -> new EntryEvent.SidecarSpoke(from, message, now)));
+			this.toEntry.add(new Item<>(false, (now) -> new EntryEvent.SidecarMessageReceived(from, message, now)));
 		}
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/World.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/World.java
@@ -10,9 +10,9 @@
 
 import io.lentilslip.core.entry.EntryEffect;
 import io.lentilslip.core.entry.EntryEvent;
-import io.lentilslip.core.entry.EntryLeftovers;
 import io.lentilslip.core.entry.EntryReducer;
 import io.lentilslip.core.entry.EntryState;
+import io.lentilslip.core.entry.EntryStateInspector;
 import io.lentilslip.core.identity.Incarnation;
 import io.lentilslip.core.identity.ProcessId;
 import io.lentilslip.core.identity.VmName;
@@ -250,8 +250,9 @@
 	void checkAtRest() {
 		this.callers.checkAtRest();
 		for (EntryNode entry : this.entries) {
-			check(EntryLeftovers.in(entry.state).isEmpty(), entry.self + " holds " + EntryLeftovers.in(entry.state));
-			checkLedger(entry.self, EntryLeftovers.ledgerOf(entry.state));
+			check(EntryStateInspector.nonEmptyCollections(entry.state).isEmpty(),
+					entry.self + " holds " + EntryStateInspector.nonEmptyCollections(entry.state));
+			checkLedger(entry.self, EntryStateInspector.ledgerOf(entry.state));
 		}
 		for (SidecarNode sidecar : this.sidecars) {
 			check(SidecarLeftovers.in(sidecar.state).isEmpty(),
@@ -421,12 +422,12 @@
 
 		@Override
 		EntryEvent ofLog(LogEvent event) {
-			return new EntryEvent.LogSpoke(event);
+			return new EntryEvent.LogEventReceived(event);
 		}
 
 		@Override
 		EntryEvent ofNode(NodeEvent event) {
-			return new EntryEvent.NodeSpoke(event);
+			return new EntryEvent.NodeEventReceived(event);
 		}
 
 		@Override
@@ -449,7 +450,7 @@
 			Step<EntryState, EntryEffect> step = this.reducer.apply(this.state, event);
 			this.state = step.state();
 			step.effects().forEach(this::run);
-			if (event instanceof EntryEvent.CallerGone gone) {
+			if (event instanceof EntryEvent.CallerDisconnected gone) {
 				World.this.callers.gone(gone.ticket());
 			}
 		}
@@ -467,7 +468,7 @@
 				case EntryEffect.Deliver deliver -> World.this.callers.delivered(deliver.ticket(), deliver.text());
 				case EntryEffect.Complete complete ->
 					World.this.callers.completed(complete.ticket(), complete.outcome());
-				case EntryEffect.ShowProgram show -> World.this.callers.shown(show.ticket());
+				case EntryEffect.SendProgramState show -> World.this.callers.shown(show.ticket());
 			}
 		}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/placement/PlacementTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/placement/PlacementTests.java
@@ -13,7 +13,7 @@
 import io.lentilslip.core.identity.ZoneName;
 import io.lentilslip.core.placement.Candidate.Availability;
 import io.lentilslip.core.placement.Candidate.Load;
-import io.lentilslip.core.placement.PlacementRequest.WarmPrefix;
+import io.lentilslip.core.placement.PlacementRequest.CachedPrefix;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -49,8 +49,8 @@
 					model.remove(candidate.vm());
 				}
 				case 1 -> {
-					candidates = candidates.changed(candidate.vm(), Candidate::sent);
-					model.computeIfPresent(candidate.vm(), (vm, known) -> known.sent());
+					candidates = candidates.changed(candidate.vm(), Candidate::callSent);
+					model.computeIfPresent(candidate.vm(), (vm, known) -> known.callSent());
 				}
 				default -> {
 					candidates = candidates.with(candidate);
@@ -63,7 +63,7 @@
 				.map(Candidate::vm)
 				.toList();
 			Optional<VmName> chosen = PLACEMENTS.get(placement)
-				.choose(candidates, request(random.nextLong(), 1, new WarmPrefix(candidate.vm(), 100_000)));
+				.choose(candidates, request(random.nextLong(), 1, new CachedPrefix(candidate.vm(), 100_000)));
 			assertThat(candidates.linkedSize()).isEqualTo(linked.size());
 			assertThat(chosen.isPresent()).isEqualTo(!linked.isEmpty());
 			chosen.ifPresent((vm) -> assertThat(linked).contains(vm));
@@ -96,16 +96,16 @@
 		SplittableRandom seeds = new SplittableRandom(seed);
 		for (int call = 0; call < 80; call++) {
 			VmName vm = Placement.Default.STANDARD.choose(candidates, request(seeds.nextLong(), 1)).orElseThrow();
-			candidates = candidates.changed(vm, Candidate::sent);
+			candidates = candidates.changed(vm, Candidate::callSent);
 		}
 		for (int number = 0; number < 8; number++) {
-			assertThat(candidates.find(vm(number)).orElseThrow().sentSince()).isBetween(6, 14);
+			assertThat(candidates.find(vm(number)).orElseThrow().sentSinceReport()).isBetween(6, 14);
 		}
 	}
 
 	@Property(tries = 20, seed = "4")
 	void weighsAWarmPrefixAgainstWaiting(@ForAll long seed) {
-		WarmPrefix warm = new WarmPrefix(vm(1), 5000);
+		CachedPrefix warm = new CachedPrefix(vm(1), 5000);
 		Candidates idle = candidates(2, 0);
 		Candidates busy = idle.with(Candidate.linked(vm(1), NEAR, load(40)));
 		assertThat(Placement.Default.STANDARD.choose(idle, request(seed, 1, warm))).contains(vm(1));
@@ -132,11 +132,11 @@
 
 	@Test
 	void endedCallsAndReportsCorrectTheLoad() {
-		Candidate candidate = Candidate.linked(vm(0), NEAR, load(4)).sent().sent();
+		Candidate candidate = Candidate.linked(vm(0), NEAR, load(4)).callSent().callSent();
 		assertThat(candidate.utilization(1)).isEqualTo(6 / 8.0);
 		assertThat(candidate.utilization(3)).isEqualTo(10 / 8.0);
-		assertThat(candidate.ended().ended().ended().utilization(1)).isEqualTo(3 / 8.0);
-		assertThat(candidate.reported(load(5)).utilization(1)).isEqualTo(5 / 8.0);
+		assertThat(candidate.callEnded().callEnded().callEnded().utilization(1)).isEqualTo(3 / 8.0);
+		assertThat(candidate.withLoad(load(5)).utilization(1)).isEqualTo(5 / 8.0);
 	}
 
 	private static Candidates candidates(int count, int running) {
@@ -147,7 +147,7 @@
 		return candidates;
 	}
 
-	private static PlacementRequest request(long seed, int deciders, WarmPrefix... warm) {
+	private static PlacementRequest request(long seed, int deciders, CachedPrefix... warm) {
 		return new PlacementRequest(NEAR, List.of(warm), 0, seed, deciders);
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/retry/BackoffTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/retry/BackoffTests.java
@@ -18,7 +18,7 @@
 	void pauseIsBetweenHalfAndTheWholeOfItsBound(@ForAll @IntRange(min = 1, max = 100) int failures,
 			@ForAll long seed) {
 		Duration bound = Duration.ofMillis((failures < 5) ? 40L << (failures - 1) : 400);
-		Duration pause = BACKOFF.after(failures, seed);
+		Duration pause = BACKOFF.delayAfter(failures, seed);
 		assertThat(pause).isBetween(bound.dividedBy(2), bound);
 	}
 
--- a/lentilslip-entry/src/main/java/io/lentilslip/entry/EntryProcess.java
+++ b/lentilslip-entry/src/main/java/io/lentilslip/entry/EntryProcess.java
@@ -216,7 +216,7 @@
 			case EntryEffect.Send send -> this.links.send(send.sidecar(), send.message());
 			case EntryEffect.Deliver deliver -> this.callers.orElseThrow().run(deliver);
 			case EntryEffect.Complete complete -> this.callers.orElseThrow().run(complete);
-			case EntryEffect.ShowProgram show -> this.callers.orElseThrow().run(show);
+			case EntryEffect.SendProgramState show -> this.callers.orElseThrow().run(show);
 		}
 	}
 
@@ -279,12 +279,12 @@
 
 		@Override
 		public EntryEvent of(NodeEvent event) {
-			return new EntryEvent.NodeSpoke(event);
+			return new EntryEvent.NodeEventReceived(event);
 		}
 
 		@Override
 		public EntryEvent of(LogEvent event) {
-			return new EntryEvent.LogSpoke(event);
+			return new EntryEvent.LogEventReceived(event);
 		}
 
 	}
--- a/lentilslip-entry/src/main/java/io/lentilslip/entry/http/CallerPort.java
+++ b/lentilslip-entry/src/main/java/io/lentilslip/entry/http/CallerPort.java
@@ -10,8 +10,8 @@
 /**
  * The port by which callers reach an entry. What callers ask becomes events; the effects
  * of {@link EntryEffect.Deliver}, {@link EntryEffect.Complete} and
- * {@link EntryEffect.ShowProgram} become answers. Safe for use by several threads; no
- * method but {@link #close()} blocks.
+ * {@link EntryEffect.SendProgramState} become answers. Safe for use by several threads;
+ * no method but {@link #close()} blocks.
  */
 public final class CallerPort implements AutoCloseable {
 
@@ -67,7 +67,7 @@
 	 * Gives a caller the state of a program.
 	 * @param effect the state
 	 */
-	public void run(EntryEffect.ShowProgram effect) {
+	public void run(EntryEffect.SendProgramState effect) {
 		this.calls.end(effect.ticket(), (call) -> call.show(effect.view()));
 	}
 
--- a/lentilslip-entry/src/main/java/io/lentilslip/entry/http/CallerRoutes.java
+++ b/lentilslip-entry/src/main/java/io/lentilslip/entry/http/CallerRoutes.java
@@ -132,12 +132,12 @@
 	}
 
 	private Optional<HttpError> showProgram(HttpExchange exchange) {
-		return withProgram(exchange, (ticket, caller, program) -> new EntryEvent.ProgramAsked(ticket, caller, program,
-				this.desk.clock().instant()));
+		return withProgram(exchange, (ticket, caller, program) -> new EntryEvent.ProgramStateRequested(ticket, caller,
+				program, this.desk.clock().instant()));
 	}
 
 	private Optional<HttpError> endProgram(HttpExchange exchange) {
-		return withProgram(exchange, (ticket, caller, program) -> new EntryEvent.ProgramEndAsked(ticket, caller,
+		return withProgram(exchange, (ticket, caller, program) -> new EntryEvent.ProgramEndRequested(ticket, caller,
 				program, this.desk.clock().instant()));
 	}
 
@@ -171,7 +171,7 @@
 	// A call that has its outcome already needs no end.
 	private void abandon(Ticket ticket) {
 		if (this.calls.remove(ticket).isPresent()) {
-			this.desk.submissions().post(new EntryEvent.CallerGone(ticket, this.desk.clock().instant()));
+			this.desk.submissions().post(new EntryEvent.CallerDisconnected(ticket, this.desk.clock().instant()));
 		}
 	}
 
--- a/lentilslip-entry/src/main/java/io/lentilslip/entry/link/SidecarLinks.java
+++ b/lentilslip-entry/src/main/java/io/lentilslip/entry/link/SidecarLinks.java
@@ -215,7 +215,7 @@
 					SidecarLinks.this.reports.offered(this.vm, offer);
 				}
 				case LinkMessage.FromSidecar answer -> SidecarLinks.this.reports
-					.post(new EntryEvent.SidecarSpoke(sidecar, answer, SidecarLinks.this.clock.instant()));
+					.post(new EntryEvent.SidecarMessageReceived(sidecar, answer, SidecarLinks.this.clock.instant()));
 				case LinkMessage.ToSidecar wrong -> sender.close();
 			}
 		}
@@ -247,7 +247,7 @@
 				return;
 			}
 			this.failures++;
-			Duration pause = SidecarLinks.this.backoff.after(this.failures, SidecarLinks.this.seeds.getAsLong());
+			Duration pause = SidecarLinks.this.backoff.delayAfter(this.failures, SidecarLinks.this.seeds.getAsLong());
 			SidecarLinks.this.timer.schedule(this::connect, pause.toNanos(), TimeUnit.NANOSECONDS);
 		}
 
--- a/lentilslip-entry/src/test/java/io/lentilslip/entry/EntryProcessTests.java
+++ b/lentilslip-entry/src/test/java/io/lentilslip/entry/EntryProcessTests.java
@@ -174,7 +174,8 @@
 				case EntryEvent.CallArrived arrived -> List.of(new EntryEffect.Connect(SIDECAR.vm(), address));
 				case EntryEvent.SidecarLinked linked ->
 					List.of(new EntryEffect.Send(linked.sidecar(), new LinkMessage.Cancel(attempt())));
-				case EntryEvent.SidecarSpoke spoke when spoke.message() instanceof LinkMessage.Finished finished ->
+				case EntryEvent.SidecarMessageReceived spoke when spoke
+					.message() instanceof LinkMessage.Finished finished ->
 					List.of(new EntryEffect.Complete(new Ticket(1), finished.outcome()));
 				default -> List.of();
 			};
@@ -272,7 +273,7 @@
 			assertThat(event).as("an event of " + type).isNotNull();
 		}
 		while (!type.isInstance(event)
-				&& !(event instanceof EntryEvent.NodeSpoke spoke && type.isInstance(spoke.event())));
+				&& !(event instanceof EntryEvent.NodeEventReceived spoke && type.isInstance(spoke.event())));
 	}
 
 	private static EntryStatus status(ProcessId self, long version, boolean stopping) {
@@ -291,12 +292,12 @@
 		}
 
 		private boolean isPeriodic(EntryEvent event) {
-			return event instanceof EntryEvent.LogSpoke || (event instanceof EntryEvent.NodeSpoke spoke
+			return event instanceof EntryEvent.LogEventReceived || (event instanceof EntryEvent.NodeEventReceived spoke
 					&& (spoke.event() instanceof NodeEvent.Ticked || spoke.event() instanceof NodeEvent.VmListRead));
 		}
 
 		private EntryStatus after(EntryStatus state, EntryEvent event) {
-			if (!(event instanceof EntryEvent.NodeSpoke spoke)) {
+			if (!(event instanceof EntryEvent.NodeEventReceived spoke)) {
 				return state;
 			}
 			return switch (spoke.event()) {
--- a/lentilslip-entry/src/test/java/io/lentilslip/entry/http/CallerPortTests.java
+++ b/lentilslip-entry/src/test/java/io/lentilslip/entry/http/CallerPortTests.java
@@ -242,9 +242,9 @@
 				new ProgramId(new GroupName("desk"), new ProgramName("a/b")), new Epoch(2), 4, 1,
 				Optional.of(EndReason.IDLE), List.of(MESSAGE));
 		try (ScriptedEntry entry = ScriptedEntry
-			.following((event) -> List.of(new EntryEffect.ShowProgram(ScriptedEntry.ticketOf(event), view)))) {
+			.following((event) -> List.of(new EntryEffect.SendProgramState(ScriptedEntry.ticketOf(event), view)))) {
 			HttpResponse<String> response = entry.send(entry.request("/v1/programs/a%2Fb"));
-			assertThat(entry.next(EntryEvent.ProgramAsked.class).program()).isEqualTo(new ProgramName("a/b"));
+			assertThat(entry.next(EntryEvent.ProgramStateRequested.class).program()).isEqualTo(new ProgramName("a/b"));
 			assertThat(at(response.body(), "/id")).isEqualTo("a/b");
 			assertThat(at(response.body(), "/state")).isEqualTo("ended");
 			assertThat(at(response.body(), "/last_call")).isEqualTo("4");
@@ -257,7 +257,7 @@
 		try (ScriptedEntry entry = ScriptedEntry
 			.following((event) -> List.of(ScriptedEntry.answered(ScriptedEntry.ticketOf(event), MESSAGE, "stop")))) {
 			HttpResponse<String> response = entry.send(entry.request("/v1/programs/p").DELETE());
-			assertThat(entry.next(EntryEvent.ProgramEndAsked.class).caller()).isEqualTo(Digest.of("secret"));
+			assertThat(entry.next(EntryEvent.ProgramEndRequested.class).caller()).isEqualTo(Digest.of("secret"));
 			assertThat(at(response.body(), "/deleted")).isEqualTo("true");
 		}
 	}
--- a/lentilslip-entry/src/test/java/io/lentilslip/entry/http/ConnectionTests.java
+++ b/lentilslip-entry/src/test/java/io/lentilslip/entry/http/ConnectionTests.java
@@ -37,7 +37,7 @@
 				send(socket, post(BODY));
 				entry.next(EntryEvent.CallArrived.class);
 			}
-			assertThat(entry.next(EntryEvent.CallerGone.class).ticket()).isEqualTo(new Ticket(1));
+			assertThat(entry.next(EntryEvent.CallerDisconnected.class).ticket()).isEqualTo(new Ticket(1));
 			assertThat(entry.port().openCalls()).isZero();
 		}
 	}
@@ -51,7 +51,7 @@
 				assertThat(socket.getInputStream().read()).isEqualTo('H');
 			}
 			entry.next(EntryEvent.CallArrived.class);
-			assertThat(entry.next(EntryEvent.CallerGone.class).ticket()).isEqualTo(new Ticket(1));
+			assertThat(entry.next(EntryEvent.CallerDisconnected.class).ticket()).isEqualTo(new Ticket(1));
 		}
 	}
 
@@ -69,7 +69,7 @@
 		}); Socket socket = entry.connect()) {
 			send(socket, post(STREAM));
 			entry.next(EntryEvent.CallArrived.class);
-			assertThat(entry.next(EntryEvent.CallerGone.class).ticket()).isEqualTo(new Ticket(1));
+			assertThat(entry.next(EntryEvent.CallerDisconnected.class).ticket()).isEqualTo(new Ticket(1));
 		}
 	}
 
@@ -113,7 +113,7 @@
 				send(second, post(large));
 				assertRefusal(receive(second), 429);
 			}
-			entry.next(EntryEvent.CallerGone.class);
+			entry.next(EntryEvent.CallerDisconnected.class);
 			try (Socket third = entry.connect()) {
 				send(third, post(large));
 				assertThat(entry.next(EntryEvent.CallArrived.class)).isNotNull();
--- a/lentilslip-entry/src/test/java/io/lentilslip/entry/http/ScriptedEntry.java
+++ b/lentilslip-entry/src/test/java/io/lentilslip/entry/http/ScriptedEntry.java
@@ -87,9 +87,9 @@
 	static Ticket ticketOf(EntryEvent event) {
 		return switch (event) {
 			case EntryEvent.CallArrived arrived -> arrived.ticket();
-			case EntryEvent.ProgramAsked asked -> asked.ticket();
-			case EntryEvent.ProgramEndAsked asked -> asked.ticket();
-			case EntryEvent.CallerGone gone -> gone.ticket();
+			case EntryEvent.ProgramStateRequested asked -> asked.ticket();
+			case EntryEvent.ProgramEndRequested asked -> asked.ticket();
+			case EntryEvent.CallerDisconnected gone -> gone.ticket();
 			default -> throw new IllegalArgumentException("no event of a caller: " + event);
 		};
 	}
@@ -117,7 +117,7 @@
 		switch (effect) {
 			case EntryEffect.Deliver deliver -> this.port.run(deliver);
 			case EntryEffect.Complete complete -> this.port.run(complete);
-			case EntryEffect.ShowProgram show -> this.port.run(show);
+			case EntryEffect.SendProgramState show -> this.port.run(show);
 			default -> throw new IllegalArgumentException("no effect for a caller: " + effect);
 		}
 	}
--- a/lentilslip-entry/src/test/java/io/lentilslip/entry/link/SidecarLinksTests.java
+++ b/lentilslip-entry/src/test/java/io/lentilslip/entry/link/SidecarLinksTests.java
@@ -72,7 +72,7 @@
 		FakeLink link = open(SIDECAR, 8);
 		link.listener.received(link, new LinkMessage.Leaving());
 		assertThat(this.recorder.events).containsExactly(new EntryEvent.SidecarLinked(VM, SIDECAR, NOW),
-				new EntryEvent.SidecarSpoke(SIDECAR, new LinkMessage.Leaving(), NOW));
+				new EntryEvent.SidecarMessageReceived(SIDECAR, new LinkMessage.Leaving(), NOW));
 		assertThat(this.links.up()).isOne();
 	}
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerLink.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerLink.java
@@ -289,7 +289,7 @@
 		}
 		this.queue.clear();
 		this.failures++;
-		this.timers.schedule(BACKOFF.after(this.failures, NO_JITTER), this::reconnect);
+		this.timers.schedule(BACKOFF.delayAfter(this.failures, NO_JITTER), this::reconnect);
 	}
 
 	private void reconnect() {
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/RetryBackoff.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/RetryBackoff.java
@@ -26,7 +26,7 @@
 
 	Duration nextDelay() {
 		this.failures++;
-		return BACKOFF.after(this.failures, this.random.nextLong());
+		return BACKOFF.delayAfter(this.failures, this.random.nextLong());
 	}
 
 	void reset() {
--- a/lentilslip-runtime/src/main/java/io/lentilslip/runtime/configuration/ConfigurationPublisher.java
+++ b/lentilslip-runtime/src/main/java/io/lentilslip/runtime/configuration/ConfigurationPublisher.java
@@ -124,7 +124,7 @@
 					break;
 				}
 				ConfigurationPublisher.this.pause
-					.await(Backoff.STANDARD.after(attempt, ConfigurationPublisher.this.seeds.next()));
+					.await(Backoff.STANDARD.delayAfter(attempt, ConfigurationPublisher.this.seeds.next()));
 			}
 			return known.orElseGet(() -> (this.mayBeInLog || this.search.isUndecided())
 					? new PublicationOutcome.Unknown(publication, this.reason)
--- a/lentilslip-runtime/src/main/java/io/lentilslip/runtime/log/StreamFollower.java
+++ b/lentilslip-runtime/src/main/java/io/lentilslip/runtime/log/StreamFollower.java
@@ -135,7 +135,7 @@
 			this.context.notices().accept(notice(NoticeCode.LOG_UNAVAILABLE).with(FieldName.REASON, reason));
 		}
 		this.listener.unreachable();
-		this.context.pause().await(Backoff.STANDARD.after(this.failures, this.context.seeds().next()));
+		this.context.pause().await(Backoff.STANDARD.delayAfter(this.failures, this.context.seeds().next()));
 	}
 
 	private void take(long from, long jump, ReadOutcome.Records records) throws InterruptedException {
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/benchmark/PlacementBenchmark.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/benchmark/PlacementBenchmark.java
@@ -13,7 +13,7 @@
 import io.lentilslip.core.placement.Candidates;
 import io.lentilslip.core.placement.Placement;
 import io.lentilslip.core.placement.PlacementRequest;
-import io.lentilslip.core.placement.PlacementRequest.WarmPrefix;
+import io.lentilslip.core.placement.PlacementRequest.CachedPrefix;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -97,15 +97,15 @@
 		PlacementRequest request = nextRequest();
 		VmName vm = this.placement.choose(this.changing, request).orElseThrow();
 		VmName other = this.vms.get((int) (request.number() % this.candidates));
-		this.changing = this.changing.changed(vm, Candidate::sent).changed(other, Candidate::ended);
+		this.changing = this.changing.changed(vm, Candidate::callSent).changed(other, Candidate::callEnded);
 		return this.changing;
 	}
 
 	private PlacementRequest nextRequest() {
 		long number = this.decisions++;
 		int warm = (int) (number % this.candidates);
-		List<WarmPrefix> prefixes = List.of(new WarmPrefix(this.vms.get(warm), PREFIX),
-				new WarmPrefix(this.vms.get((warm + 1) % this.candidates), PREFIX / 2));
+		List<CachedPrefix> prefixes = List.of(new CachedPrefix(this.vms.get(warm), PREFIX),
+				new CachedPrefix(this.vms.get((warm + 1) % this.candidates), PREFIX / 2));
 		return new PlacementRequest(NEAR, prefixes, number, number, 1);
 	}
 
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/EntrySlopes.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/EntrySlopes.java
@@ -92,9 +92,9 @@
 
 		static Driver linkedTo(int sidecars) {
 			Driver driver = new Driver(sidecars, EntryState.of(SampleSite.ENTRY, SampleSite.ZONE));
-			driver.apply(new EntryEvent.NodeSpoke(
+			driver.apply(new EntryEvent.NodeEventReceived(
 					new NodeEvent.ConfigurationAccepted(1, SampleSite.configuration(1, sidecars), driver.now)));
-			driver.apply(new EntryEvent.LogSpoke(new LogEvent.CaughtUp(0, driver.now)));
+			driver.apply(new EntryEvent.LogEventReceived(new LogEvent.CaughtUp(0, driver.now)));
 			for (int number = 0; number < sidecars; number++) {
 				ProcessId sidecar = SampleSite.sidecar(number);
 				driver.apply(new EntryEvent.SidecarLinked(sidecar.vm(), sidecar, driver.now));
@@ -121,7 +121,7 @@
 		}
 
 		private void read(LedgerRecord record) {
-			apply(new EntryEvent.LogSpoke(
+			apply(new EntryEvent.LogEventReceived(
 					new LogEvent.BatchRead(this.nextOffset++, SampleSite.START, List.of(record), this.now)));
 		}
 
@@ -132,7 +132,7 @@
 		}
 
 		private void reported(ProcessId sidecar, int running) {
-			apply(new EntryEvent.SidecarSpoke(sidecar,
+			apply(new EntryEvent.SidecarMessageReceived(sidecar,
 					new LinkMessage.LoadReport(0, running % 128, 128, running, List.of()), this.now));
 		}
 
@@ -145,7 +145,7 @@
 		void ticks(int count) {
 			for (int number = 0; number < count; number++) {
 				this.now = this.now.plus(Duration.ofMillis(100));
-				apply(new EntryEvent.NodeSpoke(new NodeEvent.Ticked(this.now, number)));
+				apply(new EntryEvent.NodeEventReceived(new NodeEvent.Ticked(this.now, number)));
 			}
 		}
 
@@ -181,7 +181,7 @@
 		}
 
 		private List<EntryEffect> hear(ProcessId sidecar, LinkMessage.FromSidecar message) {
-			return apply(new EntryEvent.SidecarSpoke(sidecar, message, this.now));
+			return apply(new EntryEvent.SidecarMessageReceived(sidecar, message, this.now));
 		}
 
 		private static Optional<EntryEffect.Send> dispatched(List<EntryEffect> effects) {
@@ -194,8 +194,9 @@
 
 		private EntryEffect.Send afterClaim(List<EntryEffect> effects) {
 			NodeEffect.Append append = Appends.in(nodeEffects(effects));
-			apply(new EntryEvent.LogSpoke(new LogEvent.AppendEnded(append.append(), AppendResult.APPENDED, this.now)));
-			List<EntryEffect> decided = apply(new EntryEvent.LogSpoke(
+			apply(new EntryEvent.LogEventReceived(
+					new LogEvent.AppendEnded(append.append(), AppendResult.APPENDED, this.now)));
+			List<EntryEffect> decided = apply(new EntryEvent.LogEventReceived(
 					new LogEvent.BatchRead(this.nextOffset++, SampleSite.START, List.of(append.record()), this.now)));
 			return dispatched(decided).orElseThrow(() -> new IllegalStateException("nothing was sent: " + decided));
 		}
