--- a/lentilslip-client/src/main/java/io/lentilslip/client/engine/StreamedGeneration.java
+++ b/lentilslip-client/src/main/java/io/lentilslip/client/engine/StreamedGeneration.java
@@ -187,7 +187,7 @@
 			}
 			this.ended = true;
 			EngineFailure.Cause cause = this.cancelled ? new EngineFailure.Cause.Cancelled() : failure.cause();
-			this.listener.failed(new EngineFailure(failure.verdict().and(this.earlier), cause));
+			this.listener.failed(new EngineFailure(failure.verdict().combine(this.earlier), cause));
 		}
 		finally {
 			this.delivery.unlock();
--- a/lentilslip-client/src/main/java/io/lentilslip/client/service/PlainService.java
+++ b/lentilslip-client/src/main/java/io/lentilslip/client/service/PlainService.java
@@ -14,10 +14,10 @@
 import io.lentilslip.client.http.HttpSender;
 import io.lentilslip.client.http.PendingExchange;
 import io.lentilslip.client.http.Transmission;
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Header;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.configuration.Endpoint;
 import okhttp3.ConnectionPool;
 import okhttp3.Headers;
@@ -39,7 +39,7 @@
 	 * @param timeout how long to wait for the whole answer, at most an hour
 	 * @return the call under way
 	 */
-	PendingCall call(Endpoint upstream, ServiceMessage message, Duration timeout);
+	PendingCall call(Endpoint upstream, ServiceRequest message, Duration timeout);
 
 	@Override
 	void close();
@@ -76,7 +76,7 @@
 		}
 
 		@Override
-		public PendingCall call(Endpoint upstream, ServiceMessage message, Duration timeout) {
+		public PendingCall call(Endpoint upstream, ServiceRequest message, Duration timeout) {
 			Optional<String> fault = findFault(message);
 			if (fault.isPresent()) {
 				return refuse(fault.get());
@@ -107,7 +107,7 @@
 			});
 		}
 
-		private static Optional<String> findFault(ServiceMessage message) {
+		private static Optional<String> findFault(ServiceRequest message) {
 			if (!METHODS.contains(message.method())) {
 				return Optional.of("the method is not passed on");
 			}
@@ -135,7 +135,7 @@
 			return sent.equals(path);
 		}
 
-		private static RequestBody requestBody(ServiceMessage message) {
+		private static RequestBody requestBody(ServiceRequest message) {
 			Body body = message.body();
 			if (body.length() == 0 && !METHODS_THAT_NEED_BODY.contains(message.method())) {
 				return null;
@@ -165,13 +165,13 @@
 			return new ServiceOutcome.Lost(unanswered.reason(), unanswered.kind() == FailureKind.BROKEN_OFF);
 		}
 
-		private static Answer.FromService toAnswer(Exchange.Answered answer) {
+		private static CallResponse.FromService toAnswer(Exchange.Answered answer) {
 			Headers received = answer.headers();
 			List<Header> headers = new ArrayList<>(received.size());
 			for (int i = 0; i < received.size(); i++) {
 				headers.add(new Header(received.name(i), received.value(i)));
 			}
-			return new Answer.FromService(answer.status(), HopByHop.remove(headers), Body.of(answer.body()));
+			return new CallResponse.FromService(answer.status(), HopByHop.remove(headers), Body.of(answer.body()));
 		}
 
 	}
--- a/lentilslip-client/src/main/java/io/lentilslip/client/service/ServiceOutcome.java
+++ b/lentilslip-client/src/main/java/io/lentilslip/client/service/ServiceOutcome.java
@@ -1,6 +1,6 @@
 package io.lentilslip.client.service;
 
-import io.lentilslip.core.call.Answer;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.verdict.Verdict;
 
 /**
@@ -20,7 +20,7 @@
 	 *
 	 * @param answer the answer
 	 */
-	record Answered(Answer.FromService answer) implements ServiceOutcome {
+	record Answered(CallResponse.FromService answer) implements ServiceOutcome {
 
 		@Override
 		public Verdict verdict() {
--- a/lentilslip-client/src/test/java/io/lentilslip/client/service/PlainServiceTests.java
+++ b/lentilslip-client/src/test/java/io/lentilslip/client/service/PlainServiceTests.java
@@ -12,10 +12,10 @@
 
 import io.lentilslip.client.Endpoints;
 import io.lentilslip.client.http.HttpLimits;
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Header;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.configuration.Endpoint;
 import io.lentilslip.core.verdict.Verdict;
 import io.lentilslip.standin.http.Availability;
@@ -122,7 +122,7 @@
 			CompletableFuture<Void> reset = CompletableFuture.runAsync(() -> resetAfterFirstByte(listener));
 			Body large = Body.of(new byte[32 * 1024 * 1024]);
 			Endpoint endpoint = Endpoints.of((InetSocketAddress) listener.getLocalSocketAddress());
-			assertLost(call(endpoint, new ServiceMessage("POST", "/upload", List.of(), large), LONG), true);
+			assertLost(call(endpoint, new ServiceRequest("POST", "/upload", List.of(), large), LONG), true);
 			reset.join();
 		}
 	}
@@ -165,14 +165,14 @@
 	@ValueSource(strings = { "@127.0.0.2/", "price", "/price/../check-in", "/price/%2e%2e/check-in", "/a b", "/a#b",
 			"/a\\b", "" })
 	void aPathThatWouldBeChangedIsRefused(String path) {
-		assertInvalid(new ServiceMessage("POST", path, List.of(), Body.EMPTY));
+		assertInvalid(new ServiceRequest("POST", path, List.of(), Body.EMPTY));
 	}
 
 	@Test
 	void whatHttpCannotCarryIsRefused() {
-		assertInvalid(new ServiceMessage("POST /other HTTP/1.1\r\n", "/a", List.of(), Body.EMPTY));
-		assertInvalid(new ServiceMessage("GET", "/a", List.of(), Body.of("body")));
-		assertInvalid(new ServiceMessage("POST", "/a", List.of(new Header("A", "b\r\nC: d")), Body.EMPTY));
+		assertInvalid(new ServiceRequest("POST /other HTTP/1.1\r\n", "/a", List.of(), Body.EMPTY));
+		assertInvalid(new ServiceRequest("GET", "/a", List.of(), Body.of("body")));
+		assertInvalid(new ServiceRequest("POST", "/a", List.of(new Header("A", "b\r\nC: d")), Body.EMPTY));
 	}
 
 	// The caller's own connection headers come along, with a false length among
@@ -188,7 +188,7 @@
 				}))) {
 			List<Header> headers = List.of(new Header("Content-Length", "1"), new Header("Connection", "X-Hop, close"),
 					new Header("X-Hop", "no"), new Header("X-Kept", "kept"));
-			ServiceMessage message = new ServiceMessage("POST", "/a?q=%20b", headers, Body.of("12345"));
+			ServiceRequest message = new ServiceRequest("POST", "/a?q=%20b", headers, Body.of("12345"));
 			ServiceOutcome outcome = call(Endpoints.of(server.address()), message, LONG);
 			assertThat(seen.join()).isEqualTo("5-kept b");
 			assertThat(answer(outcome).headers()).contains(new Header("X-Answer", "yes"))
@@ -212,7 +212,7 @@
 		assertThat(outcome.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
 
-	private void assertInvalid(ServiceMessage message) {
+	private void assertInvalid(ServiceRequest message) {
 		ServiceOutcome outcome = call(upstream(), message, LONG);
 		assertThat(outcome).isInstanceOf(ServiceOutcome.Invalid.class);
 		assertThat(outcome.verdict()).isEqualTo(Verdict.NOT_RUN);
@@ -223,7 +223,7 @@
 		return call(upstream(), message(CHECK_IN), LONG);
 	}
 
-	private ServiceOutcome call(Endpoint endpoint, ServiceMessage message, Duration timeout) {
+	private ServiceOutcome call(Endpoint endpoint, ServiceRequest message, Duration timeout) {
 		return this.service.call(endpoint, message, timeout).outcome().toCompletableFuture().join();
 	}
 
@@ -235,12 +235,12 @@
 		return this.tool.runs().getOrDefault(CHECK_IN, 0);
 	}
 
-	private static ServiceMessage message(String name) {
-		return new ServiceMessage("POST", "/walks/7/check-in", List.of(new Header("Idempotency-Key", name)),
+	private static ServiceRequest message(String name) {
+		return new ServiceRequest("POST", "/walks/7/check-in", List.of(new Header("Idempotency-Key", name)),
 				Body.of("{}"));
 	}
 
-	private static Answer.FromService answer(ServiceOutcome outcome) {
+	private static CallResponse.FromService answer(ServiceOutcome outcome) {
 		return ((ServiceOutcome.Answered) outcome).answer();
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/budget/Estimate.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/budget/Estimate.java
@@ -31,7 +31,7 @@
 		long text = tokensOf(call.messages()) + tokensOf(call.parameters());
 		// A whole conversation holds the history, whose tokens the engine counted.
 		long prompt = (call.mode() == HistoryMode.NEW) ? historyTokens + text : Math.max(historyTokens, text);
-		return Math.max(1, prompt + call.maximumTokens());
+		return Math.max(1, prompt + call.maxTokens());
 	}
 
 	private static long tokensOf(List<String> messages) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/CallFailure.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/CallFailure.java
@@ -61,7 +61,7 @@
 	 */
 	public static CallFailure ofEndedProgram(CallRequest call, int lastCall) {
 		boolean later = call instanceof CallRequest.ForModel
-				&& call.place().flatMap(ProgramCall::number).filter((number) -> number > lastCall).isPresent();
+				&& call.programCall().flatMap(ProgramCall::number).filter((number) -> number > lastCall).isPresent();
 		Verdict verdict = (later) ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN;
 		return new CallFailure(verdict, FailureCause.PROGRAM_ENDED, "The program has ended.", Optional.empty());
 	}
@@ -81,8 +81,8 @@
 	 * @param earlier the verdict of the earlier attempt
 	 * @return a failure with the verdict over both attempts
 	 */
-	public CallFailure after(Verdict earlier) {
-		return new CallFailure(this.verdict.and(earlier), this.cause, this.message, this.retryAfter);
+	public CallFailure combineWith(Verdict earlier) {
+		return new CallFailure(this.verdict.combine(earlier), this.cause, this.message, this.retryAfter);
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/CallOutcome.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/CallOutcome.java
@@ -20,7 +20,7 @@
 	 * @param durability whether the turn is in the log
 	 * @param number the number of the call in its program, or 0 without a program
 	 */
-	record Answered(Answer answer, Durability durability, int number) implements CallOutcome {
+	record Completed(CallResponse response, Durability durability, int number) implements CallOutcome {
 
 		@Override
 		public Verdict verdict() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/CallRequest.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/CallRequest.java
@@ -25,28 +25,28 @@
 	 * Returns the place of the call in a program, if it belongs to one.
 	 * @return the place in a program, or an empty result
 	 */
-	Optional<ProgramCall> place();
+	Optional<ProgramCall> programCall();
 
 	/**
 	 * Returns the key that marks resends of this call.
 	 * @return the key, or an empty result
 	 */
-	Optional<IdempotencyKey> key();
+	Optional<IdempotencyKey> idempotencyKey();
 
 	/**
 	 * Returns the digest of what is asked, by which a resend is told from another request
 	 * with the same key or number.
 	 * @return the digest of the content
 	 */
-	Digest content();
+	Digest contentDigest();
 
 	/**
 	 * A call of a model.
 	 *
 	 * @param group the group the call is charged to
-	 * @param place the place in a program, if it belongs to one
-	 * @param key the key that marks resends, if the caller gave one
-	 * @param content the digest of what is asked
+	 * @param programCall the place in a program, if it belongs to one
+	 * @param idempotencyKey the key that marks resends, if the caller gave one
+	 * @param contentDigest the digest of what is asked
 	 * @param model the model
 	 * @param mode how the messages relate to the history
 	 * @param messages the messages, each a JSON object in canonical text
@@ -54,16 +54,16 @@
 	 * @param parameters the further fields of the request, a JSON object
 	 * @param streamed whether the caller wants the answer as it is generated
 	 */
-	record ForModel(GroupName group, Optional<ProgramCall> place, Optional<IdempotencyKey> key, Digest content,
-			ModelName model, HistoryMode mode, List<String> messages, int maximumTokens, String parameters,
-			boolean streamed) implements CallRequest {
+	record ForModel(GroupName group, Optional<ProgramCall> programCall, Optional<IdempotencyKey> idempotencyKey,
+			Digest contentDigest, ModelName model, HistoryMode mode, List<String> messages, int maxTokens,
+			String parameters, boolean streamed) implements CallRequest {
 
 		/**
 		 * Creates a call of a model.
 		 * @param group the group the call is charged to
-		 * @param place the place in a program, if it belongs to one
-		 * @param key the key that marks resends, if the caller gave one
-		 * @param content the digest of what is asked
+		 * @param programCall the place in a program, if it belongs to one
+		 * @param idempotencyKey the key that marks resends, if the caller gave one
+		 * @param contentDigest the digest of what is asked
 		 * @param model the model
 		 * @param mode how the messages relate to the history
 		 * @param messages the messages, each a JSON object in canonical text
@@ -81,15 +81,16 @@
 	 * A call of a plain service.
 	 *
 	 * @param group the group the call is charged to
-	 * @param place the place in a program, if it belongs to one
-	 * @param key the key that marks resends, if the caller gave one
-	 * @param content the digest of what is asked
+	 * @param programCall the place in a program, if it belongs to one
+	 * @param idempotencyKey the key that marks resends, if the caller gave one
+	 * @param contentDigest the digest of what is asked
 	 * @param service the service
 	 * @param message the HTTP request to pass on
 	 * @param repeatable whether the configuration allows running the call again
 	 */
-	record ForService(GroupName group, Optional<ProgramCall> place, Optional<IdempotencyKey> key, Digest content,
-			ServiceName service, ServiceMessage message, boolean repeatable) implements CallRequest {
+	record ForService(GroupName group, Optional<ProgramCall> programCall, Optional<IdempotencyKey> idempotencyKey,
+			Digest contentDigest, ServiceName service, ServiceRequest request,
+			boolean repeatable) implements CallRequest {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/Answer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/CallResponse.java
@@ -6,7 +6,7 @@
  * The answer of an upstream. Implementations are immutable and safe for use by several
  * threads.
  */
-public sealed interface Answer {
+public sealed interface CallResponse {
 
 	/**
 	 * The answer of a model.
@@ -16,7 +16,7 @@
 	 * interface
 	 * @param usage the tokens taken
 	 */
-	record FromModel(String message, String finishReason, Usage usage) implements Answer {
+	record FromModel(String message, String finishReason, Usage usage) implements CallResponse {
 
 	}
 
@@ -27,7 +27,7 @@
 	 * @param headers the headers to pass back
 	 * @param body the body
 	 */
-	record FromService(int status, List<Header> headers, Body body) implements Answer {
+	record FromService(int status, List<Header> headers, Body body) implements CallResponse {
 
 		/**
 		 * Creates an answer.
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/ServiceMessage.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/ServiceRequest.java
@@ -10,7 +10,7 @@
  * @param headers the headers to pass on
  * @param body the body
  */
-public record ServiceMessage(String method, String path, List<Header> headers, Body body) {
+public record ServiceRequest(String method, String path, List<Header> headers, Body body) {
 
 	/**
 	 * Creates a request.
@@ -19,7 +19,7 @@
 	 * @param headers the headers to pass on
 	 * @param body the body
 	 */
-	public ServiceMessage {
+	public ServiceRequest {
 		headers = List.copyOf(headers);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Budget.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Budget.java
@@ -31,7 +31,7 @@
 	 * @param longest the longest period
 	 * @return a budget whose periods are not longer
 	 */
-	public Budget inPartsOf(Duration longest) {
+	public Budget splitTo(Duration longest) {
 		if (this.period.compareTo(longest) <= 0) {
 			return this;
 		}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Configuration.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Configuration.java
@@ -277,7 +277,7 @@
 		if (longestFirst == null) {
 			return Optional.empty();
 		}
-		return longestFirst.stream().filter((rule) -> rule.covers(program)).findFirst();
+		return longestFirst.stream().filter((rule) -> rule.matches(program)).findFirst();
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ProgramRule.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ProgramRule.java
@@ -46,7 +46,7 @@
 	 * @param program the name of the program
 	 * @return whether it begins with the prefix
 	 */
-	public boolean covers(ProgramName program) {
+	public boolean matches(ProgramName program) {
 		return program.value().startsWith(this.prefix);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/RepeatableCall.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/RepeatableCall.java
@@ -59,7 +59,7 @@
 	 * @param path the call's path, with or without a query
 	 * @return whether the call may be repeated
 	 */
-	public boolean covers(String otherMethod, String path) {
+	public boolean matches(String otherMethod, String path) {
 		String plain = withoutQuery(path);
 		if (!this.method.equals(otherMethod) || AMBIGUOUS.matcher(plain).find()) {
 			return false;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ServicePolicy.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ServicePolicy.java
@@ -41,7 +41,7 @@
 	 * @return whether the call is listed as repeatable
 	 */
 	public boolean isRepeatable(String method, String path) {
-		return this.repeatable.stream().anyMatch((call) -> call.covers(method, path));
+		return this.repeatable.stream().anyMatch((call) -> call.matches(method, path));
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
@@ -131,8 +131,8 @@
 	// A call without key and number is no resend of another. Of any other one, another
 	// entry may know more.
 	private void refuse(Call call, CallFailure failure) {
-		boolean single = call.request().key().isEmpty()
-				&& call.request().place().flatMap(ProgramCall::number).isEmpty();
+		boolean single = call.request().idempotencyKey().isEmpty()
+				&& call.request().programCall().flatMap(ProgramCall::number).isEmpty();
 		if (single) {
 			new CompletionRules(this.draft).refuse(call, failure);
 			return;
@@ -152,7 +152,7 @@
 			case Route.ForHome route -> {
 				int last = ledger.program(route.program()).map(ProgramState::lastCall).orElse(0);
 				yield call.request()
-					.place()
+					.programCall()
 					.flatMap(ProgramCall::number)
 					.filter((number) -> number <= last)
 					.isPresent();
@@ -170,7 +170,7 @@
 	}
 
 	private long historyOf(CallRequest.ForModel call) {
-		Optional<ProgramId> program = call.place().map(ProgramCall::program);
+		Optional<ProgramId> program = call.programCall().map(ProgramCall::program);
 		return program.flatMap(this.draft.log.ledger()::program).map(ProgramState::historyTokens).orElse(0L);
 	}
 
@@ -180,7 +180,7 @@
 		}
 		ActiveConfiguration setup = this.draft.activeConfiguration.get();
 		Optional<Budget> budget = setup.configuration().group(group).flatMap(GroupPolicy::budget);
-		return budget.map((each) -> each.inPartsOf(MAX_PERIOD))
+		return budget.map((each) -> each.splitTo(MAX_PERIOD))
 			.map((each) -> this.draft.log.ledger()
 				.budget(group)
 				.filter((state) -> state.configurationVersion() > setup.version())
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Call.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Call.java
@@ -34,7 +34,7 @@
 		long arrivalRound) {
 
 	static Call of(Ticket ticket, CallRequest request, Route route, Instant arrived, Instant deadline, long round) {
-		return new Call(ticket, request, route, arrived, deadline, new Phase.Waiting(), Transcript.beginningWith(""),
+		return new Call(ticket, request, route, arrived, deadline, new Phase.Waiting(), Transcript.of(""),
 				Verdict.NOT_RUN, 0, Duration.ZERO, Optional.empty(), round);
 	}
 
@@ -55,7 +55,7 @@
 
 	Call withVerdict(Verdict latest) {
 		return new Call(this.ticket, this.request, this.route, this.arrived, this.deadline, this.phase, this.delivered,
-				this.verdict.and(latest), this.attempts, this.queueing, this.firstToken, this.arrivalRound);
+				this.verdict.combine(latest), this.attempts, this.queueing, this.firstToken, this.arrivalRound);
 	}
 
 	Call withQueueing(Duration waited) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
@@ -10,7 +10,7 @@
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.HistoryMode;
 import io.lentilslip.core.call.ProgramCall;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.configuration.CallerPolicy;
 import io.lentilslip.core.configuration.Configuration;
@@ -84,7 +84,7 @@
 				.map((group) -> requestOf(group, place.call(), submission))
 				.orElseGet(() -> refused(FailureCause.FORBIDDEN, "The caller's group is not configured.")))
 			.flatMap((request) -> routeOf(request).map((route) -> Call.of(event.ticket(), request, route, event.now(),
-					event.now().plus(timeoutOf(submission)), this.draft.log.rounds())));
+					event.now().plus(timeoutOf(submission)), this.draft.log.catchUpCount())));
 	}
 
 	private static <T> Either<CallFailure, T> refused(FailureCause cause, String message) {
@@ -178,7 +178,7 @@
 		if (service.isEmpty()) {
 			return refused(FailureCause.NOT_FOUND, "The service is not configured.");
 		}
-		ServiceMessage message = payload.message();
+		ServiceRequest message = payload.message();
 		Digest content = Digest.of(payload.service().value())
 			.then(Digest.of(message.method()))
 			.then(Digest.of(message.path()))
@@ -189,11 +189,11 @@
 
 	private Either<CallFailure, Route> routeOf(CallRequest request) {
 		if (this.draft.log.ledger()
-			.crashCount(request.content()) >= configuration().limits().faults().crashesBeforeStop()) {
+			.crashCount(request.contentDigest()) >= configuration().limits().faults().crashesBeforeStop()) {
 			return Either.left(CallFailure.mayHaveRun(FailureCause.CRASHES_UPSTREAMS,
 					"The request crashed upstreams before and is not run again."));
 		}
-		Optional<ProgramId> program = request.place().map(ProgramCall::program);
+		Optional<ProgramId> program = request.programCall().map(ProgramCall::program);
 		Optional<ProgramState> ended = program.flatMap(this.draft.log.ledger()::program)
 			.filter((state) -> state.endReason().isPresent());
 		if (ended.isPresent()) {
@@ -207,14 +207,14 @@
 	}
 
 	private static Route routeByKey(CallRequest call) {
-		return call.key()
+		return call.idempotencyKey()
 			.<Route>map((key) -> new Route.ForClaim(new CallKey.ForIdempotencyKey(call.group(), key)))
 			.orElseGet(Route.ForAny::new);
 	}
 
 	private static Route serviceRoute(CallRequest.ForService call) {
-		Optional<ProgramCall> place = call.place().filter((each) -> each.number().isPresent());
-		if (call.key().isEmpty() && place.isPresent() && !call.repeatable()) {
+		Optional<ProgramCall> place = call.programCall().filter((each) -> each.number().isPresent());
+		if (call.idempotencyKey().isEmpty() && place.isPresent() && !call.repeatable()) {
 			return new Route.ForClaim(new CallKey.ForProgramCall(place.get().program(), call.service(),
 					place.get().number().orElseThrow()));
 		}
@@ -264,7 +264,7 @@
 		AttemptId attempt = this.draft.nextAttempt();
 		this.draft.programRequests = this.draft.programRequests.put(event.ticket(),
 				new ProgramRequest.ForState(program, attempt));
-		this.draft.emit(new EntryEffect.Send(home, new LinkMessage.AskProgram(attempt, program)));
+		this.draft.emit(new EntryEffect.Send(home, new LinkMessage.ProgramRequest(attempt, program)));
 		this.draft.startTimer(ANSWER_TIMEOUT, new Timer.ProgramRequestTimeout(event.ticket()));
 	}
 
@@ -290,7 +290,7 @@
 				new ProgramView(program, state.epoch(), state.lastCall(), 0, state.endReason(), List.of())));
 	}
 
-	void stateReceived(LinkMessage.ProgramAnswer answer) {
+	void stateReceived(LinkMessage.ProgramResponse answer) {
 		Option<Tuple2<Ticket, ProgramRequest>> question = this.draft.programRequests
 			.find((each) -> each._2() instanceof ProgramRequest.ForState state
 					&& state.attempt().equals(answer.attempt()));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
@@ -4,9 +4,9 @@
 import java.util.Optional;
 
 import io.lentilslip.core.budget.Account;
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.ProgramCall;
 import io.lentilslip.core.call.Usage;
@@ -43,13 +43,13 @@
 			this.draft.removeAttempt(sent);
 		}
 		CallOutcome result = switch (outcome) {
-			case CallOutcome.Answered answered -> answered;
-			case CallOutcome.Failed failed -> new CallOutcome.Failed(failed.failure().after(call.verdict()));
+			case CallOutcome.Completed answered -> answered;
+			case CallOutcome.Failed failed -> new CallOutcome.Failed(failed.failure().combineWith(call.verdict()));
 		};
 		this.draft.emit(new EntryEffect.Complete(call.ticket(), result));
 		recordOutcome(call, result);
 		switch (result) {
-			case CallOutcome.Answered answered -> settle(call, call.verdict(), usageOf(answered.answer()));
+			case CallOutcome.Completed answered -> settle(call, call.verdict(), usageOf(answered.response()));
 			case CallOutcome.Failed failed -> settle(call, failed.failure().verdict(), Usage.NONE);
 		}
 	}
@@ -79,8 +79,8 @@
 
 	private void recordOutcome(Call call, CallOutcome outcome) {
 		switch (outcome) {
-			case CallOutcome.Answered answered ->
-				measure(call, Measurement.CallEnded.Outcome.ANSWERED, usageOf(answered.answer()));
+			case CallOutcome.Completed answered ->
+				measure(call, Measurement.CallEnded.Outcome.ANSWERED, usageOf(answered.response()));
 			case CallOutcome.Failed failed -> {
 				CallFailure failure = failed.failure();
 				this.draft.measure(new Measurement.CallRefused(Optional.of(call.request().group()),
@@ -102,14 +102,14 @@
 	private void report(Call call, CallFailure failure) {
 		NoticeCode code = (failure.verdict() == Verdict.NOT_RUN) ? NoticeCode.CALL_REFUSED : NoticeCode.OUTCOME_UNKNOWN;
 		Notice notice = code.with(FieldName.GROUP, call.request().group()).with(FieldName.REASON, failure.cause());
-		Optional<ProgramId> program = call.request().place().map(ProgramCall::program);
+		Optional<ProgramId> program = call.request().programCall().map(ProgramCall::program);
 		this.draft.report(program.map((each) -> notice.with(FieldName.PROGRAM, each)).orElse(notice));
 	}
 
-	private static Usage usageOf(Answer answer) {
+	private static Usage usageOf(CallResponse answer) {
 		return switch (answer) {
-			case Answer.FromModel model -> model.usage();
-			case Answer.FromService service -> Usage.NONE;
+			case CallResponse.FromModel model -> model.usage();
+			case CallResponse.FromService service -> Usage.NONE;
 		};
 	}
 
@@ -123,7 +123,7 @@
 	private String serviceClassOf(Call call) {
 		return this.draft.activeConfiguration
 			.flatMap((setup) -> call.request()
-				.place()
+				.programCall()
 				.map((place) -> setup.configuration().classOf(call.request().group(), place.program().name())))
 			.orElse(ServiceClass.INTERACTIVE)
 			.name();
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Draft.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Draft.java
@@ -23,10 +23,10 @@
 import io.lentilslip.core.placement.Candidates;
 import io.lentilslip.core.reducer.Step;
 import io.lentilslip.core.retry.RetryBudget;
-import io.lentilslip.core.role.Agenda;
 import io.lentilslip.core.role.AppendId;
 import io.lentilslip.core.role.LogView;
 import io.lentilslip.core.role.NodeEffect;
+import io.lentilslip.core.role.TimerQueue;
 import io.vavr.collection.HashSet;
 import io.vavr.collection.Map;
 import io.vavr.collection.Set;
@@ -71,7 +71,7 @@
 
 	Optional<LogClock> logClock;
 
-	Agenda<Timer> timers;
+	TimerQueue<Timer> timers;
 
 	RetryBudget retries;
 
@@ -123,17 +123,17 @@
 	}
 
 	void report(Notice notice) {
-		emit(new NodeEffect.Report(notice));
+		emit(new NodeEffect.WriteNotice(notice));
 	}
 
 	void measure(Measurement measurement) {
-		emit(new NodeEffect.Measure(measurement));
+		emit(new NodeEffect.RecordMeasurement(measurement));
 	}
 
 	void append(LedgerRecord record) {
 		AppendId id = new AppendId(nextNumber());
 		this.pendingAppends = this.pendingAppends.put(id, record);
-		emit(new NodeEffect.Append(id, record));
+		emit(new NodeEffect.AppendRecord(id, record));
 	}
 
 	void startTimer(Duration delay, Timer duty) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
@@ -19,9 +19,9 @@
 import io.lentilslip.core.link.LinkMessage;
 import io.lentilslip.core.placement.Candidates;
 import io.lentilslip.core.retry.RetryBudget;
-import io.lentilslip.core.role.Agenda;
 import io.lentilslip.core.role.AppendId;
 import io.lentilslip.core.role.LogView;
+import io.lentilslip.core.role.TimerQueue;
 import io.vavr.collection.HashMap;
 import io.vavr.collection.Map;
 import io.vavr.collection.Set;
@@ -65,7 +65,7 @@
 
 	final Optional<LogClock> logClock;
 
-	final Agenda<Timer> timers;
+	final TimerQueue<Timer> timers;
 
 	final RetryBudget retries;
 
@@ -81,7 +81,7 @@
 		this.self = self;
 		this.zone = zone;
 		this.activeConfiguration = Optional.empty();
-		this.log = LogView.unread();
+		this.log = LogView.empty();
 		this.peers = HashMap.empty();
 		this.candidates = HashMap.empty();
 		this.calls = HashMap.empty();
@@ -93,7 +93,7 @@
 		this.programRequests = HashMap.empty();
 		this.accounts = HashMap.empty();
 		this.logClock = Optional.empty();
-		this.timers = Agenda.empty();
+		this.timers = TimerQueue.empty();
 		this.retries = RetryBudget.of(FaultLimits.DEFAULT.retryPercent(), RetryBudget.DEFAULT_CAPACITY);
 		this.lastMeasured = Instant.EPOCH;
 		this.nextNumber = 1;
@@ -154,8 +154,8 @@
 			.asJava();
 		return new EntryStatus(this.self,
 				this.activeConfiguration.map(ActiveConfiguration::version).orElse((long) NO_CONFIGURATION_VERSION),
-				this.log.next(), this.log.isReachable(), this.calls.size(), this.log.ledger().programCount(), upstreams,
-				groups(), this.stopping);
+				this.log.nextOffset(), this.log.isReachable(), this.calls.size(), this.log.ledger().programCount(),
+				upstreams, groups(), this.stopping);
 	}
 
 	private List<EntryStatus.Group> groups() {
@@ -170,7 +170,7 @@
 				.reserved())
 			.orElse(0L);
 		return new EntryStatus.Group(policy.name(), policy.share(), used,
-				policy.budget().map((budget) -> budget.inPartsOf(BudgetRules.MAX_PERIOD)).map(Budget::tokens));
+				policy.budget().map((budget) -> budget.splitTo(BudgetRules.MAX_PERIOD)).map(Budget::tokens));
 	}
 
 	private static EntryStatus.Upstream view(Peer peer) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
@@ -38,27 +38,27 @@
 	void handle(LogEvent event) {
 		switch (event) {
 			case LogEvent.BatchRead read -> read(read);
-			case LogEvent.CaughtUp caughtUp -> logReachable(caughtUp.next());
+			case LogEvent.CaughtUp caughtUp -> logReachable(caughtUp.nextOffset());
 			case LogEvent.Unreachable unreachable -> logUnreachable();
-			case LogEvent.GapFound gap -> resetAfterGap(gap);
+			case LogEvent.GapDetected gap -> resetAfterGap(gap);
 			case LogEvent.AppendEnded ended -> appendEnded(ended);
 		}
 	}
 
 	private void read(LogEvent.BatchRead event) {
-		if (event.offset() < this.draft.log.next()) {
+		if (event.offset() < this.draft.log.nextOffset()) {
 			return;
 		}
-		this.draft.logClock = Optional.of(LogClock.update(this.draft.logClock, event.time(), this.draft.now));
+		this.draft.logClock = Optional.of(LogClock.update(this.draft.logClock, event.logTime(), this.draft.now));
 		int index = 0;
 		for (LedgerRecord record : event.batch()) {
 			Position position = new Position(event.offset(), index);
-			Ledger.ApplyResult reading = this.draft.log.ledger().apply(position, event.time(), record);
+			Ledger.ApplyResult reading = this.draft.log.ledger().apply(position, event.logTime(), record);
 			this.draft.log = this.draft.log.withLedger(reading.ledger());
 			reading.changes().forEach((change) -> applyChange(change, event.offset()));
 			index++;
 		}
-		this.draft.log = this.draft.log.readTo(event.offset() + 1, event.time());
+		this.draft.log = this.draft.log.advanceTo(event.offset() + 1, event.logTime());
 	}
 
 	private void applyChange(LedgerChange change, long offset) {
@@ -93,7 +93,7 @@
 		if (!this.draft.log.isReachable()) {
 			this.draft.report(NoticeCode.LOG_BACK.with(FieldName.OFFSET, next));
 		}
-		this.draft.log = this.draft.log.reachable();
+		this.draft.log = this.draft.log.caughtUp();
 	}
 
 	private void logUnreachable() {
@@ -105,10 +105,10 @@
 
 	// What was lost may have changed homes and claims: only what the log still has
 	// counts.
-	private void resetAfterGap(LogEvent.GapFound gap) {
-		this.draft.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.from())
-			.with(FieldName.COUNT, gap.first() - gap.from()));
-		this.draft.log = LogView.unread().readTo(gap.first(), Instant.EPOCH);
+	private void resetAfterGap(LogEvent.GapDetected gap) {
+		this.draft.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.expectedOffset())
+			.with(FieldName.COUNT, gap.firstOffset() - gap.expectedOffset()));
+		this.draft.log = LogView.empty().advanceTo(gap.firstOffset(), Instant.EPOCH);
 		this.draft.accounts = this.draft.accounts.mapValues(Account::discardSlices);
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
@@ -10,9 +10,9 @@
 import io.lentilslip.core.notice.FieldName;
 import io.lentilslip.core.notice.NoticeCode;
 import io.lentilslip.core.retry.RetryBudget;
-import io.lentilslip.core.role.Agenda;
 import io.lentilslip.core.role.NodeEffect;
 import io.lentilslip.core.role.NodeEvent;
+import io.lentilslip.core.role.TimerQueue;
 
 /**
  * The rules for time, configuration, membership and the end of the process. Confined to
@@ -81,7 +81,7 @@
 
 	private void vmListRead(NodeEvent.VmListRead event) {
 		for (Peer peer : this.draft.peers.values()) {
-			boolean leaving = event.leaving().contains(peer.policy().vm());
+			boolean leaving = event.draining().contains(peer.policy().vm());
 			if (leaving != peer.listedLeaving()) {
 				this.draft.put(peer.listedAsLeaving(leaving));
 			}
@@ -89,8 +89,8 @@
 	}
 
 	private void tick() {
-		Agenda.Due<Timer> due = this.draft.timers.due(this.draft.now);
-		this.draft.timers = due.agenda();
+		TimerQueue.DueItems<Timer> due = this.draft.timers.pollDue(this.draft.now);
+		this.draft.timers = due.remaining();
 		due.items().forEach(this::fire);
 		measure();
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Payload.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Payload.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import io.lentilslip.core.call.HistoryMode;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.identity.ModelName;
 import io.lentilslip.core.identity.ServiceName;
 
@@ -48,7 +48,7 @@
 	 * @param service the service
 	 * @param message the HTTP request to pass on
 	 */
-	record ForService(ServiceName service, ServiceMessage message) implements Payload {
+	record ForService(ServiceName service, ServiceRequest message) implements Payload {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/RouteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/RouteRules.java
@@ -18,8 +18,8 @@
 import io.lentilslip.core.ledger.LedgerRecord;
 import io.lentilslip.core.ledger.ProgramState;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.measurement.Measurement;
 import io.lentilslip.core.placement.Candidate;
 import io.lentilslip.core.placement.Candidates;
@@ -97,7 +97,8 @@
 			return;
 		}
 		if (peer.get().isLinkedTo(state.home())) {
-			send(call, state.home(), new Standing.ForHome(state.home(), state.epoch(), state.claimPosition().offset()),
+			send(call, state.home(),
+					new ExecutionAuthority.ForHome(state.home(), state.epoch(), state.claimPosition().offset()),
 					state.epoch());
 			return;
 		}
@@ -114,7 +115,7 @@
 	// log until its deadline.
 	private void claimFirstHome(Call call, Route.ForHome route) {
 		boolean orphaned = call.request()
-			.place()
+			.programCall()
 			.flatMap(ProgramCall::parent)
 			.flatMap(this.draft.log.ledger()::program)
 			.flatMap(ProgramState::endReason)
@@ -141,7 +142,7 @@
 			return;
 		}
 		ClaimState claim = known.get();
-		if (!claim.content().equals(call.request().content())) {
+		if (!claim.content().equals(call.request().contentDigest())) {
 			refuse(call, CallFailure.notRun(FailureCause.KEY_REUSED, "This key belongs to a call with other content."));
 			return;
 		}
@@ -158,9 +159,8 @@
 			return;
 		}
 		if (peer.get().isLinkedTo(claim.executor())) {
-			send(call, claim.executor(),
-					new Standing.ForClaimedCall(route.key(), claim.executor(), claim.claimPosition().offset()),
-					Epoch.NONE);
+			send(call, claim.executor(), new ExecutionAuthority.ForClaimedCall(route.key(), claim.executor(),
+					claim.claimPosition().offset()), Epoch.NONE);
 			return;
 		}
 		Instant retryUntil = peer.get().since().plus(TAKEOVER_DELAY);
@@ -181,7 +181,7 @@
 			refuse(call, noUpstream());
 			return;
 		}
-		send(call, sidecar.get(), new Standing.ForSingleCall(), Epoch.NONE);
+		send(call, sidecar.get(), new ExecutionAuthority.ForSingleCall(), Epoch.NONE);
 	}
 
 	private static CallFailure noUpstream() {
@@ -214,7 +214,7 @@
 			refuseUnsent(call, noUpstream());
 			return;
 		}
-		Optional<ProgramId> parent = call.request().place().flatMap(ProgramCall::parent);
+		Optional<ProgramId> parent = call.request().programCall().flatMap(ProgramCall::parent);
 		claim(call, new LedgerRecord.ProgramClaimed(route.program(), epoch, home.get(), parent));
 	}
 
@@ -228,12 +228,12 @@
 			refuseUnsent(call, noUpstream());
 			return;
 		}
-		claim(call, new LedgerRecord.CallClaimed(route.key(), call.request().content(), executor.get()));
+		claim(call, new LedgerRecord.CallClaimed(route.key(), call.request().contentDigest(), executor.get()));
 	}
 
 	private void claim(Call call, LedgerRecord record) {
 		if (!this.draft.log.isReachable()) {
-			refuse(call, logUnavailable().after(unsentVerdict(call)));
+			refuse(call, logUnavailable().combineWith(unsentVerdict(call)));
 			return;
 		}
 		long number = this.draft.nextNumber();
@@ -273,7 +273,7 @@
 	// The first round that ends after the call arrived may have begun before.
 	private boolean hasReadSinceArrival(Call call) {
 		return call.route() instanceof Route.ForAny
-				|| this.draft.log.rounds() >= call.arrivalRound() + ROUNDS_FOR_FULL_READ;
+				|| this.draft.log.catchUpCount() >= call.arrivalRound() + ROUNDS_FOR_FULL_READ;
 	}
 
 	/**
@@ -286,7 +286,7 @@
 		boolean waits = !isInLog(call) && this.draft.log.isReachable() && !hasReadSinceArrival(call)
 				&& call.deadline().isAfter(this.draft.now);
 		if (!waits) {
-			refuse(call, failure.after(unsentVerdict(call)));
+			refuse(call, failure.combineWith(unsentVerdict(call)));
 			return;
 		}
 		waitUntil(this.draft.now.plus(REROUTE_DELAY), call);
@@ -302,9 +302,9 @@
 		this.draft.startTimerAt(time, new Timer.RouteRetry(call.ticket()));
 	}
 
-	private void send(Call call, ProcessId sidecar, Standing standing, Epoch epoch) {
+	private void send(Call call, ProcessId sidecar, ExecutionAuthority standing, Epoch epoch) {
 		if (call.attempts() >= MAX_ATTEMPTS) {
-			refuse(call, noUpstream().after(unsentVerdict(call)));
+			refuse(call, noUpstream().combineWith(unsentVerdict(call)));
 			return;
 		}
 		AttemptId attempt = this.draft.nextAttempt();
@@ -385,7 +385,8 @@
 		}
 		this.draft.pendingClaims = this.draft.pendingClaims.remove(route);
 		for (Ticket ticket : this.draft.waitingByRoute.getOrElse(route, HashSet.empty())) {
-			this.draft.call(ticket).ifPresent((call) -> refuse(call, logUnavailable().after(unsentVerdict(call))));
+			this.draft.call(ticket)
+				.ifPresent((call) -> refuse(call, logUnavailable().combineWith(unsentVerdict(call))));
 		}
 	}
 
@@ -458,14 +459,14 @@
 	// itself that it did not run the call.
 	private CallFailure withUnsentVerdict(Call call, CallFailure failure) {
 		return switch (failure.cause()) {
-			case MOVED, NOT_READY, LOG_UNAVAILABLE -> failure.after(unsentVerdict(call));
+			case MOVED, NOT_READY, LOG_UNAVAILABLE -> failure.combineWith(unsentVerdict(call));
 			default -> failure;
 		};
 	}
 
 	private void afterAnyFailure(Call call, CallFailure failure) {
 		Duration left = Duration.between(this.draft.now, call.deadline());
-		FailedAttempts attempts = new FailedAttempts(failure.after(call.verdict()), call.attempts(),
+		FailedAttempts attempts = new FailedAttempts(failure.combineWith(call.verdict()), call.attempts(),
 				isRepeatable(call.request()), left);
 		switch (RetryPolicy.DEFAULT.decide(attempts, this.draft.retries)) {
 			case RetryDecision.GiveUp giveUp -> refuse(call, giveUp.failure());
@@ -482,7 +483,7 @@
 			// A request that was running when an engine crashed is not sent to the next
 			// one by itself: whoever wants it asks again, when the log knows of the
 			// crash.
-			case CallRequest.ForModel model -> this.draft.log.ledger().crashCount(model.content()) == 0;
+			case CallRequest.ForModel model -> this.draft.log.ledger().crashCount(model.contentDigest()) == 0;
 			case CallRequest.ForService service -> service.repeatable();
 		};
 	}
@@ -526,10 +527,10 @@
 		CallFailure failure = CallFailure.notRun(FailureCause.DEADLINE_PASSED, "The deadline passed.");
 		if (call.get().phase() instanceof Call.Phase.Sent sent) {
 			this.draft.emit(new EntryEffect.Send(sent.sidecar(), new LinkMessage.Cancel(sent.attempt())));
-			refuse(call.get(), failure.after(Verdict.MAY_HAVE_RUN));
+			refuse(call.get(), failure.combineWith(Verdict.MAY_HAVE_RUN));
 			return;
 		}
-		refuse(call.get(), failure.after(unsentVerdict(call.get())));
+		refuse(call.get(), failure.combineWith(unsentVerdict(call.get())));
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/SidecarRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/SidecarRules.java
@@ -74,9 +74,9 @@
 			case LinkMessage.Started started -> started(started);
 			case LinkMessage.Delta delta -> deltaReceived(delta);
 			case LinkMessage.Finished finished -> finished(finished);
-			case LinkMessage.ProgramAnswer answer -> new CallerRules(this.draft).stateReceived(answer);
+			case LinkMessage.ProgramResponse answer -> new CallerRules(this.draft).stateReceived(answer);
 			case LinkMessage.LoadReport report -> this.draft.put(peer.get().reporting(report));
-			case LinkMessage.Leaving leaving -> leaving(peer.get());
+			case LinkMessage.Draining leaving -> leaving(peer.get());
 			case LinkMessage.Hello hello -> {
 			}
 			case LinkMessage.Heartbeat heartbeat -> {
@@ -97,7 +97,7 @@
 	}
 
 	private void started(LinkMessage.Started message) {
-		callOf(message.attempt()).ifPresent((call) -> this.draft.put(call.withQueueing(message.queued())));
+		callOf(message.attempt()).ifPresent((call) -> this.draft.put(call.withQueueing(message.queueTime())));
 	}
 
 	private void deltaReceived(LinkMessage.Delta message) {
@@ -122,7 +122,7 @@
 			return;
 		}
 		switch (message.outcome()) {
-			case CallOutcome.Answered answered -> new CompletionRules(this.draft).complete(call.get(), answered);
+			case CallOutcome.Completed answered -> new CompletionRules(this.draft).complete(call.get(), answered);
 			case CallOutcome.Failed failed -> this.routes.attemptFailed(call.get(), sent, failed.failure());
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Turn.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Turn.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.identity.Digest;
 import io.lentilslip.core.identity.IdempotencyKey;
 
@@ -18,7 +18,7 @@
  * @param answer the answer
  */
 public record Turn(int number, Digest content, Optional<IdempotencyKey> key, List<String> messages,
-		Answer.FromModel answer) {
+		CallResponse.FromModel answer) {
 
 	/**
 	 * Creates a turn.
--- a/lentilslip-core/src/main/java/io/lentilslip/core/link/Standing.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/link/ExecutionAuthority.java
@@ -9,7 +9,7 @@
  * own reading of the log. Implementations are immutable and safe for use by several
  * threads.
  */
-public sealed interface Standing {
+public sealed interface ExecutionAuthority {
 
 	/**
 	 * The sidecar is the home of the call's program.
@@ -18,7 +18,7 @@
 	 * @param epoch the epoch of the claim
 	 * @param offset the offset of the claim, up to which the sidecar must have read
 	 */
-	record ForHome(ProcessId home, Epoch epoch, long offset) implements Standing {
+	record ForHome(ProcessId home, Epoch epoch, long offset) implements ExecutionAuthority {
 
 	}
 
@@ -29,14 +29,14 @@
 	 * @param executor the life of the sidecar that was claimed
 	 * @param offset the offset of the claim, up to which the sidecar must have read
 	 */
-	record ForClaimedCall(CallKey key, ProcessId executor, long offset) implements Standing {
+	record ForClaimedCall(CallKey key, ProcessId executor, long offset) implements ExecutionAuthority {
 
 	}
 
 	/**
 	 * The call belongs to no program and bears no key: whoever gets it may run it once.
 	 */
-	record ForSingleCall() implements Standing {
+	record ForSingleCall() implements ExecutionAuthority {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/link/LinkMessage.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/link/LinkMessage.java
@@ -73,8 +73,8 @@
 	 * @param delivered the text of the answer that the caller already has, from an
 	 * attempt at an earlier home; the answer must go on after it
 	 */
-	record Dispatch(AttemptId attempt, CallRequest call, Standing standing, Duration timeLeft,
-			String delivered) implements ToSidecar {
+	record Dispatch(AttemptId attempt, CallRequest call, ExecutionAuthority authority, Duration timeout,
+			String deliveredText) implements ToSidecar {
 
 	}
 
@@ -93,7 +93,7 @@
 	 * @param attempt the number under which the answer is reported
 	 * @param program the program
 	 */
-	record AskProgram(AttemptId attempt, ProgramId program) implements ToSidecar {
+	record ProgramRequest(AttemptId attempt, ProgramId program) implements ToSidecar {
 
 	}
 
@@ -112,7 +112,7 @@
 	 * @param attempt the attempt
 	 * @param queued the time it waited beside the upstream
 	 */
-	record Started(AttemptId attempt, Duration queued) implements FromSidecar {
+	record Started(AttemptId attempt, Duration queueTime) implements FromSidecar {
 
 	}
 
@@ -143,7 +143,7 @@
 	 * @param attempt the number under which it was asked
 	 * @param view the state, if the sidecar knows the program
 	 */
-	record ProgramAnswer(AttemptId attempt, Optional<ProgramView> view) implements FromSidecar {
+	record ProgramResponse(AttemptId attempt, Optional<ProgramView> view) implements FromSidecar {
 
 	}
 
@@ -177,7 +177,7 @@
 	/**
 	 * The announcement that a sidecar leaves: it takes no new work.
 	 */
-	record Leaving() implements FromSidecar {
+	record Draining() implements FromSidecar {
 
 	}
 
@@ -191,7 +191,7 @@
 	 * @param ended why it ended, if it has
 	 * @param messages its history, each message a JSON object
 	 */
-	record ProgramView(ProgramId program, Epoch epoch, int lastCall, int pendingTurns, Optional<EndReason> ended,
+	record ProgramView(ProgramId program, Epoch epoch, int lastCall, int pendingTurns, Optional<EndReason> endReason,
 			List<String> messages) {
 
 		/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/LogEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/LogEvent.java
@@ -25,7 +25,7 @@
 	 * @param batch the ledger records in it, in their order
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record BatchRead(long offset, Instant time, List<LedgerRecord> batch, Instant now) implements LogEvent {
+	record BatchRead(long offset, Instant logTime, List<LedgerRecord> batch, Instant now) implements LogEvent {
 
 		/**
 		 * Creates a value.
@@ -47,7 +47,7 @@
 	 * @param next the offset of the next append
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record CaughtUp(long next, Instant now) implements LogEvent {
+	record CaughtUp(long nextOffset, Instant now) implements LogEvent {
 
 	}
 
@@ -67,7 +67,7 @@
 	 * @param first the oldest offset that is left
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record GapFound(long from, long first, Instant now) implements LogEvent {
+	record GapDetected(long expectedOffset, long firstOffset, Instant now) implements LogEvent {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/LogView.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/LogView.java
@@ -9,18 +9,19 @@
  * What a process has read of the log. Immutable and safe for use by several threads.
  *
  * @param ledger the reading of the records
- * @param next the offset of the next record to read
- * @param time the log's time of the last record read
+ * @param nextOffset the offset of the next record to read
+ * @param lastRecordTime the log's time of the last record read
  * @param unreachableSince since when the log cannot be read, if it cannot
- * @param rounds how often all records that the log held had been read
+ * @param catchUpCount how often all records that the log held had been read
  */
-public record LogView(Ledger ledger, long next, Instant time, Optional<Instant> unreachableSince, long rounds) {
+public record LogView(Ledger ledger, long nextOffset, Instant lastRecordTime, Optional<Instant> unreachableSince,
+		long catchUpCount) {
 
 	/**
 	 * Returns the view of a process that has read nothing.
 	 * @return a view without records
 	 */
-	public static LogView unread() {
+	public static LogView empty() {
 		return new LogView(Ledger.withRetention(Ledger.RETENTION), 0, Instant.EPOCH, Optional.empty(), 0);
 	}
 
@@ -30,7 +31,7 @@
 	 * @return whether it has been read
 	 */
 	public boolean hasRead(long offset) {
-		return offset < this.next;
+		return offset < this.nextOffset;
 	}
 
 	/**
@@ -39,7 +40,7 @@
 	 * @return the view
 	 */
 	public LogView withLedger(Ledger read) {
-		return new LogView(read, this.next, this.time, this.unreachableSince, this.rounds);
+		return new LogView(read, this.nextOffset, this.lastRecordTime, this.unreachableSince, this.catchUpCount);
 	}
 
 	/**
@@ -48,8 +49,8 @@
 	 * @param at the log's time of the record
 	 * @return the view
 	 */
-	public LogView readTo(long offset, Instant at) {
-		return new LogView(this.ledger, offset, at, Optional.empty(), this.rounds);
+	public LogView advanceTo(long offset, Instant at) {
+		return new LogView(this.ledger, offset, at, Optional.empty(), this.catchUpCount);
 	}
 
 	/**
@@ -58,16 +59,16 @@
 	 * @return the view
 	 */
 	public LogView unreachable(Instant now) {
-		return new LogView(this.ledger, this.next, this.time, Optional.of(this.unreachableSince.orElse(now)),
-				this.rounds);
+		return new LogView(this.ledger, this.nextOffset, this.lastRecordTime,
+				Optional.of(this.unreachableSince.orElse(now)), this.catchUpCount);
 	}
 
 	/**
 	 * Returns this view after all records were read that the log held.
 	 * @return the view
 	 */
-	public LogView reachable() {
-		return new LogView(this.ledger, this.next, this.time, Optional.empty(), this.rounds + 1);
+	public LogView caughtUp() {
+		return new LogView(this.ledger, this.nextOffset, this.lastRecordTime, Optional.empty(), this.catchUpCount + 1);
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/NodeEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/NodeEffect.java
@@ -17,7 +17,7 @@
 	 * @param append the append
 	 * @param record the record
 	 */
-	record Append(AppendId append, LedgerRecord record) implements NodeEffect {
+	record AppendRecord(AppendId append, LedgerRecord record) implements NodeEffect {
 
 	}
 
@@ -26,7 +26,7 @@
 	 *
 	 * @param notice the event
 	 */
-	record Report(Notice notice) implements NodeEffect {
+	record WriteNotice(Notice notice) implements NodeEffect {
 
 	}
 
@@ -35,7 +35,7 @@
 	 *
 	 * @param measurement what to count
 	 */
-	record Measure(Measurement measurement) implements NodeEffect {
+	record RecordMeasurement(Measurement measurement) implements NodeEffect {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/NodeEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/NodeEvent.java
@@ -37,7 +37,7 @@
 	 * @param leaving the VMs said to be leaving
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
-	record VmListRead(Set<VmName> live, Set<VmName> leaving, Instant now) implements NodeEvent {
+	record VmListRead(Set<VmName> live, Set<VmName> draining, Instant now) implements NodeEvent {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/Agenda.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/TimerQueue.java
@@ -18,13 +18,13 @@
  *
  * @param <T> the type of the items, which are equal by their values
  */
-public final class Agenda<T> {
+public final class TimerQueue<T> {
 
 	private final SortedMap<Instant, Set<T>> items;
 
 	private final int size;
 
-	private Agenda(SortedMap<Instant, Set<T>> items, int size) {
+	private TimerQueue(SortedMap<Instant, Set<T>> items, int size) {
 		this.items = items;
 		this.size = size;
 	}
@@ -34,8 +34,8 @@
 	 * @param <T> the type of the items
 	 * @return an empty agenda
 	 */
-	public static <T> Agenda<T> empty() {
-		return new Agenda<>(TreeMap.empty(), 0);
+	public static <T> TimerQueue<T> empty() {
+		return new TimerQueue<>(TreeMap.empty(), 0);
 	}
 
 	/**
@@ -44,12 +44,12 @@
 	 * @param item the item
 	 * @return the longer agenda
 	 */
-	public Agenda<T> with(Instant time, T item) {
+	public TimerQueue<T> with(Instant time, T item) {
 		Set<T> others = this.items.getOrElse(time, LinkedHashSet.empty());
 		if (others.contains(item)) {
 			return this;
 		}
-		return new Agenda<>(this.items.put(time, others.add(item)), this.size + 1);
+		return new TimerQueue<>(this.items.put(time, others.add(item)), this.size + 1);
 	}
 
 	/**
@@ -58,14 +58,14 @@
 	 * @param item the item
 	 * @return the shorter agenda, or this one if the item does not stand at that time
 	 */
-	public Agenda<T> without(Instant time, T item) {
+	public TimerQueue<T> without(Instant time, T item) {
 		Set<T> there = this.items.getOrElse(time, LinkedHashSet.empty());
 		if (!there.contains(item)) {
 			return this;
 		}
 		Set<T> others = there.remove(item);
 		SortedMap<Instant, Set<T>> left = (others.isEmpty()) ? this.items.remove(time) : this.items.put(time, others);
-		return new Agenda<>(left, this.size - 1);
+		return new TimerQueue<>(left, this.size - 1);
 	}
 
 	/**
@@ -74,14 +74,14 @@
 	 * @param now the time up to which items are due
 	 * @return the items due
 	 */
-	public Due<T> due(Instant now) {
+	public DueItems<T> pollDue(Instant now) {
 		SortedMap<Instant, Set<T>> left = this.items;
 		List<T> due = new ArrayList<>();
 		while (!left.isEmpty() && !left.head()._1().isAfter(now)) {
 			left.head()._2().forEach(due::add);
 			left = left.tail();
 		}
-		return new Due<>(new Agenda<>(left, this.size - due.size()), due);
+		return new DueItems<>(new TimerQueue<>(left, this.size - due.size()), due);
 	}
 
 	/**
@@ -99,14 +99,14 @@
 	 * @param agenda the agenda that is left
 	 * @param items the items due, in the order of their times
 	 */
-	public record Due<T>(Agenda<T> agenda, List<T> items) {
+	public record DueItems<T>(TimerQueue<T> remaining, List<T> items) {
 
 		/**
 		 * Creates a value.
 		 * @param agenda the agenda that is left
 		 * @param items the items due, in the order of their times
 		 */
-		public Due {
+		public DueItems {
 			items = List.copyOf(items);
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/Transcript.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/Transcript.java
@@ -8,17 +8,17 @@
  * The text of an answer as far as it is known, kept in pieces so that a long answer is
  * not copied for each of them. Immutable and safe for use by several threads.
  *
- * @param pieces the pieces in their order
+ * @param chunks the pieces in their order
  * @param length the number of characters in all
  */
-public record Transcript(Vector<String> pieces, int length) {
+public record Transcript(Vector<String> chunks, int length) {
 
 	/**
 	 * Returns a transcript that begins with a text.
 	 * @param text the text that is there already, which may be empty
 	 * @return the transcript
 	 */
-	public static Transcript beginningWith(String text) {
+	public static Transcript of(String text) {
 		return new Transcript((text.isEmpty()) ? Vector.empty() : Vector.of(text), text.length());
 	}
 
@@ -28,7 +28,7 @@
 	 * @return the longer transcript
 	 */
 	public Transcript with(String piece) {
-		return new Transcript(this.pieces.append(piece), this.length + piece.length());
+		return new Transcript(this.chunks.append(piece), this.length + piece.length());
 	}
 
 	/**
@@ -37,7 +37,7 @@
 	 * @return the rest, or an empty result if this transcript does not begin with the
 	 * part
 	 */
-	public Optional<String> after(String delivered) {
+	public Optional<String> suffixAfter(String delivered) {
 		String text = text();
 		return (text.startsWith(delivered)) ? Optional.of(text.substring(delivered.length())) : Optional.empty();
 	}
@@ -47,7 +47,7 @@
 	 * @return the whole text
 	 */
 	public String text() {
-		return this.pieces.mkString();
+		return this.chunks.mkString();
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Arrival.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Arrival.java
@@ -7,7 +7,7 @@
 import io.lentilslip.core.call.ProgramCall;
 import io.lentilslip.core.identity.ProcessId;
 import io.lentilslip.core.link.AttemptId;
-import io.lentilslip.core.link.Standing;
+import io.lentilslip.core.link.ExecutionAuthority;
 
 /**
  * An attempt that an entry sent. Immutable and safe for use by several threads.
@@ -19,7 +19,7 @@
  * @param deadline when the caller gives up
  * @param delivered the text of the answer that the caller already has
  */
-record Arrival(AttemptId attempt, ProcessId entry, CallRequest call, Standing standing, Instant deadline,
+record Arrival(AttemptId attempt, ProcessId entry, CallRequest call, ExecutionAuthority standing, Instant deadline,
 		String delivered) {
 
 	/**
@@ -35,7 +35,7 @@
 	 * @return the number, or an empty result
 	 */
 	Optional<Integer> number() {
-		return this.call.place().flatMap(ProgramCall::number);
+		return this.call.programCall().flatMap(ProgramCall::number);
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ClaimRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ClaimRules.java
@@ -10,7 +10,7 @@
 import io.lentilslip.core.ledger.CallKey;
 import io.lentilslip.core.ledger.ClaimState;
 import io.lentilslip.core.ledger.LedgerRecord;
-import io.lentilslip.core.link.Standing;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.sidecar.Job.Stage;
 
 /**
@@ -31,13 +31,13 @@
 	 * @param arrival the attempt
 	 * @param standing the claim it names
 	 */
-	void arrive(Arrival arrival, Standing.ForClaimedCall standing) {
+	void arrive(Arrival arrival, ExecutionAuthority.ForClaimedCall standing) {
 		Optional<ClaimState> claim = this.draft.log.ledger().claim(standing.key());
 		if (claim.isEmpty() || !claim.get().executor().equals(this.draft.self)) {
 			this.draft.refuse(arrival, EntryRules.notRunSoon(FailureCause.MOVED, "The claim was released."));
 			return;
 		}
-		if (!claim.get().content().equals(arrival.call().content())) {
+		if (!claim.get().content().equals(arrival.call().contentDigest())) {
 			this.draft.refuse(arrival,
 					CallFailure.notRun(FailureCause.KEY_REUSED, "This key belongs to a call with other content."));
 			return;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Draft.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Draft.java
@@ -19,10 +19,10 @@
 import io.lentilslip.core.measurement.Measurement;
 import io.lentilslip.core.notice.Notice;
 import io.lentilslip.core.reducer.Step;
-import io.lentilslip.core.role.Agenda;
 import io.lentilslip.core.role.AppendId;
 import io.lentilslip.core.role.LogView;
 import io.lentilslip.core.role.NodeEffect;
+import io.lentilslip.core.role.TimerQueue;
 import io.lentilslip.core.share.FairQueue;
 import io.lentilslip.core.sidecar.SidecarState.SessionPhase;
 import io.vavr.collection.HashSet;
@@ -74,7 +74,7 @@
 
 	UpstreamView upstream;
 
-	Agenda<Duty> agenda;
+	TimerQueue<Duty> agenda;
 
 	Optional<LinkMessage.LoadReport> lastReport;
 
@@ -133,17 +133,17 @@
 	}
 
 	void report(Notice notice) {
-		run(new NodeEffect.Report(notice));
+		run(new NodeEffect.WriteNotice(notice));
 	}
 
 	void measure(Measurement measurement) {
-		run(new NodeEffect.Measure(measurement));
+		run(new NodeEffect.RecordMeasurement(measurement));
 	}
 
 	void append(LedgerRecord record) {
 		AppendId id = new AppendId(nextNumber());
 		this.appends = this.appends.put(id, record);
-		run(new NodeEffect.Append(id, record));
+		run(new NodeEffect.AppendRecord(id, record));
 	}
 
 	void remind(Duration delay, Duty duty) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
@@ -11,9 +11,9 @@
 import io.lentilslip.core.identity.ProgramId;
 import io.lentilslip.core.ledger.ProgramState;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
 import io.lentilslip.core.link.LinkMessage.ProgramView;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.sidecar.Job.Stage;
 import io.vavr.collection.HashSet;
 import io.vavr.collection.Vector;
@@ -42,7 +42,7 @@
 		this.draft.entries = this.draft.entries.put(entry, this.draft.entries.getOrElse(entry, HashSet.empty()));
 		this.draft.lastReport = Optional.empty();
 		if (this.draft.stopping) {
-			this.draft.send(entry, new LinkMessage.Leaving());
+			this.draft.send(entry, new LinkMessage.Draining());
 		}
 	}
 
@@ -62,7 +62,7 @@
 		switch (message) {
 			case LinkMessage.Dispatch dispatch -> dispatch(entry, dispatch);
 			case LinkMessage.Cancel cancel -> cancel(entry, cancel.attempt());
-			case LinkMessage.AskProgram question -> answer(entry, question);
+			case LinkMessage.ProgramRequest question -> answer(entry, question);
 			case LinkMessage.Hello hello -> {
 			}
 			case LinkMessage.Heartbeat heartbeat -> {
@@ -76,8 +76,8 @@
 		if (this.draft.isOpen(message.attempt())) {
 			return;
 		}
-		Arrival arrival = new Arrival(message.attempt(), entry, message.call(), message.standing(),
-				this.draft.now.plus(message.timeLeft()), message.delivered());
+		Arrival arrival = new Arrival(message.attempt(), entry, message.call(), message.authority(),
+				this.draft.now.plus(message.timeout()), message.deliveredText());
 		this.draft.opened(entry, arrival.attempt());
 		if (this.draft.setup.flatMap(Setup::upstream).isEmpty()) {
 			this.draft.refuse(arrival, notRunSoon(FailureCause.NOT_READY, "The sidecar has no configuration."));
@@ -88,7 +88,7 @@
 
 	private void receive(Arrival arrival) {
 		switch (arrival.standing()) {
-			case Standing.ForHome standing -> {
+			case ExecutionAuthority.ForHome standing -> {
 				if (!standing.home().equals(this.draft.self)) {
 					this.draft.refuse(arrival, notRunSoon(FailureCause.MOVED, "The program has another home."));
 				}
@@ -99,7 +99,7 @@
 					park(arrival);
 				}
 			}
-			case Standing.ForClaimedCall standing -> {
+			case ExecutionAuthority.ForClaimedCall standing -> {
 				if (!standing.executor().equals(this.draft.self)) {
 					// The life that was to run the call is over and may have run it. This
 					// one knows nothing of it, and not knowing is no proof.
@@ -113,7 +113,7 @@
 					park(arrival);
 				}
 			}
-			case Standing.ForSingleCall standing -> single(arrival);
+			case ExecutionAuthority.ForSingleCall standing -> single(arrival);
 		}
 	}
 
@@ -237,13 +237,13 @@
 		}
 	}
 
-	private void answer(ProcessId entry, LinkMessage.AskProgram question) {
+	private void answer(ProcessId entry, LinkMessage.ProgramRequest question) {
 		Optional<ProgramState> state = this.draft.log.ledger().program(question.program());
 		Optional<ProgramView> view = this.draft.home(question.program())
 			.filter(Home::ready)
 			.map((home) -> new ProgramView(home.program(), home.epoch(), home.turns().size(), home.pending(),
 					state.flatMap(ProgramState::endReason), home.messages().asJava()));
-		this.draft.send(entry, new LinkMessage.ProgramAnswer(question.attempt(), view));
+		this.draft.send(entry, new LinkMessage.ProgramResponse(question.attempt(), view));
 	}
 
 	static CallFailure notRunSoon(FailureCause cause, String message) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Home.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/Home.java
@@ -100,14 +100,14 @@
 	 * content and the call has neither
 	 */
 	Optional<Turn> turnOf(CallRequest call) {
-		Optional<Integer> number = call.place().flatMap(ProgramCall::number);
+		Optional<Integer> number = call.programCall().flatMap(ProgramCall::number);
 		if (number.isPresent()) {
 			return (number.get() < next()) ? Optional.of(this.turns.get(number.get() - 1)) : Optional.empty();
 		}
-		if (call.key().isPresent()) {
-			return this.turns.find((turn) -> turn.key().equals(call.key())).toJavaOptional();
+		if (call.idempotencyKey().isPresent()) {
+			return this.turns.find((turn) -> turn.key().equals(call.idempotencyKey())).toJavaOptional();
 		}
-		return this.turns.lastOption().filter((turn) -> turn.content().equals(call.content())).toJavaOptional();
+		return this.turns.lastOption().filter((turn) -> turn.content().equals(call.contentDigest())).toJavaOptional();
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.CallRequest;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.HistoryMode;
@@ -24,8 +24,8 @@
 import io.lentilslip.core.ledger.ProgramState;
 import io.lentilslip.core.ledger.Turn;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.measurement.Measurement;
 import io.lentilslip.core.notice.FieldName;
 import io.lentilslip.core.notice.NoticeCode;
@@ -65,8 +65,8 @@
 	 * @param arrival the attempt
 	 * @param standing the claim it names
 	 */
-	void arrive(Arrival arrival, Standing.ForHome standing) {
-		ProgramId program = arrival.call().place().orElseThrow().program();
+	void arrive(Arrival arrival, ExecutionAuthority.ForHome standing) {
+		ProgramId program = arrival.call().programCall().orElseThrow().program();
 		Optional<ProgramState> state = this.draft.log.ledger().program(program);
 		if (state.isEmpty() || !state.get().home().equals(this.draft.self)
 				|| !state.get().epoch().equals(standing.epoch())) {
@@ -93,7 +93,7 @@
 	}
 
 	private Home open(ProgramId program, ProgramState state) {
-		Duration age = Duration.between(state.createdAt(), this.draft.log.time());
+		Duration age = Duration.between(state.createdAt(), this.draft.log.lastRecordTime());
 		Instant expires = this.draft.now.plus(limits().programs().lifetime().minus(age));
 		Home home = Home.of(program, state.epoch(), state.lastTurnPosition().isEmpty(), this.draft.now, expires);
 		this.draft.put(home);
@@ -183,14 +183,14 @@
 		if (arrival.number().isPresent()) {
 			return job.key() instanceof JobKey.ForTurn turn && turn.number() == arrival.number().get();
 		}
-		if (call.key().isPresent()) {
-			return call.key().equals(job.call().key());
+		if (call.idempotencyKey().isPresent()) {
+			return call.idempotencyKey().equals(job.call().idempotencyKey());
 		}
-		return call.content().equals(job.call().content());
+		return call.contentDigest().equals(job.call().contentDigest());
 	}
 
 	private void repeat(Arrival arrival, Home home, Turn turn) {
-		if (!turn.content().equals(arrival.call().content())) {
+		if (!turn.content().equals(arrival.call().contentDigest())) {
 			this.draft.refuse(arrival, reused());
 			return;
 		}
@@ -201,7 +201,7 @@
 		}
 		Durability durability = (turn.number() <= home.committed()) ? Durability.COMMITTED : Durability.PENDING;
 		this.draft.finish(arrival.entry(), arrival.attempt(),
-				new CallOutcome.Answered(turn.answer(), durability, turn.number()));
+				new CallOutcome.Completed(turn.answer(), durability, turn.number()));
 		this.draft.report(NoticeCode.DUPLICATE_ANSWERED.with(FieldName.PROGRAM, home.program())
 			.with(FieldName.CALL, turn.number()));
 	}
@@ -217,11 +217,11 @@
 	 * @return {@code true}, since the attempt is taken care of
 	 */
 	boolean join(Arrival arrival, Job job) {
-		if (!job.call().content().equals(arrival.call().content())) {
+		if (!job.call().contentDigest().equals(arrival.call().contentDigest())) {
 			this.draft.refuse(arrival, reused());
 			return true;
 		}
-		Optional<String> rest = job.transcript().after(arrival.delivered());
+		Optional<String> rest = job.transcript().suffixAfter(arrival.delivered());
 		if (rest.isEmpty()) {
 			this.draft.refuse(arrival, CallFailure.mayHaveRun(FailureCause.UPSTREAM_FAILED,
 					"The answer begun before cannot be continued."));
@@ -309,15 +309,15 @@
 	 * @param program the program
 	 * @param answer the answer
 	 */
-	void answered(Job job, ProgramId program, Answer.FromModel answer) {
+	void answered(Job job, ProgramId program, CallResponse.FromModel answer) {
 		Optional<Home> home = this.draft.home(program).filter((known) -> known.active().equals(Optional.of(job.key())));
 		if (home.isEmpty()) {
 			return;
 		}
 		int number = home.get().next();
-		Turn turn = new Turn(number, job.call().content(), job.call().key(), job.added(), answer);
+		Turn turn = new Turn(number, job.call().contentDigest(), job.call().idempotencyKey(), job.added(), answer);
 		this.draft.put(home.get().withTurn(turn, this.draft.now));
-		settle(job, new CallOutcome.Answered(answer, Durability.COMMITTED, number));
+		settle(job, new CallOutcome.Completed(answer, Durability.COMMITTED, number));
 		commitNext(program);
 		advance(program);
 	}
@@ -558,7 +558,7 @@
 	// A home that has not read its history can't tell a new call from the resend of one
 	// whose turn is in it, and must not say of that one that it did not run.
 	private void refuseWaiting(Arrival arrival, Home home, CallFailure failure) {
-		this.draft.refuse(arrival, (home.ready()) ? failure : failure.after(Verdict.MAY_HAVE_RUN));
+		this.draft.refuse(arrival, (home.ready()) ? failure : failure.combineWith(Verdict.MAY_HAVE_RUN));
 	}
 
 	private void closeJob(JobKey key, FailureCause cause, String message) {
@@ -589,7 +589,7 @@
 		switch (key) {
 			case JobKey.ForTurn turn -> {
 				this.draft.jobs = this.draft.jobs.remove(key);
-				if (outcome instanceof CallOutcome.Answered) {
+				if (outcome instanceof CallOutcome.Completed) {
 					this.draft.report(NoticeCode.TURN_PENDING.with(FieldName.PROGRAM, turn.program())
 						.with(FieldName.CALL, turn.number()));
 				}
@@ -604,8 +604,8 @@
 
 	private static CallOutcome pending(CallOutcome outcome) {
 		return switch (outcome) {
-			case CallOutcome.Answered answered ->
-				new CallOutcome.Answered(answered.answer(), Durability.PENDING, answered.number());
+			case CallOutcome.Completed answered ->
+				new CallOutcome.Completed(answered.response(), Durability.PENDING, answered.number());
 			case CallOutcome.Failed failed -> failed;
 		};
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
@@ -38,26 +38,26 @@
 	void learned(LogEvent event) {
 		switch (event) {
 			case LogEvent.BatchRead read -> read(read);
-			case LogEvent.CaughtUp caughtUp -> back(caughtUp.next());
+			case LogEvent.CaughtUp caughtUp -> back(caughtUp.nextOffset());
 			case LogEvent.Unreachable unreachable -> unreachable();
-			case LogEvent.GapFound gap -> startAnew(gap);
+			case LogEvent.GapDetected gap -> startAnew(gap);
 			case LogEvent.AppendEnded ended -> appended(ended);
 		}
 	}
 
 	private void read(LogEvent.BatchRead event) {
-		if (event.offset() < this.draft.log.next()) {
+		if (event.offset() < this.draft.log.nextOffset()) {
 			return;
 		}
 		int index = 0;
 		for (LedgerRecord record : event.batch()) {
 			Position position = new Position(event.offset(), index);
-			Ledger.ApplyResult reading = this.draft.log.ledger().apply(position, event.time(), record);
+			Ledger.ApplyResult reading = this.draft.log.ledger().apply(position, event.logTime(), record);
 			this.draft.log = this.draft.log.withLedger(reading.ledger());
 			reading.changes().forEach((change) -> follow(change, position));
 			index++;
 		}
-		this.draft.log = this.draft.log.readTo(event.offset() + 1, event.time());
+		this.draft.log = this.draft.log.advanceTo(event.offset() + 1, event.logTime());
 		new EntryRules(this.draft).unpark();
 		new QueueRules(this.draft).pump();
 	}
@@ -86,7 +86,7 @@
 		if (this.draft.log.unreachableSince().isPresent()) {
 			this.draft.report(NoticeCode.LOG_BACK.with(FieldName.OFFSET, next));
 		}
-		this.draft.log = this.draft.log.reachable();
+		this.draft.log = this.draft.log.caughtUp();
 	}
 
 	private void unreachable() {
@@ -99,15 +99,15 @@
 	// Records were lost before they were read: this process may have missed that its
 	// homes
 	// moved. It acts as if it had just started, and reads what the log still has.
-	private void startAnew(LogEvent.GapFound gap) {
-		this.draft.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.from())
-			.with(FieldName.COUNT, gap.first() - gap.from()));
-		if (this.draft.log.next() > 0) {
+	private void startAnew(LogEvent.GapDetected gap) {
+		this.draft.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.expectedOffset())
+			.with(FieldName.COUNT, gap.firstOffset() - gap.expectedOffset()));
+		if (this.draft.log.nextOffset() > 0) {
 			for (ProgramId program : this.draft.homes.keySet()) {
 				new HomeRules(this.draft).close(program, FailureCause.MOVED, "The program may have moved.");
 			}
 		}
-		this.draft.log = LogView.unread().readTo(gap.first(), Instant.EPOCH);
+		this.draft.log = LogView.empty().advanceTo(gap.firstOffset(), Instant.EPOCH);
 	}
 
 	private void appended(LogEvent.AppendEnded event) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
@@ -11,9 +11,9 @@
 import io.lentilslip.core.measurement.Measurement;
 import io.lentilslip.core.notice.FieldName;
 import io.lentilslip.core.notice.NoticeCode;
-import io.lentilslip.core.role.Agenda;
 import io.lentilslip.core.role.NodeEffect;
 import io.lentilslip.core.role.NodeEvent;
+import io.lentilslip.core.role.TimerQueue;
 import io.lentilslip.core.share.QueueBounds;
 import io.lentilslip.core.share.Shares;
 import io.lentilslip.core.sidecar.SidecarState.SessionPhase;
@@ -56,8 +56,8 @@
 	}
 
 	private void tick() {
-		Agenda.Due<Duty> due = this.draft.agenda.due(this.draft.now);
-		this.draft.agenda = due.agenda();
+		TimerQueue.DueItems<Duty> due = this.draft.agenda.pollDue(this.draft.now);
+		this.draft.agenda = due.remaining();
 		due.items().forEach(this::fulfil);
 		new QueueRules(this.draft).pump();
 		reportLoad();
@@ -115,7 +115,7 @@
 			return;
 		}
 		this.draft.stopping = true;
-		this.draft.entries.keySet().forEach((entry) -> this.draft.send(entry, new LinkMessage.Leaving()));
+		this.draft.entries.keySet().forEach((entry) -> this.draft.send(entry, new LinkMessage.Draining()));
 		this.draft.report(NoticeCode.DRAINING_BEGAN.with(FieldName.COUNT, this.draft.jobs.size()));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
@@ -80,11 +80,11 @@
 	Job jobOf(JobKey key, Arrival arrival, List<String> added) {
 		CallRequest call = arrival.call();
 		FairQueue.Entry<JobKey, JobKey> entry = new FairQueue.Entry<>(key, call.group(),
-				call.place().map(ProgramCall::program), classOf(call), this.draft.now, arrival.deadline(),
+				call.programCall().map(ProgramCall::program), classOf(call), this.draft.now, arrival.deadline(),
 				estimate(call, added), key);
 		Listener listener = new Listener(arrival.attempt(), arrival.entry(), 0);
-		return new Job(key, call, added, Vector.of(listener), new Stage.Queued(),
-				Transcript.beginningWith(arrival.delivered()), arrival.delivered(), false, entry);
+		return new Job(key, call, added, Vector.of(listener), new Stage.Queued(), Transcript.of(arrival.delivered()),
+				arrival.delivered(), false, entry);
 	}
 
 	private void accept(Job job, Arrival arrival) {
@@ -101,7 +101,7 @@
 
 	private ServiceClass classOf(CallRequest call) {
 		return this.draft.setup
-			.flatMap((setup) -> call.place()
+			.flatMap((setup) -> call.programCall()
 				.map((place) -> setup.configuration().classOf(call.group(), place.program().name())))
 			.orElse(ServiceClass.INTERACTIVE);
 	}
@@ -110,7 +110,7 @@
 		return switch (call) {
 			case CallRequest.ForModel model -> {
 				long added = 1 + messages.stream().mapToLong(String::length).sum() / CHARACTERS_PER_TOKEN;
-				int generated = Math.min(model.maximumTokens(), EXPECTED_TOKENS);
+				int generated = Math.min(model.maxTokens(), EXPECTED_TOKENS);
 				yield costOf(model).of(added, 0, generated);
 			}
 			case CallRequest.ForService service -> SERVICE_COST;
@@ -182,7 +182,7 @@
 		switch (job.call()) {
 			case CallRequest.ForModel call -> this.draft.run(new SidecarEffect.Generate(run, order(job, call)));
 			case CallRequest.ForService call ->
-				this.draft.run(new SidecarEffect.CallService(run, call.service(), call.message(), timeoutOf(call)));
+				this.draft.run(new SidecarEffect.CallService(run, call.service(), call.request(), timeoutOf(call)));
 		}
 	}
 
@@ -192,7 +192,7 @@
 		program.ifPresent(new SessionRules(this.draft)::hold);
 		Vector<String> history = program.flatMap(this.draft::home).map(Home::messages).orElse(Vector.empty());
 		return new GenerationRequest(call.model(), history.appendAll(job.added()).asJava(), job.begun(),
-				call.maximumTokens(), call.parameters(), program, CACHE_LEASE);
+				call.maxTokens(), call.parameters(), program, CACHE_LEASE);
 	}
 
 	private Duration timeoutOf(CallRequest.ForService call) {
@@ -202,7 +202,7 @@
 	}
 
 	private int crashesOf(CallRequest call) {
-		return this.draft.log.ledger().crashCount(call.content());
+		return this.draft.log.ledger().crashCount(call.contentDigest());
 	}
 
 	private boolean isStopped(CallRequest call) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunResult.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunResult.java
@@ -1,6 +1,6 @@
 package io.lentilslip.core.sidecar;
 
-import io.lentilslip.core.call.Answer;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.verdict.Verdict;
 
@@ -26,7 +26,7 @@
 	 *
 	 * @param answer the answer
 	 */
-	record Served(Answer.FromService answer) implements RunResult {
+	record Served(CallResponse.FromService answer) implements RunResult {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/RunRules.java
@@ -2,10 +2,10 @@
 
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.CallRequest;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.Usage;
@@ -77,8 +77,8 @@
 		settleCost(job, result);
 		switch (result) {
 			case RunResult.Generated generated -> {
-				Answer.FromModel answer = new Answer.FromModel(generated.message(), generated.finishReason(),
-						generated.usage());
+				CallResponse.FromModel answer = new CallResponse.FromModel(generated.message(),
+						generated.finishReason(), generated.usage());
 				answered(job, answer);
 			}
 			case RunResult.Served served -> answered(job, served.answer());
@@ -118,16 +118,16 @@
 		return cost.of(computed, usage.cachedTokens(), usage.generatedTokens());
 	}
 
-	private void answered(Job job, Answer answer) {
+	private void answered(Job job, CallResponse answer) {
 		clear(job);
 		switch (job.key()) {
 			case JobKey.ForTurn key ->
-				new HomeRules(this.draft).answered(job, key.program(), (Answer.FromModel) answer);
+				new HomeRules(this.draft).answered(job, key.program(), (CallResponse.FromModel) answer);
 			case JobKey.ForClaim key -> new ClaimRules(this.draft).ended(job, key.key(),
-					new CallOutcome.Answered(answer, Durability.COMMITTED, 0));
+					new CallOutcome.Completed(answer, Durability.COMMITTED, 0));
 			case JobKey.ForAttempt key -> {
 				this.draft.jobs = this.draft.jobs.remove(key);
-				this.draft.finishAll(job, new CallOutcome.Answered(answer, Durability.NOT_KEPT, 0));
+				this.draft.finishAll(job, new CallOutcome.Completed(answer, Durability.NOT_KEPT, 0));
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 	// The request ran alone and nothing crashed, so the earlier crash was not its fault.
 	private void clear(Job job) {
 		if (job.alone()) {
-			this.draft.append(new LedgerRecord.CrashesCleared(job.call().content(), this.draft.self));
+			this.draft.append(new LedgerRecord.CrashesCleared(job.call().contentDigest(), this.draft.self));
 		}
 	}
 
@@ -173,7 +173,7 @@
 	// next knows of it; without that it would run in company there and crash that one
 	// too.
 	private void blame(Job job, CallFailure failure) {
-		Digest content = job.call().content();
+		Digest content = job.call().contentDigest();
 		this.draft.append(new LedgerRecord.UpstreamCrashed(content, this.draft.self, job.alone()));
 		this.draft.report(NoticeCode.ENGINE_CRASHED.with(FieldName.VM, this.draft.self.vm())
 			.with(FieldName.COUNT, this.draft.runs.size() + 1));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarEffect.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.identity.ProcessId;
 import io.lentilslip.core.identity.ProgramId;
 import io.lentilslip.core.identity.ServiceName;
@@ -55,7 +55,7 @@
 	 * @param message the HTTP request
 	 * @param timeout how long to wait for the whole answer
 	 */
-	record CallService(RunId run, ServiceName service, ServiceMessage message,
+	record CallService(RunId run, ServiceName service, ServiceRequest message,
 			Duration timeout) implements SidecarEffect {
 
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/SidecarState.java
@@ -12,9 +12,9 @@
 import io.lentilslip.core.ledger.LedgerRecord;
 import io.lentilslip.core.link.AttemptId;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.role.Agenda;
 import io.lentilslip.core.role.AppendId;
 import io.lentilslip.core.role.LogView;
+import io.lentilslip.core.role.TimerQueue;
 import io.lentilslip.core.share.FairQueue;
 import io.lentilslip.core.share.Ordering;
 import io.lentilslip.core.share.QueueBounds;
@@ -71,7 +71,7 @@
 
 	final UpstreamView upstream;
 
-	final Agenda<Duty> agenda;
+	final TimerQueue<Duty> agenda;
 
 	final Optional<LinkMessage.LoadReport> lastReport;
 
@@ -87,7 +87,7 @@
 		this.self = self;
 		this.zone = zone;
 		this.setup = Optional.empty();
-		this.log = LogView.unread();
+		this.log = LogView.empty();
 		this.entries = HashMap.empty();
 		this.jobs = HashMap.empty();
 		this.attempts = HashMap.empty();
@@ -103,7 +103,7 @@
 		this.unsureReleases = HashSet.empty();
 		this.sessions = HashMap.empty();
 		this.upstream = UpstreamView.unknown();
-		this.agenda = Agenda.empty();
+		this.agenda = TimerQueue.empty();
 		this.lastReport = Optional.empty();
 		this.lastMeasured = Instant.EPOCH;
 		this.nextNumber = 1;
@@ -154,7 +154,7 @@
 	 */
 	public SidecarStatus status() {
 		return new SidecarStatus(this.self, this.setup.map(Setup::version).orElse((long) NOTHING_CONFIGURED),
-				this.log.next(), this.upstream.up(), this.entries.size(), this.queue.size(), this.runs.size(),
+				this.log.nextOffset(), this.upstream.up(), this.entries.size(), this.queue.size(), this.runs.size(),
 				this.setup.map(Setup::maximumCalls).orElse(0), this.homes.size(),
 				this.homes.values().map(Home::pending).sum().intValue(), this.sessions.size(),
 				this.upstream.heldTokens(), this.stopping);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/verdict/Verdict.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/verdict/Verdict.java
@@ -41,7 +41,7 @@
 	 * @param other the verdict of the other attempt
 	 * @return {@link #RAN} if one ran, {@link #NOT_RUN} only if neither may have run
 	 */
-	public Verdict and(Verdict other) {
+	public Verdict combine(Verdict other) {
 		return (this.compareTo(other) >= 0) ? this : other;
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetSite.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 import io.lentilslip.core.budget.Account;
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.HistoryMode;
 import io.lentilslip.core.call.Usage;
@@ -248,8 +248,10 @@
 		}
 
 		void answer(long ticket, long tokens) {
-			finish(ticket, new CallOutcome.Answered(new Answer.FromModel("{}", "stop", new Usage((int) tokens, 0, 0)),
-					Durability.NOT_KEPT, 0), tokens);
+			finish(ticket,
+					new CallOutcome.Completed(new CallResponse.FromModel("{}", "stop", new Usage((int) tokens, 0, 0)),
+							Durability.NOT_KEPT, 0),
+					tokens);
 		}
 
 		void appendNext(AppendFault fate) {
@@ -316,7 +318,7 @@
 
 		private void handleEffect(EntryEffect effect) {
 			switch (effect) {
-				case EntryEffect.ForNode node when node.effect() instanceof NodeEffect.Append append ->
+				case EntryEffect.ForNode node when node.effect() instanceof NodeEffect.AppendRecord append ->
 					this.appends.add(new PendingAppend(append.append(), append.record()));
 				case EntryEffect.Send send when send.message() instanceof LinkMessage.Dispatch dispatch ->
 					this.running.put(this.state.attempts.get(dispatch.attempt()).get().value(), dispatch);
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/CallerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/CallerRulesTests.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.HistoryMode;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.identity.Digest;
 import io.lentilslip.core.identity.ModelName;
@@ -60,7 +60,7 @@
 		Ticket running = this.site.call(PLAIN);
 		this.site.stop();
 		assertRefused(this.site, PLAIN, FailureCause.STOPPING);
-		CallOutcome answer = new CallOutcome.Answered(new Answer.FromModel("{}", "stop", Usage.NONE),
+		CallOutcome answer = new CallOutcome.Completed(new CallResponse.FromModel("{}", "stop", Usage.NONE),
 				Durability.NOT_KEPT, 0);
 		this.site.finish(answer);
 		assertThat(this.site.outcomesOf(running)).containsExactly(answer);
@@ -115,7 +115,7 @@
 	@Test
 	void refusesAnUnknownService() {
 		assertRefused(this.site, withPayload(new Payload.ForService(new ServiceName("other"),
-				new ServiceMessage("GET", "/", List.of(), Body.EMPTY))), FailureCause.NOT_FOUND);
+				new ServiceRequest("GET", "/", List.of(), Body.EMPTY))), FailureCause.NOT_FOUND);
 	}
 
 	private static Submission withPayload(Payload payload) {
@@ -141,7 +141,7 @@
 		this.site.call(EntrySite.model(Optional.of(offer), Optional.of(1), HistoryMode.NEW, "m"));
 		this.site.readAppended();
 		assertThat(this.site.dispatch().call().group()).isEqualTo(EntrySite.BUYERS);
-		assertThat(this.site.dispatch().call().place().orElseThrow().program())
+		assertThat(this.site.dispatch().call().programCall().orElseThrow().program())
 			.isEqualTo(new ProgramId(EntrySite.BUYERS, offer));
 	}
 
@@ -153,7 +153,7 @@
 		Epoch epoch = Epoch.NONE.next();
 		this.site.read(new LedgerRecord.ProgramClaimed(program, epoch, EntrySite.FIRST, Optional.empty()));
 		this.site.read(new LedgerRecord.TurnCommitted(program, epoch, new Turn(1, Digest.of("m"), Optional.empty(),
-				List.of("m"), new Answer.FromModel("{}", "stop", Usage.NONE)), Optional.empty()));
+				List.of("m"), new CallResponse.FromModel("{}", "stop", Usage.NONE)), Optional.empty()));
 		this.site.read(new LedgerRecord.ProgramEnded(program, EndReason.IDLE));
 		assertRefused(this.site, EntrySite.turn(2, "n"), FailureCause.PROGRAM_ENDED);
 		CallFailure resent = this.site.failureOf(this.site.call(EntrySite.turn(1, "m")));
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/CompletionRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/CompletionRulesTests.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 import java.util.Set;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.HistoryMode;
 import io.lentilslip.core.call.Usage;
@@ -104,7 +104,7 @@
 	}
 
 	private void answer(LinkMessage.Dispatch dispatch) {
-		CallOutcome outcome = new CallOutcome.Answered(new Answer.FromModel("{}", "stop", Usage.NONE),
+		CallOutcome outcome = new CallOutcome.Completed(new CallResponse.FromModel("{}", "stop", Usage.NONE),
 				Durability.NOT_KEPT, 0);
 		apply(new EntryEvent.SidecarMessageReceived(SIDECAR, new LinkMessage.Finished(dispatch.attempt(), outcome),
 				NOW));
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/EntrySite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/EntrySite.java
@@ -11,7 +11,7 @@
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.HistoryMode;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.configuration.CallerPolicy;
 import io.lentilslip.core.configuration.Configuration;
 import io.lentilslip.core.configuration.Endpoint;
@@ -141,7 +141,7 @@
 	static Submission order(String key, String body) {
 		return new Submission(Digest.of("seller"), Optional.empty(), Optional.empty(), Optional.empty(),
 				Optional.of(new IdempotencyKey(key)), Optional.of(TIME_LEFT),
-				new Payload.ForService(SERVICE, new ServiceMessage("POST", "/orders", List.of(), Body.of(body))));
+				new Payload.ForService(SERVICE, new ServiceRequest("POST", "/orders", List.of(), Body.of(body))));
 	}
 
 	Ticket call(Submission submission) {
@@ -218,8 +218,8 @@
 	List<LedgerRecord> appended() {
 		return effects(EntryEffect.ForNode.class).stream()
 			.map(EntryEffect.ForNode::effect)
-			.filter(NodeEffect.Append.class::isInstance)
-			.map((effect) -> ((NodeEffect.Append) effect).record())
+			.filter(NodeEffect.AppendRecord.class::isInstance)
+			.map((effect) -> ((NodeEffect.AppendRecord) effect).record())
 			.toList();
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/RouteRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/RouteRulesTests.java
@@ -13,8 +13,8 @@
 import io.lentilslip.core.identity.ProgramName;
 import io.lentilslip.core.ledger.Epoch;
 import io.lentilslip.core.ledger.LedgerRecord;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.verdict.Verdict;
 import org.junit.jupiter.api.Test;
 
@@ -45,7 +45,8 @@
 		LedgerRecord.ProgramClaimed claim = (LedgerRecord.ProgramClaimed) this.site.appended().getFirst();
 		assertThat(claim.epoch()).isEqualTo(FIRST_EPOCH);
 		assertThat(this.site.latestDispatch().sidecar()).isEqualTo(claim.home());
-		assertThat(this.site.dispatch().standing()).isEqualTo(new Standing.ForHome(claim.home(), FIRST_EPOCH, 0));
+		assertThat(this.site.dispatch().authority())
+			.isEqualTo(new ExecutionAuthority.ForHome(claim.home(), FIRST_EPOCH, 0));
 	}
 
 	// Another entry claimed the program for another sidecar, and its claim is first in
@@ -88,7 +89,7 @@
 		assertThat(this.site.appended()).containsExactly(claim(FIRST_EPOCH.next(), EntrySite.SECOND));
 		this.site.readAppended();
 		assertThat(this.site.latestDispatch().sidecar()).isEqualTo(EntrySite.SECOND);
-		assertThat(this.site.dispatch().delivered()).isEqualTo("Good ");
+		assertThat(this.site.dispatch().deliveredText()).isEqualTo("Good ");
 		this.site.sendDelta(0, "morning");
 		assertThat(this.site.textFor(call)).isEqualTo("Good morning");
 	}
@@ -153,7 +154,7 @@
 	// One of two engines is leaving. However many programs come, all go to the other.
 	@Test
 	void givesALeavingUpstreamNoNewProgram() {
-		this.site.receive(EntrySite.FIRST, new LinkMessage.Leaving());
+		this.site.receive(EntrySite.FIRST, new LinkMessage.Draining());
 		for (int number = 0; number < 20; number++) {
 			this.site.call(
 					EntrySite.model(Optional.of(new ProgramName("p" + number)), Optional.of(1), HistoryMode.NEW, "m"));
--- a/lentilslip-core/src/test/java/io/lentilslip/core/ledger/LedgerTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/ledger/LedgerTests.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.Usage;
@@ -258,7 +258,7 @@
 
 	private static LedgerRecord turn(ProgramId program, int epoch, int number) {
 		Turn turn = new Turn(number, CONTENT, Optional.empty(), List.of("{}"),
-				new Answer.FromModel("{}", "stop", Usage.NONE));
+				new CallResponse.FromModel("{}", "stop", Usage.NONE));
 		return new LedgerRecord.TurnCommitted(program, new Epoch(epoch), turn, Optional.empty());
 	}
 
@@ -279,8 +279,8 @@
 	}
 
 	private static CallOutcome answer() {
-		return new CallOutcome.Answered(new Answer.FromService(200, List.of(), Body.of("done")), Durability.COMMITTED,
-				0);
+		return new CallOutcome.Completed(new CallResponse.FromService(200, List.of(), Body.of("done")),
+				Durability.COMMITTED, 0);
 	}
 
 	private static List<LedgerChange> voided(LedgerRecord record, VoidReason reason) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/Callers.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/Callers.java
@@ -9,12 +9,12 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.HistoryMode;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.entry.EntryEvent;
 import io.lentilslip.core.entry.Payload;
 import io.lentilslip.core.entry.Submission;
@@ -178,16 +178,16 @@
 		}
 		attempt.outcome = outcome;
 		attempt.request.ended(outcome.verdict() == Verdict.NOT_RUN);
-		if (outcome instanceof CallOutcome.Answered answered) {
+		if (outcome instanceof CallOutcome.Completed answered) {
 			checkAnswer(attempt, answered);
 		}
 	}
 
-	private void checkAnswer(Attempt attempt, CallOutcome.Answered answered) {
-		switch (answered.answer()) {
-			case Answer.FromService answer -> World.check(answer.body().toText().equals(attempt.request.text),
+	private void checkAnswer(Attempt attempt, CallOutcome.Completed answered) {
+		switch (answered.response()) {
+			case CallResponse.FromService answer -> World.check(answer.body().toText().equals(attempt.request.text),
 					"another request's answer: " + attempt.request);
-			case Answer.FromModel answer -> {
+			case CallResponse.FromModel answer -> {
 				String text = FakeUpstream.textOf(answer);
 				World.check(this.world.requests.isAnswerTo(attempt.request, text),
 						"another request's answer: " + attempt.request);
@@ -203,13 +203,13 @@
 		}
 	}
 
-	private void note(Request request, CallOutcome.Answered answered, Answer.FromModel answer) {
+	private void note(Request request, CallOutcome.Completed answered, CallResponse.FromModel answer) {
 		for (Program program : this.programs) {
 			if (program.calls.containsValue(request)) {
 				World.check(program.calls.get(answered.number()) == request, "wrong number: " + request);
 				program.answers.put(answered.number(), answer);
 				if (answered.durability() == Durability.COMMITTED) {
-					Answer.FromModel before = program.committed.put(answered.number(), answer);
+					CallResponse.FromModel before = program.committed.put(answered.number(), answer);
 					World.check(before == null || before.equals(answer), "two answers: " + request);
 				}
 			}
@@ -290,7 +290,7 @@
 	}
 
 	private static Payload servicePayload(String path) {
-		return new Payload.ForService(Site.SERVICE, new ServiceMessage("POST", path, List.of(), Body.EMPTY));
+		return new Payload.ForService(Site.SERVICE, new ServiceRequest("POST", path, List.of(), Body.EMPTY));
 	}
 
 	private static String message(String text) {
@@ -310,9 +310,9 @@
 
 		final Map<Integer, Request> calls = new TreeMap<>();
 
-		final Map<Integer, Answer.FromModel> answers = new TreeMap<>();
+		final Map<Integer, CallResponse.FromModel> answers = new TreeMap<>();
 
-		final Map<Integer, Answer.FromModel> committed = new TreeMap<>();
+		final Map<Integer, CallResponse.FromModel> committed = new TreeMap<>();
 
 		int pings;
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/FakeUpstream.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/FakeUpstream.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.identity.Digest;
 import io.lentilslip.core.identity.Incarnation;
@@ -43,7 +43,7 @@
 		this.requests = requests;
 	}
 
-	static String textOf(Answer.FromModel answer) {
+	static String textOf(CallResponse.FromModel answer) {
 		return textOf(answer.message());
 	}
 
@@ -113,7 +113,7 @@
 		this.runs.remove(id);
 		hold(run.hold());
 		RunResult result = run.engine() ? new RunResult.Generated(run.answer(), "stop", new Usage(1, 0, 1))
-				: new RunResult.Served(new Answer.FromService(200, List.of(), Body.of(run.request())));
+				: new RunResult.Served(new CallResponse.FromService(200, List.of(), Body.of(run.request())));
 		return Optional.of(new SidecarEvent.RunEnded(id, result, now));
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/model/World.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/model/World.java
@@ -379,7 +379,7 @@
 
 		void run(NodeEffect effect) {
 			switch (effect) {
-				case NodeEffect.Append append -> {
+				case NodeEffect.AppendRecord append -> {
 					ProcessId life = this.self;
 					World.this.log.ask(append.record(), (result) -> {
 						if (this.self.equals(life)) {
@@ -388,9 +388,9 @@
 					});
 				}
 				case NodeEffect.Stopped stopped -> stopped();
-				case NodeEffect.Report report -> {
+				case NodeEffect.WriteNotice report -> {
 				}
-				case NodeEffect.Measure measure -> {
+				case NodeEffect.RecordMeasurement measure -> {
 				}
 			}
 		}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/retry/RetryPolicyTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/retry/RetryPolicyTests.java
@@ -80,7 +80,7 @@
 
 	private static RetryDecision decide(FailureCause cause, Verdict verdict, int made, boolean repeatable,
 			Duration timeLeft, RetryBudget budget) {
-		CallFailure failure = CallFailure.notRun(cause, "no answer").after(verdict);
+		CallFailure failure = CallFailure.notRun(cause, "no answer").combineWith(verdict);
 		return RetryPolicy.DEFAULT.decide(new FailedAttempts(failure, made, repeatable, timeLeft), budget);
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/ClaimRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/ClaimRulesTests.java
@@ -12,7 +12,7 @@
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.CallRequest;
 import io.lentilslip.core.call.FailureCause;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.configuration.Configuration;
 import io.lentilslip.core.configuration.Endpoint;
 import io.lentilslip.core.configuration.GroupPolicy;
@@ -31,8 +31,8 @@
 import io.lentilslip.core.ledger.CallKey;
 import io.lentilslip.core.ledger.LedgerRecord;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.reducer.Step;
 import io.lentilslip.core.role.AppendResult;
 import io.lentilslip.core.role.LogEvent;
@@ -123,10 +123,10 @@
 
 	private void dispatch(long offset) {
 		CallRequest call = new CallRequest.ForService(GROUP, Optional.empty(), Optional.of(TEXT), CONTENT, SERVICE,
-				new ServiceMessage("POST", "/ping", List.of(), Body.EMPTY), false);
+				new ServiceRequest("POST", "/ping", List.of(), Body.EMPTY), false);
 		apply(new SidecarEvent.EntryMessageReceived(ENTRY,
 				new LinkMessage.Dispatch(new AttemptId(ENTRY.incarnation(), ++this.attempts), call,
-						new Standing.ForClaimedCall(KEY, SELF, offset), Duration.ofSeconds(10), ""),
+						new ExecutionAuthority.ForClaimedCall(KEY, SELF, offset), Duration.ofSeconds(10), ""),
 				NOW));
 	}
 
@@ -134,11 +134,11 @@
 		apply(new SidecarEvent.LogEventReceived(new LogEvent.AppendEnded(appends().getLast().append(), result, NOW)));
 	}
 
-	private List<NodeEffect.Append> appends() {
+	private List<NodeEffect.AppendRecord> appends() {
 		return this.effects.stream()
 			.filter((effect) -> effect instanceof SidecarEffect.ForNode node
-					&& node.effect() instanceof NodeEffect.Append)
-			.map((effect) -> (NodeEffect.Append) ((SidecarEffect.ForNode) effect).effect())
+					&& node.effect() instanceof NodeEffect.AppendRecord)
+			.map((effect) -> (NodeEffect.AppendRecord) ((SidecarEffect.ForNode) effect).effect())
 			.toList();
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/QueueRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/QueueRulesTests.java
@@ -113,7 +113,7 @@
 		assertThat(site.started()).containsExactly("guilty", "innocent", "innocent");
 		site.answer(2);
 		site.settleLog();
-		assertThat(site.answerOf(alone).answer()).isNotNull();
+		assertThat(site.answerOf(alone).response()).isNotNull();
 		site.callAlone("innocent", LONG);
 		assertThat(site.started()).containsExactly("guilty", "innocent", "innocent", "other", "innocent");
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/sidecar/SidecarSite.java
@@ -34,8 +34,8 @@
 import io.lentilslip.core.ledger.Epoch;
 import io.lentilslip.core.ledger.LedgerRecord;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.reducer.Step;
 import io.lentilslip.core.role.AppendResult;
 import io.lentilslip.core.role.LogEvent;
@@ -132,14 +132,14 @@
 	 */
 	void settleLog() {
 		while (this.settled < appends().size()) {
-			NodeEffect.Append append = appends().get(this.settled);
+			NodeEffect.AppendRecord append = appends().get(this.settled);
 			endAppend(AppendResult.APPENDED);
 			read(append.record());
 		}
 	}
 
 	void endAppend(AppendResult result) {
-		NodeEffect.Append append = appends().get(this.settled++);
+		NodeEffect.AppendRecord append = appends().get(this.settled++);
 		apply(new SidecarEvent.LogEventReceived(new LogEvent.AppendEnded(append.append(), result, this.now)));
 	}
 
@@ -171,7 +171,7 @@
 	private AttemptId dispatch(ProcessId entry, Optional<Integer> number, HistoryMode mode, String message,
 			String delivered) {
 		return dispatch(entry, Optional.of(new ProgramCall(PROGRAM, Optional.empty(), number)), mode, message,
-				new Standing.ForHome(SELF, Epoch.NONE.next(), 0), TIME_LEFT, delivered);
+				new ExecutionAuthority.ForHome(SELF, Epoch.NONE.next(), 0), TIME_LEFT, delivered);
 	}
 
 	/**
@@ -181,12 +181,12 @@
 	 * @return the attempt
 	 */
 	AttemptId callAlone(String message, Duration timeLeft) {
-		return dispatch(ENTRY, Optional.empty(), HistoryMode.WHOLE, message, new Standing.ForSingleCall(), timeLeft,
-				"");
+		return dispatch(ENTRY, Optional.empty(), HistoryMode.WHOLE, message, new ExecutionAuthority.ForSingleCall(),
+				timeLeft, "");
 	}
 
 	private AttemptId dispatch(ProcessId entry, Optional<ProgramCall> place, HistoryMode mode, String message,
-			Standing standing, Duration timeLeft, String delivered) {
+			ExecutionAuthority standing, Duration timeLeft, String delivered) {
 		AttemptId attempt = new AttemptId(entry.incarnation(), ++this.attempts);
 		CallRequest call = new CallRequest.ForModel(GROUP, place, Optional.empty(), Digest.of(message), MODEL, mode,
 				List.of(message), 100, "{}", false);
@@ -246,8 +246,8 @@
 		return outcomes.stream().findFirst();
 	}
 
-	CallOutcome.Answered answerOf(AttemptId attempt) {
-		return (CallOutcome.Answered) outcomeOf(attempt).orElseThrow();
+	CallOutcome.Completed answerOf(AttemptId attempt) {
+		return (CallOutcome.Completed) outcomeOf(attempt).orElseThrow();
 	}
 
 	CallFailure failureOf(AttemptId attempt) {
@@ -269,7 +269,7 @@
 	}
 
 	List<LedgerRecord> appended() {
-		return appends().stream().map(NodeEffect.Append::record).toList();
+		return appends().stream().map(NodeEffect.AppendRecord::record).toList();
 	}
 
 	long attained() {
@@ -280,11 +280,11 @@
 		return SidecarLeftovers.in(this.state);
 	}
 
-	private List<NodeEffect.Append> appends() {
+	private List<NodeEffect.AppendRecord> appends() {
 		return effects(SidecarEffect.ForNode.class).stream()
 			.map(SidecarEffect.ForNode::effect)
-			.filter(NodeEffect.Append.class::isInstance)
-			.map(NodeEffect.Append.class::cast)
+			.filter(NodeEffect.AppendRecord.class::isInstance)
+			.map(NodeEffect.AppendRecord.class::cast)
 			.toList();
 	}
 
--- a/lentilslip-entry/src/main/java/io/lentilslip/entry/http/CallerRoutes.java
+++ b/lentilslip-entry/src/main/java/io/lentilslip/entry/http/CallerRoutes.java
@@ -12,7 +12,7 @@
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.Header;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.configuration.Configuration;
 import io.lentilslip.core.configuration.ModelPolicy;
 import io.lentilslip.core.entry.EntryEvent;
@@ -124,7 +124,7 @@
 	private Optional<HttpError> submitService(HttpExchange exchange, CallHeaders headers, ServiceName service,
 			ServicePath path) {
 		Ticket ticket = this.calls.nextTicket();
-		ServiceMessage message = new ServiceMessage(exchange.method(), path.value(),
+		ServiceRequest message = new ServiceRequest(exchange.method(), path.value(),
 				ServiceHeaders.toService(exchange.headers()), exchange.body());
 		Payload payload = new Payload.ForService(service, message);
 		return submit(ticket, new PendingCall.ForService(exchange, headers.program()), new EntryEvent.CallArrived(
--- a/lentilslip-entry/src/main/java/io/lentilslip/entry/http/ChatMessage.java
+++ b/lentilslip-entry/src/main/java/io/lentilslip/entry/http/ChatMessage.java
@@ -4,7 +4,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.lentilslip.core.call.Answer;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Usage;
 
 /**
@@ -23,11 +23,11 @@
 	 * @return the message, or an empty result if the answer is none of a model or its
 	 * message can't be read
 	 */
-	static Optional<ChatMessage> of(Answer answer) {
+	static Optional<ChatMessage> of(CallResponse answer) {
 		return switch (answer) {
-			case Answer.FromModel model -> Json.readObject(model.message())
+			case CallResponse.FromModel model -> Json.readObject(model.message())
 				.map((json) -> new ChatMessage(json, model.finishReason(), model.usage()));
-			case Answer.FromService service -> Optional.empty();
+			case CallResponse.FromService service -> Optional.empty();
 		};
 	}
 
--- a/lentilslip-entry/src/main/java/io/lentilslip/entry/http/ChatShape.java
+++ b/lentilslip-entry/src/main/java/io/lentilslip/entry/http/ChatShape.java
@@ -36,7 +36,7 @@
 	 * @param outcome the outcome that has the answer
 	 * @return the object
 	 */
-	ObjectNode whole(ChatMessage message, CallOutcome.Answered outcome) {
+	ObjectNode whole(ChatMessage message, CallOutcome.Completed outcome) {
 		ObjectNode root = base("chat.completion");
 		ObjectNode choice = root.putArray("choices").addObject();
 		choice.put("index", 0);
@@ -115,7 +115,7 @@
 	 * @param outcome the outcome that has the answer
 	 * @return the object
 	 */
-	ObjectNode closing(ChatMessage message, CallOutcome.Answered outcome) {
+	ObjectNode closing(ChatMessage message, CallOutcome.Completed outcome) {
 		ObjectNode root = chunk(Json.object(), Optional.of(message.finishReason()));
 		root.set("lentilslip", facts(outcome));
 		return root;
@@ -152,7 +152,7 @@
 		return root;
 	}
 
-	private ObjectNode facts(CallOutcome.Answered outcome) {
+	private ObjectNode facts(CallOutcome.Completed outcome) {
 		ObjectNode facts = Json.object();
 		this.program.ifPresent((name) -> facts.put("program", name.value()));
 		if (outcome.number() > 0) {
--- a/lentilslip-entry/src/main/java/io/lentilslip/entry/http/PendingCall.java
+++ b/lentilslip-entry/src/main/java/io/lentilslip/entry/http/PendingCall.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.Header;
 import io.lentilslip.core.identity.ProgramName;
@@ -40,7 +40,7 @@
 	 */
 	default void complete(CallOutcome outcome) {
 		switch (outcome) {
-			case CallOutcome.Answered answered -> answer(answered);
+			case CallOutcome.Completed answered -> answer(answered);
 			case CallOutcome.Failed failed -> fail(failed.failure());
 		}
 	}
@@ -49,7 +49,7 @@
 	 * Ends the request with its answer.
 	 * @param outcome the outcome that has the answer
 	 */
-	void answer(CallOutcome.Answered outcome);
+	void answer(CallOutcome.Completed outcome);
 
 	/**
 	 * Ends the request with the state of a program.
@@ -72,7 +72,7 @@
 		return new CallFailure(Verdict.RAN, FailureCause.INTERNAL, "the answer can't be read", Optional.empty());
 	}
 
-	private static List<Header> headers(Optional<ProgramName> program, CallOutcome.Answered outcome) {
+	private static List<Header> headers(Optional<ProgramName> program, CallOutcome.Completed outcome) {
 		List<Header> headers = new ArrayList<>();
 		program.ifPresent((name) -> headers.add(new Header(CallHeaders.PROGRAM, name.value())));
 		if (outcome.number() > 0) {
@@ -92,13 +92,13 @@
 	record ForWholeChat(HttpExchange exchange, ChatShape shape) implements PendingCall {
 
 		@Override
-		public void answer(CallOutcome.Answered outcome) {
-			Optional<ObjectNode> whole = ChatMessage.of(outcome.answer())
+		public void answer(CallOutcome.Completed outcome) {
+			Optional<ObjectNode> whole = ChatMessage.of(outcome.response())
 				.map((message) -> this.shape.whole(message, outcome));
 			whole.ifPresentOrElse((json) -> this.exchange.answer(success(outcome, json)), () -> fail(unreadable()));
 		}
 
-		private HttpAnswer success(CallOutcome.Answered outcome, ObjectNode json) {
+		private HttpAnswer success(CallOutcome.Completed outcome, ObjectNode json) {
 			return HttpAnswer.ofJson(HttpAnswer.OK, headers(this.shape.program(), outcome), json);
 		}
 
@@ -181,13 +181,13 @@
 		}
 
 		@Override
-		public void answer(CallOutcome.Answered outcome) {
-			ChatMessage.of(outcome.answer())
+		public void answer(CallOutcome.Completed outcome) {
+			ChatMessage.of(outcome.response())
 				.filter((message) -> message.text().startsWith(this.text.toString()))
 				.ifPresentOrElse((message) -> finish(message, outcome), () -> fail(unreadable()));
 		}
 
-		private void finish(ChatMessage message, CallOutcome.Answered outcome) {
+		private void finish(ChatMessage message, CallOutcome.Completed outcome) {
 			String whole = message.text();
 			this.text.append(whole, this.text.length(), whole.length());
 			begin();
@@ -222,8 +222,8 @@
 	record ForService(HttpExchange exchange, Optional<ProgramName> program) implements PendingCall {
 
 		@Override
-		public void answer(CallOutcome.Answered outcome) {
-			if (!(outcome.answer() instanceof Answer.FromService answer)) {
+		public void answer(CallOutcome.Completed outcome) {
+			if (!(outcome.response() instanceof CallResponse.FromService answer)) {
 				fail(unreadable());
 				return;
 			}
@@ -243,7 +243,7 @@
 	record ForProgram(HttpExchange exchange, ProgramName program) implements PendingCall {
 
 		@Override
-		public void answer(CallOutcome.Answered outcome) {
+		public void answer(CallOutcome.Completed outcome) {
 			this.exchange.answer(deleted());
 		}
 
--- a/lentilslip-entry/src/main/java/io/lentilslip/entry/http/ProgramShape.java
+++ b/lentilslip-entry/src/main/java/io/lentilslip/entry/http/ProgramShape.java
@@ -25,8 +25,8 @@
 		root.put("id", view.program().name().value());
 		root.put("object", "program");
 		root.put("group", view.program().group().value());
-		root.put("state", view.ended().isPresent() ? "ended" : "open");
-		root.put("end_reason", view.ended().map((reason) -> reason.name().toLowerCase(Locale.ROOT)).orElse(null));
+		root.put("state", view.endReason().isPresent() ? "ended" : "open");
+		root.put("end_reason", view.endReason().map((reason) -> reason.name().toLowerCase(Locale.ROOT)).orElse(null));
 		root.put("epoch", view.epoch().value());
 		root.put("last_call", view.lastCall());
 		root.put("pending_turns", view.pendingTurns());
--- a/lentilslip-entry/src/test/java/io/lentilslip/entry/EntryProcessTests.java
+++ b/lentilslip-entry/src/test/java/io/lentilslip/entry/EntryProcessTests.java
@@ -21,9 +21,9 @@
 
 import io.lentilslip.client.log.LogService;
 import io.lentilslip.client.vmlist.VmList;
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.Usage;
@@ -224,8 +224,8 @@
 	}
 
 	private static CallOutcome outcome() {
-		Answer answer = new Answer.FromModel("{\"content\":\"good day\"}", "stop", Usage.NONE);
-		return new CallOutcome.Answered(answer, Durability.NOT_KEPT, 0);
+		CallResponse answer = new CallResponse.FromModel("{\"content\":\"good day\"}", "stop", Usage.NONE);
+		return new CallOutcome.Completed(answer, Durability.NOT_KEPT, 0);
 	}
 
 	private static AttemptId attempt() {
--- a/lentilslip-entry/src/test/java/io/lentilslip/entry/http/CallerPortTests.java
+++ b/lentilslip-entry/src/test/java/io/lentilslip/entry/http/CallerPortTests.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.Header;
@@ -264,13 +264,13 @@
 
 	@Test
 	void serviceCallPassesWithoutWhatIsNotTheServices() throws Exception {
-		Answer answer = new Answer.FromService(201,
+		CallResponse answer = new CallResponse.FromService(201,
 				List.of(new Header("Set-Cookie", "a=1"), new Header("Set-Cookie", "b=2"),
 						new Header("Transfer-Encoding", "chunked"), new Header("Lentilslip-Call", "9")),
 				Body.of("done"));
 		try (ScriptedEntry entry = ScriptedEntry
 			.following((event) -> List.of(new EntryEffect.Complete(ScriptedEntry.ticketOf(event),
-					new CallOutcome.Answered(answer, Durability.NOT_KEPT, 0))))) {
+					new CallOutcome.Completed(answer, Durability.NOT_KEPT, 0))))) {
 			HttpResponse<String> response = entry.send(entry.request("/v1/services/price/boats/%61?x=%2F")
 				.headers("Idempotency-Key", "k", "X-Own", "v", "Content-Type", "application/x-www-form-urlencoded")
 				.POST(HttpRequest.BodyPublishers.ofString("a=b")));
--- a/lentilslip-entry/src/test/java/io/lentilslip/entry/http/ScriptedEntry.java
+++ b/lentilslip-entry/src/test/java/io/lentilslip/entry/http/ScriptedEntry.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.configuration.Configuration;
@@ -80,8 +80,8 @@
 	}
 
 	static EntryEffect answered(Ticket ticket, String message, String finishReason) {
-		Answer answer = new Answer.FromModel(message, finishReason, USAGE);
-		return new EntryEffect.Complete(ticket, new CallOutcome.Answered(answer, Durability.COMMITTED, 3));
+		CallResponse answer = new CallResponse.FromModel(message, finishReason, USAGE);
+		return new EntryEffect.Complete(ticket, new CallOutcome.Completed(answer, Durability.COMMITTED, 3));
 	}
 
 	static Ticket ticketOf(EntryEvent event) {
--- a/lentilslip-entry/src/test/java/io/lentilslip/entry/link/SidecarLinksTests.java
+++ b/lentilslip-entry/src/test/java/io/lentilslip/entry/link/SidecarLinksTests.java
@@ -70,9 +70,9 @@
 	@Test
 	void openLinkIsReportedBeforeItsMessages() throws Exception {
 		FakeLink link = open(SIDECAR, 8);
-		link.listener.received(link, new LinkMessage.Leaving());
+		link.listener.received(link, new LinkMessage.Draining());
 		assertThat(this.recorder.events).containsExactly(new EntryEvent.SidecarLinked(VM, SIDECAR, NOW),
-				new EntryEvent.SidecarMessageReceived(SIDECAR, new LinkMessage.Leaving(), NOW));
+				new EntryEvent.SidecarMessageReceived(SIDECAR, new LinkMessage.Draining(), NOW));
 		assertThat(this.links.up()).isOne();
 	}
 
--- a/lentilslip-runtime/src/main/java/io/lentilslip/runtime/log/GroupCommitter.java
+++ b/lentilslip-runtime/src/main/java/io/lentilslip/runtime/log/GroupCommitter.java
@@ -48,7 +48,7 @@
 
 	private final ProcessContext context;
 
-	private final BlockingQueue<NodeEffect.Append> waiting;
+	private final BlockingQueue<NodeEffect.AppendRecord> waiting;
 
 	private final Thread thread;
 
@@ -79,17 +79,17 @@
 	 * {@link AppendResult#NOT_APPENDED}.
 	 * @param append the append
 	 */
-	public void append(NodeEffect.Append append) {
+	public void append(NodeEffect.AppendRecord append) {
 		if (!this.waiting.offer(append)) {
 			end(append, AppendResult.NOT_APPENDED);
 		}
 	}
 
 	private void work() {
-		NodeEffect.Append carried = null;
+		NodeEffect.AppendRecord carried = null;
 		try {
 			while (!Thread.currentThread().isInterrupted()) {
-				List<NodeEffect.Append> batch = new ArrayList<>();
+				List<NodeEffect.AppendRecord> batch = new ArrayList<>();
 				carried = collect((carried != null) ? carried : this.waiting.take(), batch);
 				commit(batch);
 			}
@@ -101,9 +101,9 @@
 	}
 
 	// Fills a batch and returns the record that found no room in it, or null.
-	private NodeEffect.Append collect(NodeEffect.Append first, List<NodeEffect.Append> batch) {
+	private NodeEffect.AppendRecord collect(NodeEffect.AppendRecord first, List<NodeEffect.AppendRecord> batch) {
 		int bytes = 0;
-		NodeEffect.Append next = first;
+		NodeEffect.AppendRecord next = first;
 		while (next != null) {
 			bytes += LedgerCodec.encode(List.of(next.record())).length;
 			if (!batch.isEmpty() && bytes > BATCH_BYTES) {
@@ -115,8 +115,8 @@
 		return null;
 	}
 
-	private void commit(List<NodeEffect.Append> batch) throws InterruptedException {
-		List<LedgerRecord> records = batch.stream().map(NodeEffect.Append::record).toList();
+	private void commit(List<NodeEffect.AppendRecord> batch) throws InterruptedException {
+		List<LedgerRecord> records = batch.stream().map(NodeEffect.AppendRecord::record).toList();
 		Instant start = this.context.clock().now();
 		AppendOutcome outcome = send(LedgerCodec.encode(records));
 		Duration duration = Duration.between(start, this.context.clock().now());
@@ -141,7 +141,7 @@
 		}
 	}
 
-	private void end(NodeEffect.Append append, AppendResult result) {
+	private void end(NodeEffect.AppendRecord append, AppendResult result) {
 		this.events.accept(new LogEvent.AppendEnded(append.append(), result, this.context.clock().now()));
 	}
 
--- a/lentilslip-runtime/src/main/java/io/lentilslip/runtime/log/LogFollower.java
+++ b/lentilslip-runtime/src/main/java/io/lentilslip/runtime/log/LogFollower.java
@@ -105,7 +105,7 @@
 					.accept(notice(NoticeCode.RETENTION_GAP).with(FieldName.OFFSET, from)
 						.with(FieldName.COUNT, first - from));
 			}
-			this.sink.accept(new LogEvent.GapFound(from, first, this.context.clock().now()));
+			this.sink.accept(new LogEvent.GapDetected(from, first, this.context.clock().now()));
 		}
 
 		private static Notice notice(NoticeCode code) {
--- a/lentilslip-runtime/src/main/java/io/lentilslip/runtime/node/Node.java
+++ b/lentilslip-runtime/src/main/java/io/lentilslip/runtime/node/Node.java
@@ -119,9 +119,9 @@
 	 */
 	public void run(NodeEffect effect) {
 		switch (effect) {
-			case NodeEffect.Append append -> this.committer.append(append);
-			case NodeEffect.Report report -> this.context.notices().accept(report.notice());
-			case NodeEffect.Measure measure -> this.context.measurements().accept(measure.measurement());
+			case NodeEffect.AppendRecord append -> this.committer.append(append);
+			case NodeEffect.WriteNotice report -> this.context.notices().accept(report.notice());
+			case NodeEffect.RecordMeasurement measure -> this.context.measurements().accept(measure.measurement());
 			case NodeEffect.Stopped done -> this.stopped.complete(null);
 		}
 	}
--- a/lentilslip-runtime/src/test/java/io/lentilslip/runtime/log/GroupCommitterTests.java
+++ b/lentilslip-runtime/src/test/java/io/lentilslip/runtime/log/GroupCommitterTests.java
@@ -68,7 +68,7 @@
 			appendAll(committer, "a", "b");
 			committer.start();
 			assertThat(next(2)).containsExactly(ended(0, AppendResult.UNKNOWN), ended(1, AppendResult.UNKNOWN));
-			committer.append(new NodeEffect.Append(new AppendId(2), LedgerRecords.ended("c")));
+			committer.append(new NodeEffect.AppendRecord(new AppendId(2), LedgerRecords.ended("c")));
 			assertThat(next(1)).containsExactly(ended(2, AppendResult.APPENDED));
 			assertThat(log.batches()).containsExactly(records("a", "b"), records("c"));
 			assertThat(this.recording.codes()).containsExactly(NoticeCode.APPEND_UNKNOWN);
@@ -106,7 +106,7 @@
 
 	private static void appendAll(GroupCommitter committer, String... programs) {
 		for (int number = 0; number < programs.length; number++) {
-			committer.append(new NodeEffect.Append(new AppendId(number), LedgerRecords.ended(programs[number])));
+			committer.append(new NodeEffect.AppendRecord(new AppendId(number), LedgerRecords.ended(programs[number])));
 		}
 	}
 
--- a/lentilslip-runtime/src/test/java/io/lentilslip/runtime/log/LogFollowerTests.java
+++ b/lentilslip-runtime/src/test/java/io/lentilslip/runtime/log/LogFollowerTests.java
@@ -48,7 +48,7 @@
 				append(log, program);
 			}
 			follower.start();
-			assertThat(this.events.take()).isEqualTo(new LogEvent.GapFound(0, 3, RecordingContext.NOW));
+			assertThat(this.events.take()).isEqualTo(new LogEvent.GapDetected(0, 3, RecordingContext.NOW));
 			assertThat(this.events.take()).satisfies((event) -> assertBatch(event, 3, LedgerRecords.ended("d")));
 			assertThat(this.events.take()).satisfies((event) -> assertBatch(event, 4, LedgerRecords.ended("e")));
 			assertThat(this.events.take()).isEqualTo(new LogEvent.CaughtUp(5, RecordingContext.NOW));
@@ -73,7 +73,7 @@
 			while (!(event instanceof LogEvent.Unreachable)) {
 				event = this.events.take();
 			}
-			assertThat(this.events.take()).isEqualTo(new LogEvent.GapFound(1, 3, RecordingContext.NOW));
+			assertThat(this.events.take()).isEqualTo(new LogEvent.GapDetected(1, 3, RecordingContext.NOW));
 			assertThat(this.events.take()).satisfies((last) -> assertBatch(last, 3, LedgerRecords.ended("d")));
 			assertThat(this.recording.codes()).containsExactly(NoticeCode.LOG_UNAVAILABLE, NoticeCode.LOG_BACK,
 					NoticeCode.RETENTION_GAP);
--- a/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/link/EntryLinks.java
+++ b/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/link/EntryLinks.java
@@ -14,8 +14,8 @@
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.identity.ProcessId;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.notice.FieldName;
 import io.lentilslip.core.notice.Notice;
 import io.lentilslip.core.notice.NoticeCode;
@@ -99,10 +99,10 @@
 		switch (message) {
 			case LinkMessage.Dispatch dispatch -> {
 				if (this.reports.offer(event) == Admission.FULL) {
-					refuse(link, dispatch.attempt(), verdict(dispatch.standing()));
+					refuse(link, dispatch.attempt(), verdict(dispatch.authority()));
 				}
 			}
-			case LinkMessage.AskProgram question -> {
+			case LinkMessage.ProgramRequest question -> {
 				if (this.reports.offer(event) == Admission.FULL) {
 					refuse(link, question.attempt(), Verdict.NOT_RUN);
 				}
@@ -113,11 +113,11 @@
 
 	// The reducer was not asked, so only a call that stands alone is known not to run: an
 	// earlier attempt of a turn or of a claimed call may be under way here.
-	private static Verdict verdict(Standing standing) {
+	private static Verdict verdict(ExecutionAuthority standing) {
 		return switch (standing) {
-			case Standing.ForSingleCall single -> Verdict.NOT_RUN;
-			case Standing.ForHome home -> Verdict.MAY_HAVE_RUN;
-			case Standing.ForClaimedCall claimed -> Verdict.MAY_HAVE_RUN;
+			case ExecutionAuthority.ForSingleCall single -> Verdict.NOT_RUN;
+			case ExecutionAuthority.ForHome home -> Verdict.MAY_HAVE_RUN;
+			case ExecutionAuthority.ForClaimedCall claimed -> Verdict.MAY_HAVE_RUN;
 		};
 	}
 
@@ -179,7 +179,7 @@
 		switch (message) {
 			case LinkMessage.Finished finished ->
 				link.send(new LinkMessage.Finished(finished.attempt(), tooLarge(finished.outcome().verdict())));
-			case LinkMessage.ProgramAnswer answer ->
+			case LinkMessage.ProgramResponse answer ->
 				link.send(new LinkMessage.Finished(answer.attempt(), tooLarge(Verdict.NOT_RUN)));
 			default -> link.close();
 		}
--- a/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/upstream/ServiceRuns.java
+++ b/lentilslip-sidecar/src/main/java/io/lentilslip/sidecar/upstream/ServiceRuns.java
@@ -7,7 +7,7 @@
 import io.lentilslip.client.service.PendingCall;
 import io.lentilslip.client.service.PlainService;
 import io.lentilslip.client.service.ServiceOutcome;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.configuration.Endpoint;
 import io.lentilslip.core.sidecar.RunId;
 import io.lentilslip.core.sidecar.RunResult;
@@ -53,7 +53,7 @@
 	 * @param message the HTTP request
 	 * @param timeout how long to wait for the whole answer
 	 */
-	void serve(RunId run, ServiceMessage message, Duration timeout) {
+	void serve(RunId run, ServiceRequest message, Duration timeout) {
 		this.runs.start(run, () -> {
 			PendingCall call = this.services.call(this.upstream, message, timeout);
 			call.outcome().thenAccept((outcome) -> end(run, result(outcome)));
--- a/lentilslip-sidecar/src/test/java/io/lentilslip/sidecar/SidecarProcessTests.java
+++ b/lentilslip-sidecar/src/test/java/io/lentilslip/sidecar/SidecarProcessTests.java
@@ -19,10 +19,10 @@
 
 import io.lentilslip.client.log.LogService;
 import io.lentilslip.client.vmlist.VmList;
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.CallRequest;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.HistoryMode;
 import io.lentilslip.core.configuration.ConfigurationFile;
@@ -36,8 +36,8 @@
 import io.lentilslip.core.identity.VmName;
 import io.lentilslip.core.identity.ZoneName;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.verdict.Verdict;
 import io.lentilslip.runtime.log.LogStreams;
 import io.lentilslip.runtime.loop.ProcessContext;
@@ -138,8 +138,8 @@
 			message = this.listener.received.take();
 		}
 		CallOutcome outcome = ((LinkMessage.Finished) message).outcome();
-		assertThat(outcome).isInstanceOfSatisfying(CallOutcome.Answered.class, (answered) -> {
-			Answer.FromModel answer = (Answer.FromModel) answered.answer();
+		assertThat(outcome).isInstanceOfSatisfying(CallOutcome.Completed.class, (answered) -> {
+			CallResponse.FromModel answer = (CallResponse.FromModel) answered.response();
 			assertThat(text).isNotEmpty();
 			assertThat(answer.message()).contains("\"assistant\"");
 		});
@@ -169,7 +169,7 @@
 		publish();
 		awaitReady();
 		this.sidecar.requestStop();
-		next(LinkMessage.Leaving.class);
+		next(LinkMessage.Draining.class);
 		this.sidecar.requestStop().get();
 		link.send(dispatch(2));
 		assertThat(next(LinkMessage.Finished.class).outcome().verdict()).isEqualTo(Verdict.NOT_RUN);
@@ -241,8 +241,8 @@
 		CallRequest call = new CallRequest.ForModel(new GroupName("sellers"), Optional.empty(), Optional.empty(),
 				Digest.of("content"), new ModelName("m"), HistoryMode.WHOLE,
 				List.of("{\"role\":\"user\",\"content\":\"How deep is the Danube?\"}"), 20, "{}", true);
-		return new LinkMessage.Dispatch(new AttemptId(ENTRY.incarnation(), number), call, new Standing.ForSingleCall(),
-				Duration.ofSeconds(30), "");
+		return new LinkMessage.Dispatch(new AttemptId(ENTRY.incarnation(), number), call,
+				new ExecutionAuthority.ForSingleCall(), Duration.ofSeconds(30), "");
 	}
 
 	private static Endpoint local(int port) {
--- a/lentilslip-sidecar/src/test/java/io/lentilslip/sidecar/history/HistoryReaderTests.java
+++ b/lentilslip-sidecar/src/test/java/io/lentilslip/sidecar/history/HistoryReaderTests.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 import io.lentilslip.client.log.LogService;
-import io.lentilslip.core.call.Answer;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.configuration.Endpoint;
 import io.lentilslip.core.identity.Digest;
@@ -111,8 +111,8 @@
 	}
 
 	private static Turn turn(int number) {
-		Answer.FromModel answer = new Answer.FromModel("{\"role\":\"assistant\",\"content\":\"a" + number + "\"}",
-				"stop", new Usage(1, 0, 1));
+		CallResponse.FromModel answer = new CallResponse.FromModel(
+				"{\"role\":\"assistant\",\"content\":\"a" + number + "\"}", "stop", new Usage(1, 0, 1));
 		return new Turn(number, Digest.of("c" + number), Optional.empty(),
 				List.of("{\"role\":\"user\",\"content\":\"q" + number + "\"}"), answer);
 	}
--- a/lentilslip-sidecar/src/test/java/io/lentilslip/sidecar/link/EntryLinksTests.java
+++ b/lentilslip-sidecar/src/test/java/io/lentilslip/sidecar/link/EntryLinksTests.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.CallRequest;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.identity.Digest;
 import io.lentilslip.core.identity.GroupName;
 import io.lentilslip.core.identity.Incarnation;
@@ -24,8 +24,8 @@
 import io.lentilslip.core.identity.ZoneName;
 import io.lentilslip.core.ledger.Epoch;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.notice.Notice;
 import io.lentilslip.core.sidecar.SidecarEvent;
 import io.lentilslip.core.verdict.Verdict;
@@ -79,8 +79,8 @@
 		this.links.closed(before, LinkClosure.CLOSED_HERE);
 		assertThat(this.events).containsExactly(new SidecarEvent.EntryConnected(ENTRY, NOW),
 				new SidecarEvent.EntryDisconnected(ENTRY, NOW), new SidecarEvent.EntryConnected(ENTRY, NOW));
-		this.links.send(ENTRY, new LinkMessage.Leaving());
-		assertThat(after.sent).containsExactly(new LinkMessage.Leaving());
+		this.links.send(ENTRY, new LinkMessage.Draining());
+		assertThat(after.sent).containsExactly(new LinkMessage.Draining());
 	}
 
 	// The mailbox is full. A call that stands alone did not run, and its caller may go
@@ -90,8 +90,8 @@
 	void fullMailboxRefusesWithATrueVerdict() {
 		RecordedLink link = open(-1);
 		this.admission = Admission.FULL;
-		this.links.received(link, dispatch(new Standing.ForSingleCall()));
-		this.links.received(link, dispatch(new Standing.ForHome(ENTRY, new Epoch(1), 0)));
+		this.links.received(link, dispatch(new ExecutionAuthority.ForSingleCall()));
+		this.links.received(link, dispatch(new ExecutionAuthority.ForHome(ENTRY, new Epoch(1), 0)));
 		assertThat(link.sent).hasSize(2);
 		assertThat(verdict(link.sent.get(0))).isEqualTo(Verdict.NOT_RUN);
 		assertThat(verdict(link.sent.get(1))).isEqualTo(Verdict.MAY_HAVE_RUN);
@@ -114,7 +114,7 @@
 	void answerThatIsTooLargeIsToldWithoutIt() {
 		RecordedLink link = open(-1);
 		link.result = SendResult.TOO_LARGE;
-		CallOutcome outcome = new CallOutcome.Answered(new Answer.FromService(200, List.of(), Body.EMPTY),
+		CallOutcome outcome = new CallOutcome.Completed(new CallResponse.FromService(200, List.of(), Body.EMPTY),
 				Durability.COMMITTED, 0);
 		this.links.send(ENTRY, new LinkMessage.Finished(ATTEMPT, outcome));
 		assertThat(link.sent).hasSize(2);
@@ -129,9 +129,9 @@
 		return link;
 	}
 
-	private static LinkMessage.Dispatch dispatch(Standing standing) {
+	private static LinkMessage.Dispatch dispatch(ExecutionAuthority standing) {
 		CallRequest call = new CallRequest.ForService(new GroupName("sellers"), Optional.empty(), Optional.empty(),
-				Digest.EMPTY, new ServiceName("pings"), new ServiceMessage("GET", "/", List.of(), Body.EMPTY), true);
+				Digest.EMPTY, new ServiceName("pings"), new ServiceRequest("GET", "/", List.of(), Body.EMPTY), true);
 		return new LinkMessage.Dispatch(ATTEMPT, call, standing, Duration.ofSeconds(1), "");
 	}
 
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/Appends.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/Appends.java
@@ -12,10 +12,10 @@
 	private Appends() {
 	}
 
-	static NodeEffect.Append in(List<NodeEffect> effects) {
+	static NodeEffect.AppendRecord in(List<NodeEffect> effects) {
 		return effects.stream()
-			.filter(NodeEffect.Append.class::isInstance)
-			.map(NodeEffect.Append.class::cast)
+			.filter(NodeEffect.AppendRecord.class::isInstance)
+			.map(NodeEffect.AppendRecord.class::cast)
 			.findFirst()
 			.orElseThrow(() -> new IllegalStateException("nothing was appended: " + effects));
 	}
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/EntrySlopes.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/EntrySlopes.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.CallOutcome;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.HistoryMode;
 import io.lentilslip.core.entry.EntryEffect;
@@ -168,7 +168,7 @@
 				hear(sent.sidecar(), new LinkMessage.Delta(attempt, number, "word".substring(0, TOKEN)));
 			}
 			List<EntryEffect> end = hear(sent.sidecar(), new LinkMessage.Finished(attempt,
-					new CallOutcome.Answered(SampleAnswer.VALUE, Durability.COMMITTED, 1)));
+					new CallOutcome.Completed(SampleAnswer.VALUE, Durability.COMMITTED, 1)));
 			if (end.stream().noneMatch(EntryEffect.Complete.class::isInstance)) {
 				throw new IllegalStateException("the call did not end: " + end);
 			}
@@ -193,7 +193,7 @@
 		}
 
 		private EntryEffect.Send afterClaim(List<EntryEffect> effects) {
-			NodeEffect.Append append = Appends.in(nodeEffects(effects));
+			NodeEffect.AppendRecord append = Appends.in(nodeEffects(effects));
 			apply(new EntryEvent.LogEventReceived(
 					new LogEvent.AppendEnded(append.append(), AppendResult.APPENDED, this.now)));
 			List<EntryEffect> decided = apply(new EntryEvent.LogEventReceived(
@@ -218,7 +218,7 @@
 	 */
 	private static final class SampleAnswer {
 
-		private static final Answer VALUE = SampleSite.answer(1, ANSWER);
+		private static final CallResponse VALUE = SampleSite.answer(1, ANSWER);
 
 		private static final List<String> QUESTION = List.of(SampleSite.message("user", SampleSite.text(2, 400)));
 
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/LedgerSlopes.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/LedgerSlopes.java
@@ -79,7 +79,7 @@
 
 	static LedgerRecord.CallSettled settlement(int number) {
 		return new LedgerRecord.CallSettled(key(number), SampleSite.sidecar(number % SampleSite.ZONES),
-				new CallOutcome.Answered(SampleSite.answer(number, ANSWER), Durability.COMMITTED, 0));
+				new CallOutcome.Completed(SampleSite.answer(number, ANSWER), Durability.COMMITTED, 0));
 	}
 
 	// The first slice of each pair of a group and an entry.
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/SampleSite.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/SampleSite.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 
-import io.lentilslip.core.call.Answer;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.configuration.Configuration;
 import io.lentilslip.core.configuration.ConfigurationFile;
@@ -151,8 +151,9 @@
 		return "{\"role\":\"%s\",\"content\":\"%s\"}".formatted(role, text);
 	}
 
-	static Answer.FromModel answer(long seed, int length) {
-		return new Answer.FromModel(message("assistant", text(seed, length)), "stop", new Usage(100, 0, length / 4));
+	static CallResponse.FromModel answer(long seed, int length) {
+		return new CallResponse.FromModel(message("assistant", text(seed, length)), "stop",
+				new Usage(100, 0, length / 4));
 	}
 
 	static LedgerRecord.ProgramClaimed claim(int number) {
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/SidecarSlopes.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/SidecarSlopes.java
@@ -17,8 +17,8 @@
 import io.lentilslip.core.ledger.Epoch;
 import io.lentilslip.core.ledger.LedgerRecord;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.reducer.Step;
 import io.lentilslip.core.role.AppendResult;
 import io.lentilslip.core.role.LogEvent;
@@ -165,7 +165,7 @@
 			AttemptId attempt = new AttemptId(entry.incarnation(), this.nextAttempt++);
 			LinkMessage.Dispatch dispatch = new LinkMessage.Dispatch(attempt,
 					request(SampleSite.program(0, program), number),
-					new Standing.ForHome(SELF, Epoch.NONE.next(), program), DEADLINE, "");
+					new ExecutionAuthority.ForHome(SELF, Epoch.NONE.next(), program), DEADLINE, "");
 			RunId run = generated(apply(new SidecarEvent.EntryMessageReceived(entry, dispatch, this.now)));
 			apply(new SidecarEvent.RunStarted(run, this.now));
 			for (int delta = 0; delta < deltas; delta++) {
@@ -194,7 +194,7 @@
 		}
 
 		private void commit(List<SidecarEffect> effects) {
-			NodeEffect.Append append = Appends.in(effects.stream()
+			NodeEffect.AppendRecord append = Appends.in(effects.stream()
 				.filter(SidecarEffect.ForNode.class::isInstance)
 				.map((effect) -> ((SidecarEffect.ForNode) effect).effect())
 				.toList());
--- a/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/WireSlopes.java
+++ b/lentilslip-verification/src/main/java/io/lentilslip/verification/capacity/WireSlopes.java
@@ -16,8 +16,8 @@
 import io.lentilslip.core.ledger.Epoch;
 import io.lentilslip.core.ledger.LedgerRecord;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.settings.folder.ConfigurationReader;
 import io.lentilslip.wire.codec.LedgerCodec;
 import io.lentilslip.wire.codec.LinkCodec;
@@ -91,12 +91,13 @@
 				Digest.of("call"), SampleSite.MODEL, HistoryMode.NEW, List.of(SampleSite.text(1, messageBytes)), 512,
 				"{}", true);
 		return new LinkMessage.Dispatch(ATTEMPT, call,
-				new Standing.ForHome(SampleSite.sidecar(7), Epoch.NONE.next(), 1_000_000), Duration.ofMinutes(2), "");
+				new ExecutionAuthority.ForHome(SampleSite.sidecar(7), Epoch.NONE.next(), 1_000_000),
+				Duration.ofMinutes(2), "");
 	}
 
 	private static LinkMessage.Finished finished(int answerBytes) {
 		return new LinkMessage.Finished(ATTEMPT,
-				new CallOutcome.Answered(SampleSite.answer(1, answerBytes), Durability.COMMITTED, 260));
+				new CallOutcome.Completed(SampleSite.answer(1, answerBytes), Durability.COMMITTED, 260));
 	}
 
 	private static void measureLedgerBytes(Meter meter) {
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/CallReader.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/CallReader.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.Optional;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.CallRequest;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.Header;
 import io.lentilslip.core.call.HistoryMode;
 import io.lentilslip.core.call.ProgramCall;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.identity.GroupName;
 import io.lentilslip.core.identity.IdempotencyKey;
@@ -154,9 +154,9 @@
 	 * @param message the generated message
 	 * @return the answer
 	 */
-	Answer.FromModel modelAnswer(CallProtocol.ModelAnswer message) {
+	CallResponse.FromModel modelAnswer(CallProtocol.ModelAnswer message) {
 		Fields.require(message.hasUsage(), "usage");
-		return new Answer.FromModel(message.getMessage(), message.getFinishReason(), usage(message.getUsage()));
+		return new CallResponse.FromModel(message.getMessage(), message.getFinishReason(), usage(message.getUsage()));
 	}
 
 	/**
@@ -182,12 +182,12 @@
 				service.getRepeatable());
 	}
 
-	private ServiceMessage serviceMessage(CallProtocol.ServiceRequest service) {
+	private ServiceRequest serviceMessage(CallProtocol.ServiceRequest service) {
 		Fields.require(!service.getMethod().isEmpty(), "method");
 		if (!service.getPath().startsWith("/")) {
 			throw Fields.invalid("path", "a path that begins with a slash");
 		}
-		return new ServiceMessage(service.getMethod(), service.getPath(), headers(service.getHeadersList()),
+		return new ServiceRequest(service.getMethod(), service.getPath(), headers(service.getHeadersList()),
 				Body.of(service.getBody().toByteArray()));
 	}
 
@@ -224,12 +224,12 @@
 
 	private CallOutcome answered(CallProtocol.Answered message) {
 		Fields.require(message.hasAnswer(), "answer");
-		return new CallOutcome.Answered(answer(message.getAnswer()),
+		return new CallOutcome.Completed(answer(message.getAnswer()),
 				DURABILITIES.read(message.getDurability(), "durability", this.version),
 				Fields.count(message.getNumber(), "number"));
 	}
 
-	private Answer answer(CallProtocol.Answer message) {
+	private CallResponse answer(CallProtocol.Answer message) {
 		return switch (message.getKindCase()) {
 			case MODEL -> modelAnswer(message.getModel());
 			case SERVICE -> serviceAnswer(message.getService());
@@ -237,9 +237,9 @@
 		};
 	}
 
-	private Answer serviceAnswer(CallProtocol.ServiceAnswer message) {
-		return new Answer.FromService(Fields.count(message.getStatus(), "status"), headers(message.getHeadersList()),
-				Body.of(message.getBody().toByteArray()));
+	private CallResponse serviceAnswer(CallProtocol.ServiceAnswer message) {
+		return new CallResponse.FromService(Fields.count(message.getStatus(), "status"),
+				headers(message.getHeadersList()), Body.of(message.getBody().toByteArray()));
 	}
 
 	private CallFailure failure(CallProtocol.Failure message) {
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/CallWriter.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/CallWriter.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 import com.google.protobuf.ByteString;
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.CallRequest;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Header;
 import io.lentilslip.core.call.ProgramCall;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.identity.ProcessId;
 import io.lentilslip.core.identity.ProgramId;
@@ -56,9 +56,9 @@
 	static CallProtocol.CallRequest write(CallRequest call) {
 		CallProtocol.CallRequest.Builder builder = CallProtocol.CallRequest.newBuilder()
 			.setGroup(call.group().value())
-			.setContent(Fields.bytes(call.content()));
-		call.place().ifPresent((place) -> builder.setPlace(write(place)));
-		call.key().ifPresent((key) -> builder.setKey(key.value()));
+			.setContent(Fields.bytes(call.contentDigest()));
+		call.programCall().ifPresent((place) -> builder.setPlace(write(place)));
+		call.idempotencyKey().ifPresent((key) -> builder.setKey(key.value()));
 		return switch (call) {
 			case CallRequest.ForModel forModel -> builder.setModel(writeModel(forModel)).build();
 			case CallRequest.ForService forService -> builder.setService(writeService(forService)).build();
@@ -73,7 +73,7 @@
 	static CallProtocol.Outcome write(CallOutcome outcome) {
 		CallProtocol.Outcome.Builder builder = CallProtocol.Outcome.newBuilder();
 		return switch (outcome) {
-			case CallOutcome.Answered answered -> builder.setAnswered(writeAnswered(answered)).build();
+			case CallOutcome.Completed answered -> builder.setAnswered(writeAnswered(answered)).build();
 			case CallOutcome.Failed failed -> builder.setFailed(writeFailure(failed.failure())).build();
 		};
 	}
@@ -83,7 +83,7 @@
 	 * @param answer the answer
 	 * @return the generated message
 	 */
-	static CallProtocol.ModelAnswer write(Answer.FromModel answer) {
+	static CallProtocol.ModelAnswer write(CallResponse.FromModel answer) {
 		return CallProtocol.ModelAnswer.newBuilder()
 			.setMessage(answer.message())
 			.setFinishReason(answer.finishReason())
@@ -104,14 +104,14 @@
 			.setModel(call.model().value())
 			.setMode(CallReader.HISTORY_MODES.write(call.mode()))
 			.addAllMessages(call.messages())
-			.setMaximumTokens(call.maximumTokens())
+			.setMaximumTokens(call.maxTokens())
 			.setParameters(call.parameters())
 			.setStreamed(call.streamed())
 			.build();
 	}
 
 	private static CallProtocol.ServiceRequest writeService(CallRequest.ForService call) {
-		ServiceMessage message = call.message();
+		ServiceRequest message = call.request();
 		return CallProtocol.ServiceRequest.newBuilder()
 			.setService(call.service().value())
 			.setMethod(message.method())
@@ -122,23 +122,23 @@
 			.build();
 	}
 
-	private static CallProtocol.Answered writeAnswered(CallOutcome.Answered answered) {
+	private static CallProtocol.Answered writeAnswered(CallOutcome.Completed answered) {
 		return CallProtocol.Answered.newBuilder()
-			.setAnswer(writeAnswer(answered.answer()))
+			.setAnswer(writeAnswer(answered.response()))
 			.setDurability(CallReader.DURABILITIES.write(answered.durability()))
 			.setNumber(answered.number())
 			.build();
 	}
 
-	private static CallProtocol.Answer writeAnswer(Answer answer) {
+	private static CallProtocol.Answer writeAnswer(CallResponse answer) {
 		CallProtocol.Answer.Builder builder = CallProtocol.Answer.newBuilder();
 		return switch (answer) {
-			case Answer.FromModel fromModel -> builder.setModel(write(fromModel)).build();
-			case Answer.FromService fromService -> builder.setService(writeService(fromService)).build();
+			case CallResponse.FromModel fromModel -> builder.setModel(write(fromModel)).build();
+			case CallResponse.FromService fromService -> builder.setService(writeService(fromService)).build();
 		};
 	}
 
-	private static CallProtocol.ServiceAnswer writeService(Answer.FromService answer) {
+	private static CallProtocol.ServiceAnswer writeService(CallResponse.FromService answer) {
 		return CallProtocol.ServiceAnswer.newBuilder()
 			.setStatus(answer.status())
 			.addAllHeaders(writeHeaders(answer.headers()))
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/LinkReader.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/LinkReader.java
@@ -11,8 +11,8 @@
 import io.lentilslip.core.identity.ZoneName;
 import io.lentilslip.core.ledger.EndReason;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.wire.generated.CallProtocol;
 import io.lentilslip.wire.generated.LinkProtocol;
 
@@ -67,7 +67,7 @@
 			case FINISHED -> finished(envelope.getFinished());
 			case PROGRAM_ANSWER -> programAnswer(envelope.getProgramAnswer());
 			case LOAD_REPORT -> loadReport(envelope.getLoadReport());
-			case LEAVING -> new LinkMessage.Leaving();
+			case LEAVING -> new LinkMessage.Draining();
 			case KIND_NOT_SET -> throw Fields.unknownKind("message", this.version);
 		};
 	}
@@ -98,23 +98,23 @@
 				Fields.duration(message.getTimeLeftNanos(), "time_left"), message.getDelivered());
 	}
 
-	private Standing standing(LinkProtocol.Standing message) {
+	private ExecutionAuthority standing(LinkProtocol.Standing message) {
 		return switch (message.getKindCase()) {
 			case HOME -> homeStanding(message.getHome());
 			case CLAIMED_CALL -> claimedCallStanding(message.getClaimedCall());
-			case SINGLE_CALL -> new Standing.ForSingleCall();
+			case SINGLE_CALL -> new ExecutionAuthority.ForSingleCall();
 			case KIND_NOT_SET -> throw Fields.unknownKind("standing", this.version);
 		};
 	}
 
-	private Standing homeStanding(LinkProtocol.HomeStanding message) {
-		return new Standing.ForHome(process(message.hasHome(), message.getHome()),
+	private ExecutionAuthority homeStanding(LinkProtocol.HomeStanding message) {
+		return new ExecutionAuthority.ForHome(process(message.hasHome(), message.getHome()),
 				this.ledger.epoch(message.getEpoch()), Fields.count(message.getOffset(), "offset"));
 	}
 
-	private Standing claimedCallStanding(LinkProtocol.ClaimedCallStanding message) {
+	private ExecutionAuthority claimedCallStanding(LinkProtocol.ClaimedCallStanding message) {
 		Fields.require(message.hasKey(), "key");
-		return new Standing.ForClaimedCall(this.ledger.key(message.getKey()),
+		return new ExecutionAuthority.ForClaimedCall(this.ledger.key(message.getKey()),
 				process(message.hasExecutor(), message.getExecutor()), Fields.count(message.getOffset(), "offset"));
 	}
 
@@ -123,7 +123,7 @@
 	}
 
 	private LinkMessage askProgram(LinkProtocol.AskProgram message) {
-		return new LinkMessage.AskProgram(attempt(message.hasAttempt(), message.getAttempt()),
+		return new LinkMessage.ProgramRequest(attempt(message.hasAttempt(), message.getAttempt()),
 				program(message.hasProgram(), message.getProgram()));
 	}
 
@@ -150,7 +150,7 @@
 	private LinkMessage programAnswer(LinkProtocol.ProgramAnswer message) {
 		Optional<LinkMessage.ProgramView> view = message.hasView() ? Optional.of(programView(message.getView()))
 				: Optional.empty();
-		return new LinkMessage.ProgramAnswer(attempt(message.hasAttempt(), message.getAttempt()), view);
+		return new LinkMessage.ProgramResponse(attempt(message.hasAttempt(), message.getAttempt()), view);
 	}
 
 	private LinkMessage.ProgramView programView(LinkProtocol.ProgramView message) {
--- a/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/LinkWriter.java
+++ b/lentilslip-wire/src/main/java/io/lentilslip/wire/codec/LinkWriter.java
@@ -3,8 +3,8 @@
 import com.google.protobuf.ByteString;
 import io.lentilslip.core.ledger.EndReason;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.wire.generated.LinkProtocol;
 
 /**
@@ -29,14 +29,14 @@
 			case LinkMessage.ConfigurationOffer offer -> envelope.setConfigurationOffer(write(offer)).build();
 			case LinkMessage.Dispatch dispatch -> envelope.setDispatch(write(dispatch)).build();
 			case LinkMessage.Cancel cancel -> envelope.setCancel(write(cancel)).build();
-			case LinkMessage.AskProgram askProgram -> envelope.setAskProgram(write(askProgram)).build();
+			case LinkMessage.ProgramRequest askProgram -> envelope.setAskProgram(write(askProgram)).build();
 			case LinkMessage.Accepted accepted -> envelope.setAccepted(write(accepted)).build();
 			case LinkMessage.Started started -> envelope.setStarted(write(started)).build();
 			case LinkMessage.Delta delta -> envelope.setDelta(write(delta)).build();
 			case LinkMessage.Finished finished -> envelope.setFinished(write(finished)).build();
-			case LinkMessage.ProgramAnswer answer -> envelope.setProgramAnswer(write(answer)).build();
+			case LinkMessage.ProgramResponse answer -> envelope.setProgramAnswer(write(answer)).build();
 			case LinkMessage.LoadReport report -> envelope.setLoadReport(write(report)).build();
-			case LinkMessage.Leaving() -> envelope.setLeaving(LinkProtocol.Leaving.getDefaultInstance()).build();
+			case LinkMessage.Draining() -> envelope.setLeaving(LinkProtocol.Leaving.getDefaultInstance()).build();
 		};
 	}
 
@@ -68,23 +68,23 @@
 		return LinkProtocol.Dispatch.newBuilder()
 			.setAttempt(write(dispatch.attempt()))
 			.setCall(CallWriter.write(dispatch.call()))
-			.setStanding(write(dispatch.standing()))
-			.setTimeLeftNanos(Fields.nanos(dispatch.timeLeft()))
-			.setDelivered(dispatch.delivered())
+			.setStanding(write(dispatch.authority()))
+			.setTimeLeftNanos(Fields.nanos(dispatch.timeout()))
+			.setDelivered(dispatch.deliveredText())
 			.build();
 	}
 
-	private static LinkProtocol.Standing write(Standing standing) {
+	private static LinkProtocol.Standing write(ExecutionAuthority standing) {
 		LinkProtocol.Standing.Builder builder = LinkProtocol.Standing.newBuilder();
 		return switch (standing) {
-			case Standing.ForHome home -> builder.setHome(write(home)).build();
-			case Standing.ForClaimedCall claimed -> builder.setClaimedCall(write(claimed)).build();
-			case Standing.ForSingleCall() ->
+			case ExecutionAuthority.ForHome home -> builder.setHome(write(home)).build();
+			case ExecutionAuthority.ForClaimedCall claimed -> builder.setClaimedCall(write(claimed)).build();
+			case ExecutionAuthority.ForSingleCall() ->
 				builder.setSingleCall(LinkProtocol.SingleCallStanding.getDefaultInstance()).build();
 		};
 	}
 
-	private static LinkProtocol.HomeStanding write(Standing.ForHome standing) {
+	private static LinkProtocol.HomeStanding write(ExecutionAuthority.ForHome standing) {
 		return LinkProtocol.HomeStanding.newBuilder()
 			.setHome(CallWriter.write(standing.home()))
 			.setEpoch(standing.epoch().value())
@@ -92,7 +92,7 @@
 			.build();
 	}
 
-	private static LinkProtocol.ClaimedCallStanding write(Standing.ForClaimedCall standing) {
+	private static LinkProtocol.ClaimedCallStanding write(ExecutionAuthority.ForClaimedCall standing) {
 		return LinkProtocol.ClaimedCallStanding.newBuilder()
 			.setKey(LedgerWriter.write(standing.key()))
 			.setExecutor(CallWriter.write(standing.executor()))
@@ -104,7 +104,7 @@
 		return LinkProtocol.Cancel.newBuilder().setAttempt(write(cancel.attempt())).build();
 	}
 
-	private static LinkProtocol.AskProgram write(LinkMessage.AskProgram askProgram) {
+	private static LinkProtocol.AskProgram write(LinkMessage.ProgramRequest askProgram) {
 		return LinkProtocol.AskProgram.newBuilder()
 			.setAttempt(write(askProgram.attempt()))
 			.setProgram(CallWriter.write(askProgram.program()))
@@ -118,7 +118,7 @@
 	private static LinkProtocol.Started write(LinkMessage.Started started) {
 		return LinkProtocol.Started.newBuilder()
 			.setAttempt(write(started.attempt()))
-			.setQueuedNanos(Fields.nanos(started.queued()))
+			.setQueuedNanos(Fields.nanos(started.queueTime()))
 			.build();
 	}
 
@@ -137,7 +137,7 @@
 			.build();
 	}
 
-	private static LinkProtocol.ProgramAnswer write(LinkMessage.ProgramAnswer answer) {
+	private static LinkProtocol.ProgramAnswer write(LinkMessage.ProgramResponse answer) {
 		LinkProtocol.ProgramAnswer.Builder builder = LinkProtocol.ProgramAnswer.newBuilder()
 			.setAttempt(write(answer.attempt()));
 		answer.view().ifPresent((view) -> builder.setView(write(view)));
@@ -151,7 +151,7 @@
 			.setLastCall(view.lastCall())
 			.setPendingTurns(view.pendingTurns())
 			.addAllMessages(view.messages());
-		view.ended().ifPresent((EndReason reason) -> builder.setEnded(LedgerReader.END_REASONS.write(reason)));
+		view.endReason().ifPresent((EndReason reason) -> builder.setEnded(LedgerReader.END_REASONS.write(reason)));
 		return builder.build();
 	}
 
--- a/lentilslip-wire/src/test/java/io/lentilslip/wire/codec/ArbitraryValues.java
+++ b/lentilslip-wire/src/test/java/io/lentilslip/wire/codec/ArbitraryValues.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.UUID;
 
-import io.lentilslip.core.call.Answer;
 import io.lentilslip.core.call.Body;
 import io.lentilslip.core.call.CallFailure;
 import io.lentilslip.core.call.CallOutcome;
 import io.lentilslip.core.call.CallRequest;
+import io.lentilslip.core.call.CallResponse;
 import io.lentilslip.core.call.Durability;
 import io.lentilslip.core.call.FailureCause;
 import io.lentilslip.core.call.Header;
 import io.lentilslip.core.call.HistoryMode;
 import io.lentilslip.core.call.ProgramCall;
-import io.lentilslip.core.call.ServiceMessage;
+import io.lentilslip.core.call.ServiceRequest;
 import io.lentilslip.core.call.Usage;
 import io.lentilslip.core.configuration.ConfigurationFile;
 import io.lentilslip.core.configuration.ConfigurationSource;
@@ -36,8 +36,8 @@
 import io.lentilslip.core.ledger.Position;
 import io.lentilslip.core.ledger.Turn;
 import io.lentilslip.core.link.AttemptId;
+import io.lentilslip.core.link.ExecutionAuthority;
 import io.lentilslip.core.link.LinkMessage;
-import io.lentilslip.core.link.Standing;
 import io.lentilslip.core.verdict.Verdict;
 import io.lentilslip.wire.configuration.PublishedConfiguration;
 import net.jqwik.api.Arbitraries;
@@ -61,18 +61,19 @@
 		Arbitrary<LinkMessage> offer = Combinators.combine(longs(), bodies()).as(LinkMessage.ConfigurationOffer::new);
 		Arbitrary<LinkMessage> dispatch = Combinators.combine(attempts(), calls(), standings(), durations(), texts())
 			.as(LinkMessage.Dispatch::new);
-		Arbitrary<LinkMessage> askProgram = Combinators.combine(attempts(), programs()).as(LinkMessage.AskProgram::new);
+		Arbitrary<LinkMessage> askProgram = Combinators.combine(attempts(), programs())
+			.as(LinkMessage.ProgramRequest::new);
 		Arbitrary<LinkMessage> started = Combinators.combine(attempts(), durations()).as(LinkMessage.Started::new);
 		Arbitrary<LinkMessage> delta = Combinators.combine(attempts(), counts(), texts()).as(LinkMessage.Delta::new);
 		Arbitrary<LinkMessage> finished = Combinators.combine(attempts(), outcomes()).as(LinkMessage.Finished::new);
 		Arbitrary<LinkMessage> answer = Combinators.combine(attempts(), views().optional())
-			.as(LinkMessage.ProgramAnswer::new);
+			.as(LinkMessage.ProgramResponse::new);
 		Arbitrary<LinkMessage> report = Combinators
 			.combine(counts(), counts(), counts(), longs(), digests().list().ofMaxSize(MOST_ITEMS))
 			.as(LinkMessage.LoadReport::new);
 		return Arbitraries.oneOf(List.of(hello, Arbitraries.just(new LinkMessage.Heartbeat()), offer, dispatch,
 				attempts().map(LinkMessage.Cancel::new), askProgram, attempts().map(LinkMessage.Accepted::new), started,
-				delta, finished, answer, report, Arbitraries.just(new LinkMessage.Leaving())));
+				delta, finished, answer, report, Arbitraries.just(new LinkMessage.Draining())));
 	}
 
 	static Arbitrary<LedgerRecord> ledgerRecords() {
@@ -132,9 +133,9 @@
 					Arbitraries.of(HistoryMode.class), messages(), counts())
 			.as((group, place, key, content, model, mode, messages, tokens) -> new CallRequest.ForModel(group, place,
 					key, content, model, mode, messages, tokens, "{\"tokens\":" + tokens + "}", tokens % 2 == 0));
-		Arbitrary<ServiceMessage> requests = Combinators
+		Arbitrary<ServiceRequest> requests = Combinators
 			.combine(Arbitraries.of("GET", "POST"), texts().map((text) -> "/" + text), headers(), bodies())
-			.as(ServiceMessage::new);
+			.as(ServiceRequest::new);
 		Arbitrary<CallRequest> forService = Combinators
 			.combine(groups(), places().optional(), keys().optional(), digests(), names().map(ServiceName::new),
 					requests, Arbitraries.of(true, false))
@@ -151,7 +152,7 @@
 
 	private static Arbitrary<CallOutcome> outcomes() {
 		Arbitrary<CallOutcome> answered = Combinators.combine(answers(), Arbitraries.of(Durability.class), counts())
-			.as(CallOutcome.Answered::new);
+			.as(CallOutcome.Completed::new);
 		Arbitrary<CallOutcome> failed = Combinators
 			.combine(Arbitraries.of(Verdict.class), Arbitraries.of(FailureCause.class), texts(), durations().optional())
 			.as((verdict, cause, message,
@@ -159,14 +160,15 @@
 		return Arbitraries.oneOf(answered, failed);
 	}
 
-	private static Arbitrary<Answer> answers() {
-		Arbitrary<Answer> fromService = Combinators.combine(counts(), headers(), bodies()).as(Answer.FromService::new);
-		return Arbitraries.oneOf(List.of(modelAnswers().map(Answer.class::cast), fromService));
+	private static Arbitrary<CallResponse> answers() {
+		Arbitrary<CallResponse> fromService = Combinators.combine(counts(), headers(), bodies())
+			.as(CallResponse.FromService::new);
+		return Arbitraries.oneOf(List.of(modelAnswers().map(CallResponse.class::cast), fromService));
 	}
 
-	private static Arbitrary<Answer.FromModel> modelAnswers() {
+	private static Arbitrary<CallResponse.FromModel> modelAnswers() {
 		Arbitrary<Usage> usages = Combinators.combine(counts(), counts(), counts()).as(Usage::new);
-		return Combinators.combine(texts(), texts(), usages).as(Answer.FromModel::new);
+		return Combinators.combine(texts(), texts(), usages).as(CallResponse.FromModel::new);
 	}
 
 	private static Arbitrary<Turn> turns() {
@@ -181,11 +183,12 @@
 			.as(LinkMessage.ProgramView::new);
 	}
 
-	private static Arbitrary<Standing> standings() {
-		Arbitrary<Standing> forHome = Combinators.combine(processes(), epochs(), longs()).as(Standing.ForHome::new);
-		Arbitrary<Standing> forClaimedCall = Combinators.combine(callKeys(), processes(), longs())
-			.as(Standing.ForClaimedCall::new);
-		return Arbitraries.oneOf(forHome, forClaimedCall, Arbitraries.just(new Standing.ForSingleCall()));
+	private static Arbitrary<ExecutionAuthority> standings() {
+		Arbitrary<ExecutionAuthority> forHome = Combinators.combine(processes(), epochs(), longs())
+			.as(ExecutionAuthority.ForHome::new);
+		Arbitrary<ExecutionAuthority> forClaimedCall = Combinators.combine(callKeys(), processes(), longs())
+			.as(ExecutionAuthority.ForClaimedCall::new);
+		return Arbitraries.oneOf(forHome, forClaimedCall, Arbitraries.just(new ExecutionAuthority.ForSingleCall()));
 	}
 
 	private static Arbitrary<CallKey> callKeys() {
