--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ClaimRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/ClaimRules.java
@@ -28,10 +28,10 @@
 	/**
 	 * Handles an attempt of a claimed call once the log has been read up to the claim.
 	 * @param incoming the attempt
-	 * @param standing the claim that the attempt refers to
+	 * @param authority the claim that the attempt refers to
 	 */
-	void handle(IncomingAttempt incoming, ExecutionAuthority.ForClaimedCall standing) {
-		Optional<ClaimState> claim = this.builder.log.ledger().claim(standing.key());
+	void handle(IncomingAttempt incoming, ExecutionAuthority.ForClaimedCall authority) {
+		Optional<ClaimState> claim = this.builder.log.ledger().claim(authority.key());
 		if (claim.isEmpty() || !claim.get().executor().equals(this.builder.self)) {
 			this.builder.refuse(incoming,
 					EntryRules.retryableRefusal(FailureCause.MOVED, "The claim on the call was released."));
@@ -46,13 +46,13 @@
 			this.builder.finish(incoming.entry(), incoming.attempt(), claim.get().outcome().get());
 			return;
 		}
-		JobKey.ForClaim key = new JobKey.ForClaim(standing.key());
+		JobKey.ForClaim key = new JobKey.ForClaim(authority.key());
 		Optional<Job> job = this.builder.job(key);
 		if (job.isPresent()) {
 			attach(incoming, job.get());
 			return;
 		}
-		Optional<CallFailure> refusal = refusalFor(standing.key());
+		Optional<CallFailure> refusal = refusalFor(authority.key());
 		if (refusal.isPresent()) {
 			release(key, incoming, refusal.get());
 			return;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
@@ -90,34 +90,34 @@
 	}
 
 	private void route(IncomingAttempt incoming) {
-		switch (incoming.standing()) {
-			case ExecutionAuthority.ForHome standing -> {
-				if (!standing.home().equals(this.builder.self)) {
+		switch (incoming.authority()) {
+			case ExecutionAuthority.ForHome authority -> {
+				if (!authority.home().equals(this.builder.self)) {
 					this.builder.refuse(incoming,
 							retryableRefusal(FailureCause.MOVED, "The program has moved to another home."));
 				}
-				else if (this.builder.log.hasRead(standing.offset())) {
-					new HomeRules(this.builder).handle(incoming, standing);
+				else if (this.builder.log.hasRead(authority.offset())) {
+					new HomeRules(this.builder).handle(incoming, authority);
 				}
 				else {
 					awaitLog(incoming);
 				}
 			}
-			case ExecutionAuthority.ForClaimedCall standing -> {
-				if (!standing.executor().equals(this.builder.self)) {
+			case ExecutionAuthority.ForClaimedCall authority -> {
+				if (!authority.executor().equals(this.builder.self)) {
 					// The incarnation that holds the claim has ended and may have run the
 					// call.
 					this.builder.refuse(incoming, CallFailure.mayHaveRun(FailureCause.OUTCOME_UNKNOWN,
 							"The process that held the claim on the request has ended; whether the request ran is unknown."));
 				}
-				else if (this.builder.log.hasRead(standing.offset())) {
-					new ClaimRules(this.builder).handle(incoming, standing);
+				else if (this.builder.log.hasRead(authority.offset())) {
+					new ClaimRules(this.builder).handle(incoming, authority);
 				}
 				else {
 					awaitLog(incoming);
 				}
 			}
-			case ExecutionAuthority.ForSingleCall standing -> handleSingleCall(incoming);
+			case ExecutionAuthority.ForSingleCall authority -> handleSingleCall(incoming);
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
@@ -64,13 +64,13 @@
 	 * Handles an attempt of a program's call once the log has been read up to the claim
 	 * of the home.
 	 * @param incoming the attempt
-	 * @param standing the claim of the home that the attempt refers to
+	 * @param authority the claim of the home that the attempt refers to
 	 */
-	void handle(IncomingAttempt incoming, ExecutionAuthority.ForHome standing) {
+	void handle(IncomingAttempt incoming, ExecutionAuthority.ForHome authority) {
 		ProgramId program = incoming.call().programCall().orElseThrow().program();
 		Optional<ProgramState> state = this.builder.log.ledger().program(program);
 		if (state.isEmpty() || !state.get().home().equals(this.builder.self)
-				|| !state.get().epoch().equals(standing.epoch())) {
+				|| !state.get().epoch().equals(authority.epoch())) {
 			this.builder.refuse(incoming,
 					EntryRules.retryableRefusal(FailureCause.MOVED, "The program has moved to another home."));
 			return;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/IncomingAttempt.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/IncomingAttempt.java
@@ -16,11 +16,11 @@
  * @param attempt the attempt
  * @param entry the entry that sent it
  * @param call the call
- * @param standing the ground on which this sidecar may run the call
+ * @param authority the ground on which this sidecar may run the call
  * @param deadline when the caller stops waiting
  * @param delivered the part of the answer that the caller has already received
  */
-record IncomingAttempt(AttemptId attempt, ProcessId entry, CallRequest call, ExecutionAuthority standing,
+record IncomingAttempt(AttemptId attempt, ProcessId entry, CallRequest call, ExecutionAuthority authority,
 		Instant deadline, String delivered) {
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/LedgerRules.java
@@ -53,9 +53,9 @@
 		int index = 0;
 		for (LedgerRecord record : event.batch()) {
 			Position position = new Position(event.offset(), index);
-			Ledger.ApplyResult reading = this.builder.log.ledger().apply(position, event.logTime(), record);
-			this.builder.log = this.builder.log.withLedger(reading.ledger());
-			reading.changes().forEach((change) -> handleChange(change, position));
+			Ledger.ApplyResult result = this.builder.log.ledger().apply(position, event.logTime(), record);
+			this.builder.log = this.builder.log.withLedger(result.ledger());
+			result.changes().forEach((change) -> handleChange(change, position));
 			index++;
 		}
 		this.builder.log = this.builder.log.advanceTo(event.offset() + 1, event.logTime());
