--- a/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Ledger.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/ledger/Ledger.java
@@ -50,15 +50,15 @@
 	private final Duration retention;
 
 	private Ledger(Map<ProgramId, ProgramState> programs, Map<ProgramId, Set<ProgramId>> children,
-			Map<CallKey, ClaimState> claims, Map<Digest, CrashRecord> blames, Map<GroupName, BudgetState> budgets,
-			Queue<Expiry> expiries, Duration memory) {
+			Map<CallKey, ClaimState> claims, Map<Digest, CrashRecord> crashRecords, Map<GroupName, BudgetState> budgets,
+			Queue<Expiry> expiries, Duration retention) {
 		this.programs = programs;
 		this.children = children;
 		this.claims = claims;
-		this.crashRecords = blames;
+		this.crashRecords = crashRecords;
 		this.budgets = budgets;
 		this.expiries = expiries;
-		this.retention = memory;
+		this.retention = retention;
 	}
 
 	/**
@@ -67,9 +67,9 @@
 	 * claim, and a call or a crash after its last record
 	 * @return an empty ledger
 	 */
-	public static Ledger withRetention(Duration memory) {
+	public static Ledger withRetention(Duration retention) {
 		return new Ledger(HashMap.empty(), HashMap.empty(), HashMap.empty(), HashMap.empty(), HashMap.empty(),
-				Queue.empty(), memory);
+				Queue.empty(), retention);
 	}
 
 	/**
@@ -147,7 +147,7 @@
 			case LedgerRecord.ProgramEnded ended -> current.endProgram(ended);
 			case LedgerRecord.CallClaimed claimed -> current.claimCall(position, time, claimed);
 			case LedgerRecord.CallSettled settled -> current.settleCall(time, settled);
-			case LedgerRecord.UpstreamCrashed blamed -> current.recordCrash(time, blamed);
+			case LedgerRecord.UpstreamCrashed crashed -> current.recordCrash(time, crashed);
 			case LedgerRecord.CrashesCleared cleared -> current.clearCrashes(cleared);
 			case LedgerRecord.SliceReserved reserved -> current.reserve(time, reserved);
 			case LedgerRecord.SliceReturned returned -> current.returnSlice(time, returned);
@@ -156,17 +156,17 @@
 
 	private ApplyResult claimProgram(Position position, Instant time, LedgerRecord.ProgramClaimed record) {
 		ProgramId program = record.program();
-		Optional<ProgramState> known = program(program);
-		if (known.isPresent() && known.get().endReason().isPresent()) {
+		Optional<ProgramState> existing = program(program);
+		if (existing.isPresent() && existing.get().endReason().isPresent()) {
 			return voided(record, VoidReason.PROGRAM_ENDED);
 		}
-		Epoch epoch = known.map(ProgramState::epoch).orElse(Epoch.NONE);
+		Epoch epoch = existing.map(ProgramState::epoch).orElse(Epoch.NONE);
 		if (!record.epoch().equals(epoch.next())) {
 			return voided(record, VoidReason.EPOCH_TAKEN);
 		}
-		if (known.isPresent()) {
-			ProgramState moved = known.get().withHome(record.home(), record.epoch(), position);
-			return with(program, moved, new LedgerChange.HomeChanged(program, moved, known.get().home()));
+		if (existing.isPresent()) {
+			ProgramState moved = existing.get().withHome(record.home(), record.epoch(), position);
+			return with(program, moved, new LedgerChange.HomeChanged(program, moved, existing.get().home()));
 		}
 		// A child claimed after the end of its parent would never be ended, and its cache
 		// in the engine would stay held. Rejecting its first claim is enough, since a
@@ -182,11 +182,11 @@
 	}
 
 	private ApplyResult addTurn(Position position, Instant time, LedgerRecord.TurnCommitted record) {
-		Optional<ProgramState> known = program(record.program());
-		if (known.isEmpty()) {
+		Optional<ProgramState> existing = program(record.program());
+		if (existing.isEmpty()) {
 			return voided(record, VoidReason.UNKNOWN);
 		}
-		ProgramState state = known.get();
+		ProgramState state = existing.get();
 		if (state.endReason().isPresent()) {
 			return voided(record, VoidReason.PROGRAM_ENDED);
 		}
@@ -201,11 +201,11 @@
 	}
 
 	private ApplyResult endProgram(LedgerRecord.ProgramEnded record) {
-		Optional<ProgramState> known = program(record.program());
-		if (known.isEmpty()) {
+		Optional<ProgramState> existing = program(record.program());
+		if (existing.isEmpty()) {
 			return voided(record, VoidReason.UNKNOWN);
 		}
-		if (known.get().endReason().isPresent()) {
+		if (existing.get().endReason().isPresent()) {
 			return voided(record, VoidReason.PROGRAM_ENDED);
 		}
 		List<LedgerChange> changes = new ArrayList<>();
@@ -246,11 +246,11 @@
 	}
 
 	private ApplyResult settleCall(Instant time, LedgerRecord.CallSettled record) {
-		Optional<ClaimState> known = claim(record.key());
-		if (known.isEmpty()) {
+		Optional<ClaimState> existing = claim(record.key());
+		if (existing.isEmpty()) {
 			return voided(record, VoidReason.UNKNOWN);
 		}
-		ClaimState state = known.get();
+		ClaimState state = existing.get();
 		if (state.outcome().isPresent() || !state.executor().equals(record.executor())) {
 			return voided(record, VoidReason.NOT_EXECUTOR);
 		}
@@ -287,21 +287,21 @@
 	}
 
 	private ApplyResult reserve(Instant time, LedgerRecord.SliceReserved record) {
-		BudgetState known = unexpiredBudget(record.group(), time)
+		BudgetState existing = unexpiredBudget(record.group(), time)
 			.map((state) -> state.withConfigurationOf(record, time))
 			.orElseGet(() -> BudgetState.create(record, time));
 		Ledger next = (this.budgets.containsKey(record.group())) ? this
 				: withExpiry(new Expiry.ForBudget(time, record.group()));
-		return next.applyDecision(record, record.group(), known.reserve(record),
+		return next.applyDecision(record, record.group(), existing.reserve(record),
 				(state) -> new LedgerChange.SliceGranted(record, state));
 	}
 
 	private ApplyResult returnSlice(Instant time, LedgerRecord.SliceReturned record) {
-		Optional<BudgetState> known = unexpiredBudget(record.group(), time);
-		if (known.isEmpty()) {
+		Optional<BudgetState> existing = unexpiredBudget(record.group(), time);
+		if (existing.isEmpty()) {
 			return voided(record, VoidReason.SLICE_UNKNOWN);
 		}
-		return applyDecision(record, record.group(), known.get().advanceTo(time).returnTokens(record),
+		return applyDecision(record, record.group(), existing.get().advanceTo(time).returnTokens(record),
 				(state) -> new LedgerChange.SliceReturned(record, state));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/NodeRules.java
@@ -67,12 +67,12 @@
 	private void handleTimer(SidecarTimer duty) {
 		HomeRules homes = new HomeRules(this.builder);
 		switch (duty) {
-			case SidecarTimer.CommitTimeout tell -> homes.commitTimedOut(tell.key());
+			case SidecarTimer.CommitTimeout timeout -> homes.commitTimedOut(timeout.key());
 			case SidecarTimer.OrphanTimeout orphan -> new EntryRules(this.builder).orphanTimedOut(orphan.key());
-			case SidecarTimer.AppendRetry again -> new LedgerRules(this.builder).retryAppend(again.record());
-			case SidecarTimer.UncertainReleaseExpiry forget ->
-				this.builder.uncertainReleases = this.builder.uncertainReleases.remove(forget.key());
-			case SidecarTimer.SessionReleaseRetry again -> new SessionRules(this.builder).retryRelease(again.program());
+			case SidecarTimer.AppendRetry retry -> new LedgerRules(this.builder).retryAppend(retry.record());
+			case SidecarTimer.UncertainReleaseExpiry expiry ->
+				this.builder.uncertainReleases = this.builder.uncertainReleases.remove(expiry.key());
+			case SidecarTimer.SessionReleaseRetry retry -> new SessionRules(this.builder).retryRelease(retry.program());
 			case SidecarTimer.ProgramAgeCheck check -> homes.checkAge(check.program());
 			case SidecarTimer.LogWaitTimeout timeout -> new EntryRules(this.builder).logWaitTimedOut(timeout.attempt());
 			case SidecarTimer.WaitingCallCheck check -> homes.checkWaiting(check.program(), check.attempt());
--- a/lentilslip-core/src/test/java/io/lentilslip/core/ledger/BudgetStateTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/ledger/BudgetStateTests.java
@@ -39,9 +39,9 @@
 	void countsADuplicateRecordOnce() {
 		apply(START, reserved(1, 60, 100, 1));
 		assertVoid(apply(START, reserved(1, 60, 100, 1)), VoidReason.SLICE_REPEATED);
-		LedgerRecord.SliceReturned record = returned(1, 30, 2);
-		assertThat(apply(START, record)).isInstanceOf(LedgerChange.SliceReturned.class);
-		assertVoid(apply(START, record), VoidReason.SLICE_REPEATED);
+		LedgerRecord.SliceReturned sliceReturn = returned(1, 30, 2);
+		assertThat(apply(START, sliceReturn)).isInstanceOf(LedgerChange.SliceReturned.class);
+		assertVoid(apply(START, sliceReturn), VoidReason.SLICE_REPEATED);
 		assertThat(remaining()).isEqualTo(70);
 	}
 
