--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/EntryRules.java
@@ -64,7 +64,7 @@
 		switch (message) {
 			case LinkMessage.Dispatch dispatch -> dispatch(entry, dispatch);
 			case LinkMessage.Cancel cancel -> cancel(entry, cancel.attempt());
-			case LinkMessage.ProgramRequest question -> sendProgramView(entry, question);
+			case LinkMessage.ProgramRequest request -> sendProgramView(entry, request);
 			case LinkMessage.Hello hello -> {
 			}
 			case LinkMessage.Heartbeat heartbeat -> {
@@ -242,13 +242,13 @@
 		}
 	}
 
-	private void sendProgramView(ProcessId entry, LinkMessage.ProgramRequest question) {
-		Optional<ProgramState> state = this.builder.log.ledger().program(question.program());
-		Optional<ProgramView> view = this.builder.home(question.program())
+	private void sendProgramView(ProcessId entry, LinkMessage.ProgramRequest request) {
+		Optional<ProgramState> state = this.builder.log.ledger().program(request.program());
+		Optional<ProgramView> view = this.builder.home(request.program())
 			.filter(Home::ready)
 			.map((home) -> new ProgramView(home.program(), home.epoch(), home.turns().size(), home.pendingCount(),
 					state.flatMap(ProgramState::endReason), home.messages().asJava()));
-		this.builder.send(entry, new LinkMessage.ProgramResponse(question.attempt(), view));
+		this.builder.send(entry, new LinkMessage.ProgramResponse(request.attempt(), view));
 	}
 
 	static CallFailure retryableRefusal(FailureCause cause, String message) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/HomeRules.java
@@ -168,15 +168,15 @@
 	private boolean process(IncomingAttempt incoming, Home home) {
 		Optional<Turn> turn = home.findTurn(incoming.call());
 		if (turn.isPresent()) {
-			answerResend(incoming, home, turn.get());
+			answerRetry(incoming, home, turn.get());
 			return true;
 		}
-		// This includes a job whose crash record is not committed yet. A new job would
+		// A job whose crash record is not committed yet counts too. A new job would
 		// replace it, run alongside others, and leave the first attempt without an
 		// outcome.
-		Optional<Job> running = this.builder.job(new JobKey.ForTurn(home.program(), home.nextNumber()));
-		if (running.isPresent()) {
-			return isSameCall(incoming, running.get()) && join(incoming, running.get());
+		Optional<Job> current = this.builder.job(new JobKey.ForTurn(home.program(), home.nextNumber()));
+		if (current.isPresent()) {
+			return isSameCall(incoming, current.get()) && join(incoming, current.get());
 		}
 		if (incoming.callNumber().orElse(home.nextNumber()) > home.nextNumber()) {
 			return false;
@@ -196,7 +196,7 @@
 		return call.contentDigest().equals(job.call().contentDigest());
 	}
 
-	private void answerResend(IncomingAttempt incoming, Home home, Turn turn) {
+	private void answerRetry(IncomingAttempt incoming, Home home, Turn turn) {
 		if (!turn.content().equals(incoming.call().contentDigest())) {
 			this.builder.refuse(incoming, keyReused());
 			return;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/sidecar/QueueRules.java
@@ -217,7 +217,7 @@
 	/**
 	 * Removes a queued job and sends its outcome to the listeners.
 	 * @param key the job
-	 * @param failure the outcome
+	 * @param failure the failure to send
 	 */
 	void drop(JobKey key, CallFailure failure) {
 		Optional<Job> job = this.builder.job(key);
