--- a/lentilslip-core/src/test/java/io/lentilslip/core/ledger/BudgetStateTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/ledger/BudgetStateTests.java
@@ -121,9 +121,9 @@
 	}
 
 	private LedgerChange apply(Instant time, LedgerRecord record) {
-		Ledger.ApplyResult reading = this.ledger.apply(new Position(this.offset++, 0), time, record);
-		this.ledger = reading.ledger();
-		return reading.changes().getFirst();
+		Ledger.ApplyResult result = this.ledger.apply(new Position(this.offset++, 0), time, record);
+		this.ledger = result.ledger();
+		return result.changes().getFirst();
 	}
 
 	private static void assertVoid(LedgerChange change, VoidReason reason) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/ledger/LedgerTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/ledger/LedgerTests.java
@@ -225,9 +225,9 @@
 	}
 
 	private List<LedgerChange> apply(LedgerRecord record) {
-		Ledger.ApplyResult reading = this.ledger.apply(new Position(this.offset++, 0), this.time, record);
-		this.ledger = reading.ledger();
-		return reading.changes();
+		Ledger.ApplyResult result = this.ledger.apply(new Position(this.offset++, 0), this.time, record);
+		this.ledger = result.ledger();
+		return result.changes();
 	}
 
 	private void advanceTime(Duration duration) {
