--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/ActiveConfiguration.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/ActiveConfiguration.java
@@ -3,7 +3,7 @@
 import io.lentilslip.core.configuration.Configuration;
 
 /**
- * The configuration in force. Immutable and safe for use by several threads.
+ * Active configuration with its version. Immutable and safe for use by several threads.
  *
  * @param version the version
  * @param configuration the configuration
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
@@ -25,21 +25,21 @@
 import io.lentilslip.core.notice.NoticeCode;
 
 /**
- * The rules for the budgets of groups: a call of a group with a budget runs once a slice
- * pays for its estimate. A call of a group without one passes untouched. Confined to one
- * application of the reducer.
+ * Rules for group budgets. A call of a group with a budget is admitted once the group's
+ * reserved slices cover its estimated tokens; calls of other groups are admitted at once.
+ * Confined to one application of the reducer.
  */
 final class BudgetRules {
 
 	/**
-	 * How long a call waits for a slice. Tokens that lie unused in other entries are back
-	 * by then.
+	 * How long a call waits for a slice: long enough for other entries to return the
+	 * tokens they do not use.
 	 */
 	static final Duration SLICE_TIMEOUT = Account.IDLE_TIMEOUT.plusSeconds(2);
 
 	/**
-	 * The longest period that the log decides on. A longer one is cut into equal parts:
-	 * what the records of a longer one said would be forgotten within it.
+	 * The longest budget period that the log can track, bounded by its retention. Longer
+	 * periods are divided into equal parts.
 	 */
 	static final Duration MAX_PERIOD = Ledger.RETENTION.minusHours(2);
 
@@ -57,8 +57,8 @@
 	}
 
 	/**
-	 * Lets a call run, or wait for a slice, or refuses it.
-	 * @param call the call, which was not sent yet
+	 * Admits a call, queues it until a slice covers it, or refuses it.
+	 * @param call a call that has not been sent
 	 */
 	void admit(Call call) {
 		GroupName group = call.request().group();
@@ -92,15 +92,15 @@
 	private Optional<CallFailure> refusalOf(GroupName group, Terms terms, Account<Ticket> account, long tokens) {
 		if (tokens > terms.limit()) {
 			return Optional.of(CallFailure.notRun(FailureCause.BUDGET_EXHAUSTED,
-					"The request may take more than the whole budget of its group."));
+					"The request may use more tokens than the whole budget of its group.`"));
 		}
 		if (!this.draft.log.isReachable()) {
 			return Optional.of(logUnavailable());
 		}
 		if (account.isFull()) {
-			return Optional
-				.of(CallFailure.notRun(FailureCause.QUEUE_FULL, "Too many requests wait for the budget of their group.")
-					.retryAfter(RETRY_AFTER));
+			return Optional.of(CallFailure
+				.notRun(FailureCause.QUEUE_FULL, "Too many requests of this group are waiting for its budget.")
+				.retryAfter(RETRY_AFTER));
 		}
 		if (account.isExhausted() && account.needsReturnedTokens(tokens, remainingOf(group, terms, account))) {
 			return Optional.of(exhausted(terms));
@@ -111,12 +111,13 @@
 	private static CallFailure logUnavailable() {
 		return CallFailure
 			.notRun(FailureCause.LOG_UNAVAILABLE,
-					"The budget needs the log, which cannot be reached or does not answer.")
+					"The budget cannot be checked because the log is unreachable or does not respond.")
 			.retryAfter(RETRY_AFTER);
 	}
 
 	private CallFailure exhausted(Terms terms) {
-		return CallFailure.notRun(FailureCause.BUDGET_EXHAUSTED, "The budget of the group is used for this period.")
+		return CallFailure
+			.notRun(FailureCause.BUDGET_EXHAUSTED, "The budget of the group is exhausted for this period.")
 			.retryAfter(untilPeriodEnd(terms));
 	}
 
@@ -128,12 +129,12 @@
 			.orElse(RETRY_AFTER);
 	}
 
-	// A call without key and number is no resend of another. Of any other one, another
-	// entry may know more.
+	// A call without a key and a number cannot be a retry. Any other call may already
+	// have been sent by another entry, so its refusal has to consult the log.
 	private void refuse(Call call, CallFailure failure) {
-		boolean single = call.request().key().isEmpty()
+		boolean untracked = call.request().key().isEmpty()
 				&& call.request().place().flatMap(ProgramCall::number).isEmpty();
-		if (single) {
+		if (untracked) {
 			new CompletionRules(this.draft).refuse(call, failure);
 			return;
 		}
@@ -144,8 +145,8 @@
 		this.routes.refuseUnsent(call, failure);
 	}
 
-	// The call that ran was charged. Refusing its resend would hide an answer that costs
-	// nothing.
+	// A call with a recorded answer has been charged already, so a retry gets that answer
+	// without another charge.
 	private boolean hasRecordedAnswer(Call call) {
 		Ledger ledger = this.draft.log.ledger();
 		return switch (call.route()) {
@@ -218,9 +219,9 @@
 	}
 
 	/**
-	 * Notes that a slice was reserved, by this entry or another.
-	 * @param change what was reserved
-	 * @param offset where the record stands
+	 * Handles a reservation made by this or another entry.
+	 * @param change the reservation
+	 * @param offset the offset of the record
 	 */
 	void sliceGranted(LedgerChange.SliceGranted change, long offset) {
 		LedgerRecord.SliceReserved record = change.record();
@@ -238,10 +239,10 @@
 	}
 
 	/**
-	 * Notes that a slice came back, of this entry or another: there may be enough now for
-	 * a call that waits.
-	 * @param change what came back
-	 * @param offset where the record stands
+	 * Handles the return of a slice by this or another entry. The returned tokens may
+	 * cover a waiting call.
+	 * @param change the return
+	 * @param offset the offset of the record
 	 */
 	void sliceReturned(LedgerChange.SliceReturned change, long offset) {
 		LedgerRecord.SliceReturned record = change.record();
@@ -259,7 +260,7 @@
 	}
 
 	/**
-	 * Notes that a record of this entry took no effect.
+	 * Handles a record that the ledger rejected, if this entry wrote it.
 	 * @param record the record
 	 */
 	void recordVoided(LedgerRecord record) {
@@ -279,9 +280,9 @@
 		}
 	}
 
-	// Asks for the next slice at once, but not if the log is still in an earlier period
-	// than this entry believes: it would be refused until the log's clock is there, with
-	// an append for each refusal. Then the next tick asks.
+	// Reserves the next slice immediately only if the ledger has reached the account's
+	// period. Until then each reservation would be rejected and appended again, so the
+	// next tick retries instead.
 	private void putDecided(GroupName group, Account<Ticket> account, long sequence) {
 		Account<Ticket> decided = account.decided(sequence, this.draft.now);
 		this.draft.put(group, decided);
@@ -294,8 +295,8 @@
 	}
 
 	/**
-	 * Appends a record again that is not in the log, as far as is known. If it is, the
-	 * second one is void.
+	 * Appends a slice record again unless its result is known. The ledger ignores
+	 * duplicates.
 	 * @param record the record
 	 */
 	void retryAppend(LedgerRecord record) {
@@ -312,7 +313,8 @@
 	}
 
 	/**
-	 * Refuses a call that has waited for a slice long enough.
+	 * Refuses a call whose wait for a slice has timed out, or extends the wait if the
+	 * budget can still cover the call.
 	 * @param ticket the call
 	 */
 	void expireSliceWait(Ticket ticket) {
@@ -326,17 +328,18 @@
 			return;
 		}
 		Account<Ticket> account = accountOf(group, terms.get());
-		boolean silent = account.inFlightSince()
+		boolean unresponsive = account.inFlightSince()
 			.filter((since) -> Duration.between(since, this.draft.now).compareTo(LOG_TIMEOUT) >= 0)
 			.isPresent();
-		if (silent || !this.draft.log.isReachable()) {
+		if (unresponsive || !this.draft.log.isReachable()) {
 			refuse(call.get(), logUnavailable());
 			return;
 		}
 		long left = remainingOf(group, terms.get(), account);
 		if (account.inFlightSince().isPresent()
 				|| !account.needsReturnedTokens(account.waitingTokensOf(ticket), left)) {
-			// The log answers, and there may be enough: calls before this one are served.
+			// The log responds and the budget may still cover the call: earlier calls are
+			// served first.
 			this.draft.putAndAdvance(group, account);
 			this.draft.startTimer(LOG_TIMEOUT, new Timer.SliceTimeout(ticket));
 			return;
@@ -351,8 +354,8 @@
 	}
 
 	/**
-	 * Follows a new configuration: a budget that was taken away, or lowered below what is
-	 * reserved.
+	 * Applies a new configuration, which may remove a budget or lower it below the tokens
+	 * already reserved.
 	 */
 	void configurationChanged() {
 		for (GroupName group : this.draft.accounts.keySet()) {
@@ -368,7 +371,7 @@
 	}
 
 	/**
-	 * Sets idle slices aside, and looks at the calls that wait for the next period.
+	 * Releases idle slices and checks whether waiting calls can proceed in a new period.
 	 */
 	void tick() {
 		for (GroupName group : this.draft.accounts.keySet()) {
@@ -390,8 +393,8 @@
 	}
 
 	/**
-	 * Runs the waiting calls of the groups whose accounts changed, as far as slices pay
-	 * for them, and sends the log what follows.
+	 * Admits the waiting calls that slices cover in all changed accounts, and appends the
+	 * reservations and returns that follow.
 	 */
 	void advance() {
 		while (!this.draft.changedAccounts.isEmpty()) {
@@ -442,7 +445,7 @@
 		}
 	}
 
-	// Lets the calls of a group go that has no budget any more.
+	// Admits all waiting calls of a group whose budget was removed.
 	private void releaseWaitingCalls(GroupName group) {
 		Optional<Account<Ticket>> account = this.draft.accounts.get(group).toJavaOptional();
 		this.draft.accounts = this.draft.accounts.remove(group);
@@ -451,13 +454,13 @@
 	}
 
 	/**
-	 * The budget of a group as this entry knows it.
+	 * Budget of a group as known to this entry.
 	 *
-	 * @param limit the tokens of a period in the newest configuration known, of this
-	 * entry or in the records
-	 * @param period the length of a period in it
-	 * @param own the budget in the configuration of this entry
-	 * @param version the version of that configuration
+	 * @param limit the tokens per period in the newest configuration seen, either this
+	 * entry's or one in the log
+	 * @param period the length of a period in that configuration
+	 * @param configured the budget in this entry's configuration
+	 * @param version the version of this entry's configuration
 	 */
 	private record Terms(long limit, Duration period, Budget configured, long version) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Call.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Call.java
@@ -13,21 +13,21 @@
 import io.lentilslip.core.verdict.Verdict;
 
 /**
- * A request of a caller that has no answer yet. The verdict is the worst over its
- * attempts. Immutable and safe for use by several threads.
+ * A caller's request that has not been answered. Immutable and safe for use by several
+ * threads.
  *
- * @param ticket the request
- * @param request what is asked
- * @param route how the sidecar that runs it is found
- * @param arrived when it arrived
- * @param deadline when the caller gives up
- * @param phase where it is
- * @param delivered the text that the caller has
- * @param verdict what is known of its execution so far
- * @param attempts how often it was sent
- * @param queueing the time it waited beside the upstream
- * @param firstToken when the caller got the first text, if it has
- * @param arrivalRound how often this entry had read all of the log when the call arrived
+ * @param ticket the identifier of the request
+ * @param request the validated request
+ * @param route how the sidecar is selected
+ * @param arrived the arrival time
+ * @param deadline the caller's deadline
+ * @param phase the current phase
+ * @param delivered the text already sent to the caller
+ * @param verdict the least favorable verdict over the attempts so far
+ * @param attempts the number of attempts
+ * @param queueing the time spent queued at sidecars
+ * @param firstToken when the first text was sent to the caller, if any was
+ * @param arrivalRound the number of complete reads of the log before the call arrived
  */
 record Call(Ticket ticket, CallRequest request, Route route, Instant arrived, Instant deadline, Phase phase,
 		Transcript delivered, Verdict verdict, int attempts, Duration queueing, Optional<Instant> firstToken,
@@ -39,8 +39,8 @@
 	}
 
 	/**
-	 * Returns when the entry ends the call by itself.
-	 * @return a time a little after the deadline
+	 * Returns when the entry expires the call.
+	 * @return the deadline with its grace period
 	 */
 	Instant expiresAt() {
 		return this.deadline.plus(RouteRules.DEADLINE_GRACE);
@@ -70,40 +70,42 @@
 	}
 
 	/**
-	 * Where a call is.
+	 * Phase of a call.
 	 */
 	sealed interface Phase {
 
 		/**
-		 * It waits for the log or for a link.
+		 * Waiting for the log or a link.
 		 */
 		record Waiting() implements Phase {
 
 		}
 
 		/**
-		 * It waits for a slice of the budget of its group.
+		 * Waiting for a slice of the group's budget.
 		 */
 		record Reserving() implements Phase {
 
 		}
 
 		/**
-		 * It is not sent, and waits for what the log says of its verdict.
+		 * Waiting for the log to establish whether another entry sent the call before it
+		 * is refused.
 		 *
-		 * @param failure why it is not sent
+		 * @param failure the reason of the refusal
 		 */
 		record RefusalPending(CallFailure failure) implements Phase {
 
 		}
 
 		/**
-		 * It was sent to a sidecar.
+		 * Sent to a sidecar.
 		 *
 		 * @param attempt the attempt
 		 * @param sidecar the sidecar
-		 * @param epoch the epoch of the home, or none if it was not sent to a home
-		 * @param sequence the number of the next part of the answer
+		 * @param epoch the epoch of the home, or {@link Epoch#NONE} if it was not sent to
+		 * a home
+		 * @param nextSequence the expected sequence number of the next delta
 		 */
 		record Sent(AttemptId attempt, ProcessId sidecar, Epoch epoch, int nextSequence) implements Phase {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
@@ -36,8 +36,8 @@
 import io.vavr.control.Option;
 
 /**
- * The rules for what callers ask: who they are, what they may, and what the request must
- * look like. Confined to one application of the reducer.
+ * Rules for requests of callers: authentication, validation and routing. Confined to one
+ * application of the reducer.
  */
 final class CallerRules {
 
@@ -66,7 +66,7 @@
 		RouteRules routes = new RouteRules(this.draft, seed);
 		if (this.draft.stopping) {
 			routes.refuseUnsent(call.get(),
-					CallFailure.notRun(FailureCause.STOPPING, "This entry is stopping; another one takes the request.")
+					CallFailure.notRun(FailureCause.STOPPING, "This entry is shutting down; retry at another entry.")
 						.retryAfter(RETRY_AFTER));
 			return;
 		}
@@ -98,7 +98,7 @@
 		}
 		return configuration().caller(key)
 			.<Either<CallFailure, CallerPolicy>>map(Either::right)
-			.orElseGet(() -> refused(FailureCause.UNAUTHORIZED, "The key is not known."));
+			.orElseGet(() -> refused(FailureCause.UNAUTHORIZED, "The caller's key is unknown."));
 	}
 
 	private Configuration configuration() {
@@ -108,13 +108,13 @@
 	private Either<CallFailure, PlaceInGroup> placeOf(CallerPolicy caller, Submission submission) {
 		if (submission.program().isEmpty()) {
 			if (submission.parent().isPresent() || submission.number().isPresent()) {
-				return refused(FailureCause.INVALID, "A parent or a number needs a program.");
+				return refused(FailureCause.INVALID, "A parent program or a call number requires a program.");
 			}
 			return Either.right(new PlaceInGroup(Optional.of(caller.group()), Optional.empty()));
 		}
 		ProgramName name = submission.program().get();
 		if (submission.parent().equals(submission.program())) {
-			return refused(FailureCause.INVALID, "A program is not its own parent.");
+			return refused(FailureCause.INVALID, "A program cannot be its own parent.");
 		}
 		GroupName group = configuration().groupFor(caller, name);
 		Optional<ProgramId> parent = submission.parent()
@@ -138,29 +138,28 @@
 			Submission submission, Payload.ForModel payload) {
 		Optional<ModelPolicy> model = configuration().model(payload.model());
 		if (model.isEmpty()) {
-			return refused(FailureCause.NOT_FOUND, "The model is not served here.");
+			return refused(FailureCause.NOT_FOUND, "The model is not configured.");
 		}
 		if (payload.messages().isEmpty()) {
-			return refused(FailureCause.INVALID, "A call needs a message.");
+			return refused(FailureCause.INVALID, "The request contains no messages.");
 		}
 		if (payload.mode() == HistoryMode.NEW && submission.number().isEmpty()) {
 			return refused(FailureCause.INVALID,
-					"A call that leaves the history to the system needs a program and a number.");
+					"A call that relies on the stored history requires a program and a call number.");
 		}
 		if (payload.messages().size() > configuration().limits().programs().messages()) {
-			return refused(FailureCause.TOO_LARGE, "Too many messages.");
+			return refused(FailureCause.TOO_LARGE, "The request contains too many messages.");
 		}
-		long most = model.get().maximumOutputTokens();
-		int tokens = (int) Math.min(payload.maximumTokens().orElse(DEFAULT_MAXIMUM_TOKENS), most);
+		long limit = model.get().maximumOutputTokens();
+		int tokens = (int) Math.min(payload.maximumTokens().orElse(DEFAULT_MAXIMUM_TOKENS), limit);
 		if (tokens < 1) {
-			return refused(FailureCause.INVALID, "The most tokens to generate must be positive.");
+			return refused(FailureCause.INVALID, "The maximum number of tokens to generate must be positive.");
 		}
 		return Either.right(new CallRequest.ForModel(group, place, submission.key(), contentOf(payload, tokens),
 				payload.model(), payload.mode(), payload.messages(), tokens, payload.parameters(), payload.streamed()));
 	}
 
-	// Whether the answer is streamed is not part of the content: a resend may ask for the
-	// other form.
+	// Streaming is not part of the content digest: a retry may request the other form.
 	private static Digest contentOf(Payload.ForModel payload, int tokens) {
 		Digest digest = Digest.of(payload.model().value())
 			.then(Digest.of(payload.mode().name()))
@@ -191,7 +190,7 @@
 		if (this.draft.log.ledger()
 			.crashCount(request.content()) >= configuration().limits().faults().crashesBeforeStop()) {
 			return Either.left(CallFailure.mayHaveRun(FailureCause.CRASHES_UPSTREAMS,
-					"The request crashed upstreams before and is not run again."));
+					"The request crashed upstreams before and is not retried."));
 		}
 		Optional<ProgramId> program = request.place().map(ProgramCall::program);
 		Optional<ProgramState> ended = program.flatMap(this.draft.log.ledger()::program)
@@ -228,7 +227,7 @@
 	}
 
 	/**
-	 * Ends a request whose caller has gone.
+	 * Ends a request after its caller disconnected.
 	 * @param ticket the request
 	 */
 	void callerDisconnected(Ticket ticket) {
@@ -277,14 +276,15 @@
 		Either<CallFailure, ProgramState> state = callerOf(caller).flatMap((policy) -> this.draft.log.ledger()
 			.program(new ProgramId(configuration().groupFor(policy, name), name))
 			.<Either<CallFailure, ProgramState>>map(Either::right)
-			.orElseGet(() -> refused(FailureCause.NOT_FOUND, "The program is not known.")));
+			.orElseGet(() -> refused(FailureCause.NOT_FOUND, "The program is unknown.")));
 		if (state.isLeft()) {
 			this.draft.emit(new EntryEffect.Complete(ticket, new CallOutcome.Failed(state.getLeft())));
 		}
 		return state.toJavaOptional();
 	}
 
-	// Shows what the log says, without the messages, since the home cannot be asked.
+	// Sends the state recorded in the log, which has no messages, because the home cannot
+	// be queried.
 	private void sendStateFromLog(Ticket ticket, ProgramId program, ProgramState state) {
 		this.draft.emit(new EntryEffect.SendProgramState(ticket,
 				new ProgramView(program, state.epoch(), state.lastCall(), 0, state.endReason(), List.of())));
@@ -323,7 +323,7 @@
 	}
 
 	/**
-	 * Answers those who asked for the end of a program.
+	 * Answers all pending requests about a program that ended.
 	 * @param program the program
 	 * @param state its state
 	 */
@@ -344,18 +344,18 @@
 		this.draft.programRequests = this.draft.programRequests.remove(ticket);
 		CallFailure failure = switch (question.get()) {
 			case ProgramRequest.ForState state ->
-				CallFailure.notRun(FailureCause.NO_UPSTREAM, "The home of the program does not answer.");
-			case ProgramRequest.ForEnd end -> CallFailure.mayHaveRun(FailureCause.LOG_UNAVAILABLE,
-					"The end of the program could not be confirmed by the log.");
+				CallFailure.notRun(FailureCause.NO_UPSTREAM, "The home of the program did not respond.");
+			case ProgramRequest.ForEnd end ->
+				CallFailure.mayHaveRun(FailureCause.LOG_UNAVAILABLE, "The log did not confirm the end of the program.");
 		};
 		this.draft.emit(new EntryEffect.Complete(ticket, new CallOutcome.Failed(failure.retryAfter(RETRY_AFTER))));
 	}
 
 	/**
-	 * The place of a call and the group it is charged to.
+	 * Program of a call and the group that is charged.
 	 *
 	 * @param group the group
-	 * @param call the place in a program, if it belongs to one
+	 * @param call the call's place in a program, if it belongs to one
 	 */
 	private record PlaceInGroup(Optional<GroupName> group, Optional<ProgramCall> call) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
@@ -20,7 +20,7 @@
 import io.lentilslip.core.verdict.Verdict;
 
 /**
- * The rules for the end of a call. Confined to one application of the reducer.
+ * Rules for completing calls. Confined to one application of the reducer.
  */
 final class CompletionRules {
 
@@ -31,8 +31,8 @@
 	}
 
 	/**
-	 * Gives a call its outcome. A failure never says better of the execution than what is
-	 * known from earlier attempts.
+	 * Completes a call. The verdict of a failure includes all earlier attempts: a call
+	 * that may have run is never reported as not run.
 	 * @param call the call
 	 * @param outcome the outcome of the last attempt
 	 */
@@ -55,11 +55,11 @@
 	}
 
 	/**
-	 * Charges a call to the budget of its group. What an attempt of unknown outcome took
-	 * is not known, so all that was held for it is charged at least.
+	 * Charges a call to the budget of its group. If an attempt has an unknown outcome, at
+	 * least the tokens held for the call are charged.
 	 * @param call the call
-	 * @param unanswered what is known of the attempts without an answer
-	 * @param usage what the answer took
+	 * @param unanswered the verdict over the attempts without an answer
+	 * @param usage the tokens reported by the answer
 	 */
 	void settle(Call call, Verdict unanswered, Usage usage) {
 		GroupName group = call.request().group();
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Draft.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Draft.java
@@ -32,8 +32,8 @@
 import io.vavr.collection.Set;
 
 /**
- * A state in the making: the working copy of one application of the reducer. Confined to
- * that application and the thread that runs it.
+ * Mutable working copy of the entry's state for one application of the reducer. Confined
+ * to that application and its thread.
  */
 final class Draft {
 
@@ -159,8 +159,8 @@
 	}
 
 	/**
-	 * Takes a call out of the state. Its deadline goes with it: kept until it is due, the
-	 * deadlines of answered calls would fill the memory of a busy entry.
+	 * Removes a call together with its deadline timer. Keeping the timers of answered
+	 * calls until they fire would exhaust the memory of a busy entry.
 	 * @param call the call
 	 */
 	void remove(Call call) {
@@ -177,7 +177,8 @@
 	}
 
 	/**
-	 * Puts an account whose waiting calls may run now, or need another slice.
+	 * Puts an account and marks it for {@link BudgetRules#advance}, because its waiting
+	 * calls may be admitted or need another slice.
 	 * @param group the group
 	 * @param account its account
 	 */
@@ -191,7 +192,8 @@
 	}
 
 	/**
-	 * Puts a peer, and what placement knows of it, for everything its upstream serves.
+	 * Puts a peer and updates its placement candidate for every target that its upstream
+	 * serves.
 	 * @param peer the peer
 	 */
 	void put(Peer peer) {
@@ -221,9 +223,9 @@
 	}
 
 	/**
-	 * Counts a call to or from an upstream, ahead of its next report of load.
+	 * Updates the placement candidate of an upstream between two load reports.
 	 * @param vm the VM of the upstream
-	 * @param change the change of what placement knows
+	 * @param change the change of the candidate
 	 */
 	void updateCandidate(VmName vm, UnaryOperator<Candidate> change) {
 		peer(vm).ifPresent((peer) -> {
@@ -235,7 +237,7 @@
 	}
 
 	/**
-	 * Lets a call wait in the set of its route.
+	 * Adds a call to the waiting set of its route.
 	 * @param call the call
 	 */
 	void waitForRoute(Call call) {
@@ -245,7 +247,7 @@
 	}
 
 	/**
-	 * Takes a call out of the set of its route.
+	 * Removes a call from the waiting set of its route.
 	 * @param call the call
 	 */
 	void removeWaiting(Call call) {
@@ -255,8 +257,8 @@
 	}
 
 	/**
-	 * Takes an attempt out of the maps of what was sent.
-	 * @param attemptsByVm the attempt
+	 * Removes an attempt from the maps of attempts in flight.
+	 * @param sent the attempt
 	 */
 	void removeAttempt(Call.Phase.Sent sent) {
 		VmName vm = sent.sidecar().vm();
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEffect.java
@@ -8,21 +8,22 @@
 import io.lentilslip.core.role.NodeEffect;
 
 /**
- * What an entry does. Implementations are immutable and safe for use by several threads.
+ * Effect requested by the decisions of an entry. Implementations are immutable and safe
+ * for use by several threads.
  */
 public sealed interface EntryEffect {
 
 	/**
-	 * Something that a process of any role does.
+	 * An effect common to processes of all roles.
 	 *
-	 * @param effect what to do
+	 * @param effect the effect
 	 */
 	record ForNode(NodeEffect effect) implements EntryEffect {
 
 	}
 
 	/**
-	 * Open a link to a sidecar and keep it open, trying again with pauses.
+	 * Open a link to a sidecar and keep it open, reconnecting with backoff.
 	 *
 	 * @param vm the VM of the sidecar
 	 * @param address its address
@@ -32,7 +33,7 @@
 	}
 
 	/**
-	 * Close the link to a sidecar and do not open it again.
+	 * Close the link to a sidecar and stop reconnecting.
 	 *
 	 * @param vm the VM of the sidecar
 	 */
@@ -41,7 +42,8 @@
 	}
 
 	/**
-	 * Send a message to one life of a sidecar, or report {@link EntryEvent.SendRefused}.
+	 * Send a message to one incarnation of a sidecar, or report
+	 * {@link EntryEvent.SendRefused}.
 	 *
 	 * @param sidecar the receiver
 	 * @param message the message
@@ -51,28 +53,29 @@
 	}
 
 	/**
-	 * Give the caller the next part of its answer. Ignored for a caller who wants the
-	 * answer whole.
+	 * Send the next part of the answer to the caller. Ignored if the caller did not
+	 * request streaming.
 	 *
 	 * @param ticket the request
-	 * @param text the text that follows
+	 * @param text the text
 	 */
 	record Deliver(Ticket ticket, String text) implements EntryEffect {
 
 	}
 
 	/**
-	 * Give the caller the end of its request. Nothing follows for this ticket.
+	 * Complete a request. No further effects follow for its ticket.
 	 *
 	 * @param ticket the request
-	 * @param outcome how it ended
+	 * @param outcome the outcome
 	 */
 	record Complete(Ticket ticket, CallOutcome outcome) implements EntryEffect {
 
 	}
 
 	/**
-	 * Give the caller the state of a program. Nothing follows for this ticket.
+	 * Send the state of a program to the caller. No further effects follow for its
+	 * ticket.
 	 *
 	 * @param ticket the request
 	 * @param view the state
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEvent.java
@@ -11,8 +11,8 @@
 import io.lentilslip.core.role.NodeEvent;
 
 /**
- * An event in the life of an entry. Implementations are immutable and safe for use by
- * several threads.
+ * Input event of an entry. Implementations are immutable and safe for use by several
+ * threads.
  */
 public sealed interface EntryEvent {
 
@@ -23,9 +23,9 @@
 	Instant now();
 
 	/**
-	 * Something was learned of the log service.
+	 * An event of the log service was received.
 	 *
-	 * @param event what was learned
+	 * @param event the log event
 	 */
 	record LogEventReceived(LogEvent event) implements EntryEvent {
 
@@ -37,9 +37,9 @@
 	}
 
 	/**
-	 * Something happened that happens to a process of any role.
+	 * An event common to processes of all roles was received.
 	 *
-	 * @param event what happened
+	 * @param event the event
 	 */
 	record NodeEventReceived(NodeEvent event) implements EntryEvent {
 
@@ -51,19 +51,19 @@
 	}
 
 	/**
-	 * A caller sent a request.
+	 * A request was received from a caller.
 	 *
 	 * @param ticket the request
-	 * @param submission what it says
+	 * @param submission the request's content
 	 * @param now the time of the event, by a clock of this process that never goes back
-	 * @param seed a random number for the decisions that follow
+	 * @param seed a random seed for the resulting decisions
 	 */
 	record CallArrived(Ticket ticket, Submission submission, Instant now, long seed) implements EntryEvent {
 
 	}
 
 	/**
-	 * The caller gave its request up.
+	 * The caller disconnected before its request was completed.
 	 *
 	 * @param ticket the request
 	 * @param now the time of the event, by a clock of this process that never goes back
@@ -73,7 +73,7 @@
 	}
 
 	/**
-	 * A caller asks for the state of a program.
+	 * A caller requested the state of a program.
 	 *
 	 * @param ticket the request
 	 * @param caller the digest of the key that the caller showed
@@ -85,7 +85,7 @@
 	}
 
 	/**
-	 * A caller ends a program.
+	 * A caller requested the end of a program.
 	 *
 	 * @param ticket the request
 	 * @param caller the digest of the key that the caller showed
@@ -97,10 +97,10 @@
 	}
 
 	/**
-	 * A link to a sidecar opened.
+	 * A link to a sidecar was opened.
 	 *
 	 * @param vm the VM of the sidecar, as configured
-	 * @param sidecar the process that answered
+	 * @param sidecar the process at the other end
 	 * @param now the time of the event, by a clock of this process that never goes back
 	 */
 	record SidecarLinked(VmName vm, ProcessId sidecar, Instant now) implements EntryEvent {
@@ -108,7 +108,7 @@
 	}
 
 	/**
-	 * A link to a sidecar ended, or could not be opened.
+	 * A link to a sidecar was closed or could not be opened.
 	 *
 	 * @param vm the VM of the sidecar
 	 * @param now the time of the event, by a clock of this process that never goes back
@@ -118,7 +118,7 @@
 	}
 
 	/**
-	 * A sidecar sent a message.
+	 * A message was received from a sidecar.
 	 *
 	 * @param sidecar the sidecar
 	 * @param message the message
@@ -130,7 +130,7 @@
 	}
 
 	/**
-	 * A message was surely not sent, since no link to its receiver was open.
+	 * A message was not sent because no link to its receiver was open.
 	 *
 	 * @param sidecar the receiver
 	 * @param message the message
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryReducer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryReducer.java
@@ -5,7 +5,7 @@
 import io.lentilslip.core.role.NodeEvent;
 
 /**
- * All decisions of an entry. Safe for use by several threads.
+ * Reducer that makes all decisions of an entry. Safe for use by several threads.
  */
 public final class EntryReducer implements Reducer<EntryState, EntryEvent, EntryEffect> {
 
@@ -25,7 +25,7 @@
 		return draft.toStep();
 	}
 
-	// Events without a seed of their own take the time: it only spreads choices.
+	// The time suffices as seed of other events: the seed only randomizes placement.
 	private static long seedOf(EntryEvent event) {
 		return switch (event) {
 			case EntryEvent.CallArrived arrived -> arrived.seed();
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
@@ -27,9 +27,9 @@
 import io.vavr.collection.Set;
 
 /**
- * All that an entry knows. Each call either waits, and then stands in the set of its
- * route or in the account of its group, or was sent, and then stands in the map of
- * attempts and in the set of its VM. Immutable and safe for use by several threads.
+ * State of an entry. A call is either waiting, in the set of its route or in its group's
+ * account, or sent, in the maps of attempts. Immutable and safe for use by several
+ * threads.
  */
 public final class EntryState {
 
@@ -126,10 +126,10 @@
 	}
 
 	/**
-	 * Returns the state of an entry that has just started and knows nothing.
+	 * Returns the initial state of an entry.
 	 * @param self the process
 	 * @param zone the availability zone it is in
-	 * @return the first state
+	 * @return the state
 	 */
 	public static EntryState of(ProcessId self, ZoneName zone) {
 		return new EntryState(self, zone);
@@ -144,7 +144,7 @@
 	}
 
 	/**
-	 * Returns what operators see of this entry. Walks over all upstreams.
+	 * Returns the status for operators, in time linear in the number of upstreams.
 	 * @return the status
 	 */
 	public EntryStatus status() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryStatus.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryStatus.java
@@ -9,17 +9,17 @@
 import io.lentilslip.core.identity.ZoneName;
 
 /**
- * What operators see of an entry. Immutable and safe for use by several threads.
+ * Status of an entry for operators. Immutable and safe for use by several threads.
  *
  * @param process the process
- * @param configurationVersion the version in force, or -1
+ * @param configurationVersion the active configuration version, or -1 if there is none
  * @param logOffset the offset of the next record to read
- * @param logReachable whether the log can be read
- * @param calls the calls that have no answer yet
- * @param programs the programs the log knows, ended ones included
- * @param upstreams the sidecars, in the order of their VMs
+ * @param logReachable whether the log is reachable
+ * @param calls the number of unanswered calls
+ * @param programs the number of programs in the ledger, including ended ones
+ * @param upstreams the sidecars, ordered by VM
  * @param groups the configured groups
- * @param stopping whether the process takes no new calls
+ * @param stopping whether the process is shutting down and refuses new calls
  */
 public record EntryStatus(ProcessId process, long configurationVersion, long logOffset, boolean logReachable, int calls,
 		int programs, List<Upstream> upstreams, List<Group> groups, boolean stopping) {
@@ -27,14 +27,15 @@
 	/**
 	 * Creates a value.
 	 * @param process the process
-	 * @param configurationVersion the version in force, or -1
+	 * @param configurationVersion the active configuration version, or -1 if there is
+	 * none
 	 * @param logOffset the offset of the next record to read
-	 * @param logReachable whether the log can be read
-	 * @param calls the calls that have no answer yet
-	 * @param programs the programs the log knows, ended ones included
-	 * @param upstreams the sidecars, in the order of their VMs
+	 * @param logReachable whether the log is reachable
+	 * @param calls the number of unanswered calls
+	 * @param programs the number of programs in the ledger, including ended ones
+	 * @param upstreams the sidecars, ordered by VM
 	 * @param groups the configured groups
-	 * @param stopping whether the process takes no new calls
+	 * @param stopping whether the process is shutting down and refuses new calls
 	 */
 	public EntryStatus {
 		upstreams = List.copyOf(upstreams);
@@ -42,27 +43,27 @@
 	}
 
 	/**
-	 * What an entry knows of a group.
+	 * Budget use of a group.
 	 *
 	 * @param group the group
-	 * @param share its weight against the other groups' weights
-	 * @param used the tokens of the present period that are used or reserved
-	 * @param limit the tokens of a period, if there is a limit
+	 * @param share the weight of the group in fair sharing
+	 * @param used the tokens used or reserved in the current period
+	 * @param limit the tokens per period, if the group has a budget
 	 */
 	public record Group(GroupName group, long share, long used, Optional<Long> limit) {
 
 	}
 
 	/**
-	 * What an entry knows of a sidecar.
+	 * State and load of a sidecar.
 	 *
 	 * @param vm the VM
 	 * @param zone the availability zone
-	 * @param linked whether it is linked
-	 * @param leaving whether it leaves
-	 * @param queued the calls waiting there
-	 * @param running the calls running there
-	 * @param limit the most calls running there at once
+	 * @param linked whether a link is open
+	 * @param leaving whether the sidecar is draining
+	 * @param queued the number of queued calls
+	 * @param running the number of running calls
+	 * @param limit the concurrency limit
 	 */
 	public record Upstream(VmName vm, ZoneName zone, boolean linked, boolean leaving, int queued, int running,
 			int limit) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
@@ -17,7 +17,7 @@
 import io.lentilslip.core.role.LogView;
 
 /**
- * The rules for what the log says. Confined to one application of the reducer.
+ * Rules for events of the log. Confined to one application of the reducer.
  */
 final class LedgerRules {
 
@@ -64,16 +64,16 @@
 	private void applyChange(LedgerChange change, long offset) {
 		switch (change) {
 			case LedgerChange.HomeChanged changed -> this.routes.claimDecided(new Route.ForHome(changed.program()));
-			case LedgerChange.ProgramEnded closed -> {
-				this.routes.claimDecided(new Route.ForHome(closed.program()));
-				new CallerRules(this.draft).programEnded(closed.program(), closed.state());
+			case LedgerChange.ProgramEnded ended -> {
+				this.routes.claimDecided(new Route.ForHome(ended.program()));
+				new CallerRules(this.draft).programEnded(ended.program(), ended.state());
 			}
-			case LedgerChange.CallClaimed taken -> this.routes.claimDecided(new Route.ForClaim(taken.key()));
-			case LedgerChange.CallCompleted done -> this.routes.claimDecided(new Route.ForClaim(done.key()));
+			case LedgerChange.CallClaimed claimed -> this.routes.claimDecided(new Route.ForClaim(claimed.key()));
+			case LedgerChange.CallCompleted completed -> this.routes.claimDecided(new Route.ForClaim(completed.key()));
 			case LedgerChange.CallReleased released -> this.routes.reroute(new Route.ForClaim(released.key()));
 			case LedgerChange.Voided voided -> recordVoided(voided.record());
 			case LedgerChange.SliceGranted granted -> this.budgets.sliceGranted(granted, offset);
-			case LedgerChange.SliceReturned givenBack -> this.budgets.sliceReturned(givenBack, offset);
+			case LedgerChange.SliceReturned returned -> this.budgets.sliceReturned(returned, offset);
 			case LedgerChange.TurnAdded added -> {
 			}
 			case LedgerChange.CrashCountChanged counted -> {
@@ -103,8 +103,8 @@
 		this.draft.log = this.draft.log.unreachable(this.draft.now);
 	}
 
-	// What was lost may have changed homes and claims: only what the log still has
-	// counts.
+	// The lost records may include homes and claims, so the ledger restarts from the
+	// first available record and slices are discarded.
 	private void resetAfterGap(LogEvent.GapFound gap) {
 		this.draft.report(NoticeCode.RETENTION_GAP.with(FieldName.OFFSET, gap.from())
 			.with(FieldName.COUNT, gap.first() - gap.from()));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
@@ -15,8 +15,8 @@
 import io.lentilslip.core.role.NodeEvent;
 
 /**
- * The rules for time, configuration, membership and the end of the process. Confined to
- * one application of the reducer.
+ * Rules for timers, configuration, membership and shutdown. Confined to one application
+ * of the reducer.
  */
 final class NodeRules {
 
@@ -139,7 +139,7 @@
 	}
 
 	/**
-	 * Ends the process once every caller has its answer.
+	 * Stops a process that is shutting down once all requests are answered.
 	 */
 	void stopIfDone() {
 		if (!this.draft.stopping || this.draft.stopped || !this.draft.calls.isEmpty()
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Payload.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Payload.java
@@ -9,13 +9,13 @@
 import io.lentilslip.core.identity.ServiceName;
 
 /**
- * What a caller asks for, before its group is known. Implementations are immutable and
- * safe for use by several threads.
+ * Content of a caller's request before its group is resolved. Implementations are
+ * immutable and safe for use by several threads.
  */
 public sealed interface Payload {
 
 	/**
-	 * A call of a model.
+	 * A model call.
 	 *
 	 * @param model the model
 	 * @param mode how the messages relate to the history
@@ -43,10 +43,10 @@
 	}
 
 	/**
-	 * A call of a plain service.
+	 * A service call.
 	 *
 	 * @param service the service
-	 * @param message the HTTP request to pass on
+	 * @param message the HTTP request to forward
 	 */
 	record ForService(ServiceName service, ServiceMessage message) implements Payload {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Peer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Peer.java
@@ -11,14 +11,14 @@
 import io.lentilslip.core.placement.Candidate.Load;
 
 /**
- * What an entry knows of a sidecar. Immutable and safe for use by several threads.
+ * State of a sidecar as known to an entry. Immutable and safe for use by several threads.
  *
- * @param policy what the configuration says of its upstream
- * @param process the process that is linked, if one is
- * @param since when the link opened or ended
- * @param leaving whether it said that it leaves
- * @param listedLeaving whether the list of VMs says that it leaves
- * @param report its last report of load, if it sent one over this link
+ * @param policy the configuration of its upstream
+ * @param process the linked process, if a link is open
+ * @param since when the link was last opened or closed
+ * @param leaving whether the sidecar announced that it is draining
+ * @param listedLeaving whether the VM list marks its VM as draining
+ * @param report the last load report received over this link
  */
 record Peer(UpstreamPolicy policy, Optional<ProcessId> process, Instant since, boolean leaving, boolean listedLeaving,
 		Optional<LinkMessage.LoadReport> report) {
@@ -57,9 +57,9 @@
 	}
 
 	/**
-	 * Returns whether new programs and single calls may be sent. A sidecar whose upstream
-	 * is down reports that it takes no calls.
-	 * @return whether it takes new work, as far as is known
+	 * Returns whether new programs and single calls may be sent. A sidecar reports a
+	 * limit of zero while its upstream is down.
+	 * @return the availability as known to the entry
 	 */
 	Availability availability() {
 		if (this.process.isEmpty()) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/ProgramRequest.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/ProgramRequest.java
@@ -4,8 +4,8 @@
 import io.lentilslip.core.link.AttemptId;
 
 /**
- * A request about a program that waits for its answer. Implementations are immutable and
- * safe for use by several threads.
+ * Unanswered request for the state or the end of a program. Implementations are immutable
+ * and safe for use by several threads.
  */
 sealed interface ProgramRequest {
 
@@ -16,17 +16,17 @@
 	ProgramId program();
 
 	/**
-	 * The state of the program is asked for.
+	 * A request for the state of a program.
 	 *
 	 * @param program the program
-	 * @param attempt the number under which its home was asked
+	 * @param attempt the identifier of the query sent to its home
 	 */
 	record ForState(ProgramId program, AttemptId attempt) implements ProgramRequest {
 
 	}
 
 	/**
-	 * The program is to end.
+	 * A request to end a program.
 	 *
 	 * @param program the program
 	 */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Refusals.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Refusals.java
@@ -4,7 +4,7 @@
 import io.lentilslip.core.measurement.Measurement.CallRefused.Reason;
 
 /**
- * The names under which refusals are counted. Safe for use by several threads.
+ * Maps failure causes to the reasons counted in metrics. Safe for use by several threads.
  */
 final class Refusals {
 
@@ -12,9 +12,9 @@
 	}
 
 	/**
-	 * Returns the name under which a cause is counted.
+	 * Returns the metric reason of a cause.
 	 * @param cause the cause
-	 * @return the name
+	 * @return the reason
 	 */
 	static Reason reasonOf(FailureCause cause) {
 		return switch (cause) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Route.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Route.java
@@ -4,13 +4,13 @@
 import io.lentilslip.core.ledger.CallKey;
 
 /**
- * How the sidecar that runs a call is found. Implementations are immutable and safe for
- * use by several threads.
+ * Rule that selects the sidecar of a call. Implementations are immutable and safe for use
+ * by several threads.
  */
 sealed interface Route {
 
 	/**
-	 * By the home of its program.
+	 * The home of the program.
 	 *
 	 * @param program the program
 	 */
@@ -19,7 +19,7 @@
 	}
 
 	/**
-	 * By the claim of the call in the log.
+	 * The executor that claimed the call in the log.
 	 *
 	 * @param key the key of the call
 	 */
@@ -28,7 +28,7 @@
 	}
 
 	/**
-	 * Any upstream will do.
+	 * Any available upstream.
 	 */
 	record ForAny() implements Route {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/RouteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/RouteRules.java
@@ -34,14 +34,13 @@
 import io.vavr.collection.Set;
 
 /**
- * The rules by which a call finds the sidecar that runs it. Confined to one application
- * of the reducer.
+ * Rules that select the sidecar of a call and handle failed attempts. Confined to one
+ * application of the reducer.
  */
 final class RouteRules {
 
 	/**
-	 * How much longer than its deadline a call waits for the word of the sidecar, which
-	 * knows whether the call ran.
+	 * Time after the deadline in which the sidecar may still report whether the call ran.
 	 */
 	static final Duration DEADLINE_GRACE = Duration.ofMillis(250);
 
@@ -69,8 +68,8 @@
 	}
 
 	/**
-	 * Sends a call, or lets it wait for what it needs.
-	 * @param call the call, which is neither sent nor waiting
+	 * Sends a call, lets it wait for the log or a link, or completes it.
+	 * @param call a call that is neither sent nor waiting
 	 */
 	void route(Call call) {
 		switch (call.route()) {
@@ -109,17 +108,16 @@
 		claimHome(call, route, state.epoch().next(), Optional.of(state.home().vm()));
 	}
 
-	// The first claim of a sub-agent whose parent has ended is void for good. Without the
-	// look at the parent the call would claim again each time it reads that, and fill the
-	// log until its deadline.
+	// The ledger always voids the first claim of a sub-agent whose parent has ended.
+	// Without this check the call would append claims until its deadline.
 	private void claimFirstHome(Call call, Route.ForHome route) {
-		boolean orphaned = call.request()
+		boolean parentEnded = call.request()
 			.place()
 			.flatMap(ProgramCall::parent)
 			.flatMap(this.draft.log.ledger()::program)
 			.flatMap(ProgramState::endReason)
 			.isPresent();
-		if (orphaned) {
+		if (parentEnded) {
 			refuse(call, CallFailure.ofEndedProgram(call.request(), 0));
 			return;
 		}
@@ -142,7 +140,8 @@
 		}
 		ClaimState claim = known.get();
 		if (!claim.content().equals(call.request().content())) {
-			refuse(call, CallFailure.notRun(FailureCause.KEY_REUSED, "This key belongs to a call with other content."));
+			refuse(call, CallFailure.notRun(FailureCause.KEY_REUSED,
+					"This idempotency key was used for a call with different content."));
 			return;
 		}
 		if (claim.outcome().isPresent()) {
@@ -151,10 +150,10 @@
 		}
 		Optional<Peer> peer = this.draft.peer(claim.executor().vm());
 		if (peer.isEmpty() || isOtherIncarnation(peer.get(), claim.executor())) {
-			// The life that could tell is over. Nobody else may run the call, and nobody
-			// can say that it did not run.
+			// The executor's incarnation has ended without recording an outcome. The call
+			// may have run, so it must not run elsewhere.
 			refuse(call, CallFailure.mayHaveRun(FailureCause.OUTCOME_UNKNOWN,
-					"The process that was to run the request is gone."));
+					"The process assigned to the request has stopped without recording an outcome."));
 			return;
 		}
 		if (peer.get().isLinkedTo(claim.executor())) {
@@ -170,8 +169,7 @@
 		}
 		refuse(call,
 				CallFailure
-					.mayHaveRun(FailureCause.OUTCOME_UNKNOWN,
-							"The process that was to run the request cannot be reached.")
+					.mayHaveRun(FailureCause.OUTCOME_UNKNOWN, "The process assigned to the request is unreachable.")
 					.retryAfter(RETRY_AFTER));
 	}
 
@@ -185,7 +183,7 @@
 	}
 
 	private static CallFailure noUpstream() {
-		return CallFailure.notRun(FailureCause.NO_UPSTREAM, "No upstream for this request can be reached.")
+		return CallFailure.notRun(FailureCause.NO_UPSTREAM, "No upstream is available for this request.")
 			.retryAfter(RETRY_AFTER);
 	}
 
@@ -198,11 +196,11 @@
 	}
 
 	/**
-	 * Claims the home of a program for a sidecar chosen now, unless a claim is under way.
-	 * @param call the call that needs it
-	 * @param route the program
+	 * Claims a home for a program unless a claim is in flight.
+	 * @param call the call that needs the home
+	 * @param route the route of the program
 	 * @param epoch the epoch to claim
-	 * @param excluded a VM that must not be chosen
+	 * @param excluded a VM that must not be selected
 	 */
 	void claimHome(Call call, Route.ForHome route, Epoch epoch, Optional<VmName> excluded) {
 		if (this.draft.pendingClaims.containsKey(route)) {
@@ -244,21 +242,23 @@
 	}
 
 	private static CallFailure logUnavailable() {
-		return CallFailure.notRun(FailureCause.LOG_UNAVAILABLE, "The request needs the log, which cannot be reached.")
+		return CallFailure
+			.notRun(FailureCause.LOG_UNAVAILABLE,
+					"The request requires the log, which is unreachable or did not confirm the claim in time.")
 			.retryAfter(RETRY_AFTER);
 	}
 
 	/**
-	 * Returns what may be said of a call that this entry has not sent. Another entry may
-	 * have sent it before: without the log, with a claim in it, or with records in it
-	 * that this entry has not read, nobody can exclude that it ran, and an entry that
-	 * said so would have the caller run it twice.
+	 * Returns the verdict of a call that this entry has not sent. Another entry may have
+	 * sent it unless the log is reachable, has no claim of it, and has been read
+	 * completely since the call arrived. A wrong {@code NOT_RUN} would let the caller run
+	 * the call twice.
 	 * @param call the call
 	 * @return the verdict
 	 */
 	Verdict unsentVerdict(Call call) {
-		boolean proved = !isInLog(call) && this.draft.log.isReachable() && hasReadSinceArrival(call);
-		return (proved) ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN;
+		boolean provenNotRun = !isInLog(call) && this.draft.log.isReachable() && hasReadSinceArrival(call);
+		return (provenNotRun) ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN;
 	}
 
 	private boolean isInLog(Call call) {
@@ -270,22 +270,22 @@
 		};
 	}
 
-	// The first round that ends after the call arrived may have begun before.
+	// The first read that completes after the call's arrival may have started before it.
 	private boolean hasReadSinceArrival(Call call) {
 		return call.route() instanceof Route.ForAny
 				|| this.draft.log.rounds() >= call.arrivalRound() + ROUNDS_FOR_FULL_READ;
 	}
 
 	/**
-	 * Refuses a call that is not sent, once this entry has read enough of the log to say
-	 * whether another one sent it.
+	 * Refuses an unsent call once the log has been read far enough to establish its
+	 * verdict.
 	 * @param call the call
-	 * @param failure why it is not sent
+	 * @param failure the reason of the refusal
 	 */
 	void refuseUnsent(Call call, CallFailure failure) {
-		boolean waits = !isInLog(call) && this.draft.log.isReachable() && !hasReadSinceArrival(call)
+		boolean undetermined = !isInLog(call) && this.draft.log.isReachable() && !hasReadSinceArrival(call)
 				&& call.deadline().isAfter(this.draft.now);
-		if (!waits) {
+		if (!undetermined) {
 			refuse(call, failure.after(unsentVerdict(call)));
 			return;
 		}
@@ -321,8 +321,8 @@
 	}
 
 	/**
-	 * Looks again at the calls that wait for a program or a claim.
-	 * @param route what they wait for
+	 * Retries the routing of all calls that wait for a route.
+	 * @param route the route
 	 */
 	void reroute(Route route) {
 		for (Ticket ticket : this.draft.waitingByRoute.getOrElse(route, HashSet.empty())) {
@@ -354,8 +354,8 @@
 	}
 
 	/**
-	 * Notes that a claim of a program or call was decided.
-	 * @param route what was claimed
+	 * Handles the decision of the ledger on a claim.
+	 * @param route the route of the claim
 	 */
 	void claimDecided(Route route) {
 		this.draft.pendingClaims = this.draft.pendingClaims.remove(route);
@@ -363,9 +363,8 @@
 	}
 
 	/**
-	 * Appends a claim again that is not in the log, as far as is known. If it is, the
-	 * second one is void.
-	 * @param route what is claimed
+	 * Appends a claim again unless it has been decided. The ledger voids duplicates.
+	 * @param route the route of the claim
 	 * @param record the claim
 	 */
 	void retryClaim(Route route, LedgerRecord record) {
@@ -375,8 +374,8 @@
 	}
 
 	/**
-	 * Refuses the calls that wait for a claim that did not show in the log in time.
-	 * @param route what was claimed
+	 * Refuses the calls that wait for a claim that did not appear in the log in time.
+	 * @param route the route of the claim
 	 * @param claim the number of the claim
 	 */
 	void expireClaim(Route route, long claim) {
@@ -390,10 +389,10 @@
 	}
 
 	/**
-	 * Decides what follows from an attempt that had no answer.
-	 * @param call the call, still as it was sent
+	 * Handles a failed attempt.
+	 * @param call the call in its sent phase
 	 * @param sent the attempt
-	 * @param failure how it ended
+	 * @param failure the failure
 	 */
 	void attemptFailed(Call call, Call.Phase.Sent sent, CallFailure failure) {
 		this.draft.removeAttempt(sent);
@@ -406,8 +405,8 @@
 		}
 	}
 
-	// A turn counts once whatever happens to the attempts: so another home may run the
-	// call even if this one may have begun.
+	// A turn is committed at most once, so another home may run the call even if this
+	// attempt may have run.
 	private void afterHomeFailure(Call call, Route.ForHome route, Call.Phase.Sent sent, CallFailure failure) {
 		if (call.attempts() >= MAX_ATTEMPTS || !call.deadline().isAfter(this.draft.now)) {
 			refuse(call, withUnsentVerdict(call, failure));
@@ -439,10 +438,10 @@
 
 	private void afterExecutorFailure(Call call, CallFailure failure) {
 		boolean released = failure.verdict() == Verdict.NOT_RUN && call.verdict() == Verdict.NOT_RUN;
-		boolean goesOn = released && call.attempts() < MAX_ATTEMPTS && call.deadline().isAfter(this.draft.now);
+		boolean canRetry = released && call.attempts() < MAX_ATTEMPTS && call.deadline().isAfter(this.draft.now);
 		switch (failure.cause()) {
 			case MOVED, STOPPING, NO_UPSTREAM, UPSTREAM_FAILED, NOT_READY -> {
-				if (goesOn) {
+				if (canRetry) {
 					waitUntil(this.draft.now.plus(REROUTE_DELAY), call);
 				}
 				else {
@@ -453,9 +452,8 @@
 		}
 	}
 
-	// A sidecar that is not the home or executor, or could not read the log, knows only
-	// of
-	// itself that it did not run the call.
+	// A sidecar that is not the home or executor, or cannot read the log, knows only that
+	// it has not run the call itself.
 	private CallFailure withUnsentVerdict(Call call, CallFailure failure) {
 		return switch (failure.cause()) {
 			case MOVED, NOT_READY, LOG_UNAVAILABLE -> failure.after(unsentVerdict(call));
@@ -479,17 +477,16 @@
 
 	private boolean isRepeatable(CallRequest request) {
 		return switch (request) {
-			// A request that was running when an engine crashed is not sent to the next
-			// one by itself: whoever wants it asks again, when the log knows of the
-			// crash.
+			// A request that was running during an engine crash is not retried
+			// automatically. The caller may retry it once the log has recorded the crash.
 			case CallRequest.ForModel model -> this.draft.log.ledger().crashCount(model.content()) == 0;
 			case CallRequest.ForService service -> service.repeatable();
 		};
 	}
 
 	/**
-	 * Looks again at what was sent to a sidecar whose link ended. Homes and executors may
-	 * come back and be asked again: they know what they ran.
+	 * Handles the loss of a link. Calls of homes and executors wait for the link, because
+	 * those sidecars know whether they ran them.
 	 * @param vm the VM of the sidecar
 	 */
 	void linkLost(VmName vm) {
@@ -515,7 +512,7 @@
 	}
 
 	/**
-	 * Ends a call whose deadline has passed without a word of the sidecar.
+	 * Expires a call whose grace period ended without an outcome.
 	 * @param ticket the call
 	 */
 	void expireCall(Ticket ticket) {
@@ -523,7 +520,7 @@
 		if (call.isEmpty()) {
 			return;
 		}
-		CallFailure failure = CallFailure.notRun(FailureCause.DEADLINE_PASSED, "The deadline passed.");
+		CallFailure failure = CallFailure.notRun(FailureCause.DEADLINE_PASSED, "The deadline of the request passed.");
 		if (call.get().phase() instanceof Call.Phase.Sent sent) {
 			this.draft.emit(new EntryEffect.Send(sent.sidecar(), new LinkMessage.Cancel(sent.attempt())));
 			refuse(call.get(), failure.after(Verdict.MAY_HAVE_RUN));
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/SidecarRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/SidecarRules.java
@@ -13,7 +13,8 @@
 import io.vavr.collection.Set;
 
 /**
- * The rules for what sidecars do and say. Confined to one application of the reducer.
+ * Rules for links to sidecars and their messages. Confined to one application of the
+ * reducer.
  */
 final class SidecarRules {
 
@@ -31,8 +32,8 @@
 		if (peer.isEmpty()) {
 			return;
 		}
-		// Whoever answers at the address must be the VM that the configuration names:
-		// else a call could reach a process that another one's claims do not bind.
+		// The process must be on the configured VM. Otherwise calls could reach a process
+		// that is not bound by the claims of that VM.
 		if (!event.sidecar().vm().equals(event.vm())) {
 			this.draft.report(NoticeCode.MESSAGE_REFUSED.with(FieldName.REASON, "another VM answers"));
 			this.draft.emit(new EntryEffect.Disconnect(event.vm()));
@@ -91,7 +92,8 @@
 		this.draft.report(NoticeCode.UPSTREAM_LEAVING.with(FieldName.VM, peer.policy().vm()));
 	}
 
-	// An attempt that was given up is in no map: what still comes for it meets nothing.
+	// Returns the call of an attempt in flight. Messages for abandoned attempts find no
+	// call and are dropped.
 	private Optional<Call> callOf(AttemptId attempt) {
 		return this.draft.attempts.get(attempt).toJavaOptional().flatMap(this.draft::call);
 	}
@@ -106,10 +108,11 @@
 			return;
 		}
 		if (sent.nextSequence() != message.sequence()) {
-			// A part is missing or came twice: the caller must not get a text with a gap.
+			// A delta is missing or duplicated, so continuing would corrupt the text sent
+			// to the caller.
 			this.draft.emit(new EntryEffect.Send(sent.sidecar(), new LinkMessage.Cancel(sent.attempt())));
-			this.routes.attemptFailed(call.get(), sent,
-					CallFailure.mayHaveRun(FailureCause.INTERNAL, "A part of the answer was lost."));
+			this.routes.attemptFailed(call.get(), sent, CallFailure.mayHaveRun(FailureCause.INTERNAL,
+					"Part of the streamed answer was lost or duplicated."));
 			return;
 		}
 		this.draft.put(call.get().withText(message.text(), this.draft.now).withPhase(sent.withNextSequence()));
@@ -128,9 +131,8 @@
 	}
 
 	/**
-	 * Notes that a message was surely not sent. A call goes on as if that attempt had not
-	 * been made.
-	 * @param event the message
+	 * Handles a message that was not sent. The attempt counts as not run.
+	 * @param event the event
 	 */
 	void sendRefused(EntryEvent.SendRefused event) {
 		if (!(event.message() instanceof LinkMessage.Dispatch dispatch)) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Target.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Target.java
@@ -5,7 +5,7 @@
 import io.lentilslip.core.identity.ServiceName;
 
 /**
- * What a call needs of an upstream. Implementations are immutable and safe for use by
+ * Model or service required by a call. Implementations are immutable and safe for use by
  * several threads.
  */
 sealed interface Target {
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	 * An engine that serves a model.
+	 * A model served by an engine.
 	 *
 	 * @param model the model
 	 */
@@ -32,7 +32,7 @@
 	}
 
 	/**
-	 * An upstream of a plain service.
+	 * A service.
 	 *
 	 * @param service the service
 	 */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Ticket.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Ticket.java
@@ -1,10 +1,10 @@
 package io.lentilslip.core.entry;
 
 /**
- * The number by which an entry knows one request of a caller. Immutable and safe for use
- * by several threads.
+ * Identifier of a caller's request within one incarnation of an entry. Immutable and safe
+ * for use by several threads.
  *
- * @param value a number that this life of the entry uses once
+ * @param value a number that is unique within the incarnation
  */
 public record Ticket(long value) implements Comparable<Ticket> {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Timer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Timer.java
@@ -3,13 +3,13 @@
 import io.lentilslip.core.ledger.LedgerRecord;
 
 /**
- * Something to look at when its time comes. It may have become needless by then.
- * Implementations are immutable and safe for use by several threads.
+ * Timer that is checked against the current state when it fires; it may be obsolete by
+ * then. Implementations are immutable and safe for use by several threads.
  */
 sealed interface Timer {
 
 	/**
-	 * The deadline of a call has come.
+	 * Expires a call at its deadline.
 	 *
 	 * @param ticket the call
 	 */
@@ -18,7 +18,7 @@
 	}
 
 	/**
-	 * A waiting call may find its way now.
+	 * Retries the routing of a waiting call.
 	 *
 	 * @param ticket the call
 	 */
@@ -27,9 +27,9 @@
 	}
 
 	/**
-	 * A claim that failed may be appended again.
+	 * Retries the append of a claim.
 	 *
-	 * @param route what was claimed
+	 * @param route the route of the claim
 	 * @param record the claim
 	 */
 	record ClaimRetry(Route route, LedgerRecord record) implements Timer {
@@ -37,9 +37,9 @@
 	}
 
 	/**
-	 * A claim should be in the log.
+	 * Expires a claim that has not appeared in the log.
 	 *
-	 * @param route what was claimed
+	 * @param route the route of the claim
 	 * @param claim the number of the claim
 	 */
 	record ClaimTimeout(Route route, long claim) implements Timer {
@@ -47,7 +47,7 @@
 	}
 
 	/**
-	 * A record of a slice that failed may be appended again.
+	 * Retries the append of a slice record.
 	 *
 	 * @param record the record
 	 */
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * A call should have its slice.
+	 * Expires the wait of a call for a slice.
 	 *
 	 * @param ticket the call
 	 */
@@ -65,7 +65,7 @@
 	}
 
 	/**
-	 * A program that was to end should have ended, or a question should have its answer.
+	 * Expires a request for the state or the end of a program.
 	 *
 	 * @param ticket the request
 	 */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions of an entry: who may call, which sidecar runs a call, and what the caller is
- * told.
+ * Decisions of an entry: authentication and validation of requests, routing of calls to
+ * sidecars, and completion.
  */
 package io.lentilslip.core.entry;
