--- a/lentilslip-core/src/main/java/io/lentilslip/core/admission/ConcurrencyLimit.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/admission/ConcurrencyLimit.java
@@ -3,75 +3,78 @@
 import java.time.Duration;
 
 /**
- * A limit of the calls that an upstream gets at once. Calls beyond it wait in the order
- * of this system; inside the upstream, which knows no order, they would wait as they
- * came. Implementations are immutable and safe for use by several threads.
+ * Concurrency limit of an upstream. Calls beyond it are queued by this system, which
+ * orders them, rather than inside the upstream, which does not. Implementations are
+ * immutable and safe for use by several threads.
  */
 public sealed interface ConcurrencyLimit {
 
 	/**
-	 * Returns the most calls that the upstream gets at once.
+	 * Returns the maximum number of calls in flight at the upstream.
 	 * @return the limit, at least one
 	 */
 	int limit();
 
 	/**
-	 * Returns the limit after a call ended.
-	 * @param sample what was measured of the call
-	 * @return the limit that takes the sample into account
+	 * Returns the limit updated after a call ended.
+	 * @param sample the measurement of the call
+	 * @return the updated limit
 	 */
 	ConcurrencyLimit after(Sample sample);
 
 	/**
-	 * Returns a limit that operators set.
-	 * @param calls the most calls at once
-	 * @return a limit that never changes
+	 * Returns a fixed limit.
+	 * @param calls the maximum number of concurrent calls
+	 * @return the limit
 	 */
 	static ConcurrencyLimit fixed(int calls) {
 		return new Fixed(calls);
 	}
 
 	/**
-	 * Returns a limit that is found from measured times.
-	 * @param minimum the least limit
-	 * @param maximum the greatest limit
-	 * @return a limit that begins with the least
+	 * Returns a limit that adapts to measured latencies.
+	 * @param minimum the minimum limit
+	 * @param maximum the maximum limit
+	 * @return a limit that starts at the minimum
 	 */
 	static ConcurrencyLimit between(int minimum, int maximum) {
 		return Adaptive.startingAt(minimum, maximum);
 	}
 
 	/**
-	 * What was measured of a call that ended.
+	 * Measurement of a call that ended.
 	 *
-	 * @param duration the time that the upstream took
-	 * @param work what the upstream did in it, such as the cost of its tokens; always in
-	 * one unit
-	 * @param running the calls that ran at the upstream when this one began, with this
-	 * one
-	 * @param failed whether the upstream failed or was too slow to answer
+	 * @param duration the time spent at the upstream
+	 * @param work the work done by the upstream, such as the cost of the tokens, in a
+	 * consistent unit
+	 * @param running the number of calls in flight at the upstream when this call
+	 * started, including it
+	 * @param failed whether the upstream failed or timed out
 	 */
 	record Sample(Duration duration, long work, int running, boolean failed) {
 
 		/**
 		 * Creates a sample.
-		 * @param duration the time that the upstream took
-		 * @param work what the upstream did in it
-		 * @param running the calls that ran when this one began, with this one
-		 * @param failed whether the upstream failed or was too slow to answer
-		 * @throws IllegalArgumentException if a number is negative or the call did not
-		 * run itself
+		 * @param duration the time spent at the upstream
+		 * @param work the work done by the upstream, such as the cost of the tokens, in a
+		 * consistent unit
+		 * @param running the number of calls in flight at the upstream when this call
+		 * started, including it
+		 * @param failed whether the upstream failed or timed out
+		 * @throws IllegalArgumentException if a value is negative or {@code running} does
+		 * not include the call
 		 */
 		public Sample {
 			if (duration.isNegative() || work < 0 || running < 1) {
-				throw new IllegalArgumentException("not a measurement of a call that ran");
+				throw new IllegalArgumentException(
+						"duration and work must not be negative and running must be at least 1");
 			}
 		}
 
 	}
 
 	/**
-	 * A limit that never changes.
+	 * Fixed limit.
 	 *
 	 * @param limit the limit
 	 */
@@ -84,7 +87,7 @@
 		 */
 		public Fixed {
 			if (limit < 1) {
-				throw new IllegalArgumentException("a limit must be positive, not " + limit);
+				throw new IllegalArgumentException("limit must be positive, not " + limit);
 			}
 		}
 
@@ -96,21 +99,20 @@
 	}
 
 	/**
-	 * A limit that follows the time that the upstream takes for its work. It is adjusted
-	 * once a round: after as many calls as the limit allows at once. It grows while the
-	 * time stays near that of a lightly loaded upstream, shrinks in proportion as the
-	 * time exceeds it, and shrinks when calls fail. Once in many rounds half the limit is
-	 * probed, to measure the lightly loaded time anew: an upstream that is never lightly
-	 * loaded would otherwise pass its slowness off as normal, and the limit would creep
-	 * up to its maximum.
+	 * Limit that adapts to the latency per unit of work. It is adjusted once per round,
+	 * which lasts for as many calls as the current limit. The limit grows while the
+	 * latency stays near the baseline of a lightly loaded upstream, and shrinks in
+	 * proportion to higher latencies and after failures. Periodic probes at half the
+	 * limit measure the baseline again; without them the baseline of a permanently loaded
+	 * upstream would drift up and the limit would grow to its maximum.
 	 *
-	 * @param minimum the least limit
-	 * @param maximum the greatest limit
-	 * @param target the limit but for probes, with fractions
-	 * @param baseline the time for a unit of work of a lightly loaded upstream
-	 * @param phase what this round is for
-	 * @param rounds the rounds since the last probe
-	 * @param round what was measured in this round
+	 * @param minimum the minimum limit
+	 * @param maximum the maximum limit
+	 * @param target the limit outside probes, as a fractional value
+	 * @param baseline the seconds per unit of work of a lightly loaded upstream
+	 * @param phase the phase of this round
+	 * @param rounds the number of rounds since the last probe
+	 * @param round the measurements of this round
 	 */
 	record Adaptive(int minimum, int maximum, double target, double baseline, Phase phase, int rounds,
 			Round round) implements ConcurrencyLimit {
@@ -125,19 +127,20 @@
 
 		/**
 		 * Creates a limit.
-		 * @param minimum the least limit
-		 * @param maximum the greatest limit
-		 * @param target the limit but for probes, with fractions
-		 * @param baseline the time for a unit of work of a lightly loaded upstream
-		 * @param phase what this round is for
-		 * @param rounds the rounds since the last probe
-		 * @param round what was measured in this round
-		 * @throws IllegalArgumentException if the bounds are not positive or the wrong
-		 * way round
+		 * @param minimum the minimum limit
+		 * @param maximum the maximum limit
+		 * @param target the limit outside probes, as a fractional value
+		 * @param baseline the seconds per unit of work of a lightly loaded upstream
+		 * @param phase the phase of this round
+		 * @param rounds the number of rounds since the last probe
+		 * @param round the measurements of this round
+		 * @throws IllegalArgumentException if the minimum is not positive or exceeds the
+		 * maximum
 		 */
 		public Adaptive {
 			if (minimum < 1 || maximum < minimum) {
-				throw new IllegalArgumentException("no limits from " + minimum + " to " + maximum);
+				throw new IllegalArgumentException(
+						"minimum must be positive and not exceed maximum, not " + minimum + " and " + maximum);
 			}
 			target = Math.clamp(target, minimum, maximum);
 		}
@@ -173,15 +176,15 @@
 			if (this.phase == Phase.PROBE) {
 				return next(this.target, time, Phase.STEADY);
 			}
-			double least = Math.min(this.baseline, time);
+			double lowestLatency = Math.min(this.baseline, time);
 			if (measured.maxRunning() * 2 < limit()) {
-				return next(this.target, least, this.phase);
+				return next(this.target, lowestLatency, this.phase);
 			}
-			double gradient = Math.clamp(LATENCY_TOLERANCE * least / time, MIN_GRADIENT, 1);
+			double gradient = Math.clamp(LATENCY_TOLERANCE * lowestLatency / time, MIN_GRADIENT, 1);
 			if (this.phase == Phase.STARTUP && gradient == 1) {
-				return next(this.target * 2, least, Phase.STARTUP);
+				return next(this.target * 2, lowestLatency, Phase.STARTUP);
 			}
-			return next(this.target * gradient + Math.sqrt(this.target), least, Phase.STEADY);
+			return next(this.target * gradient + Math.sqrt(this.target), lowestLatency, Phase.STEADY);
 		}
 
 		private Adaptive next(double changedTarget, double changedBaseline, Phase changedPhase) {
@@ -196,35 +199,35 @@
 	}
 
 	/**
-	 * What a round of an adaptive limit is for. Safe for use by several threads.
+	 * Phase of an adaptive limit. Safe for use by several threads.
 	 */
 	enum Phase {
 
 		/**
-		 * The limit doubles until the upstream slows down.
+		 * The limit doubles each round until the latency rises.
 		 */
 		STARTUP,
 
 		/**
-		 * The limit follows the measured times.
+		 * The limit follows the measured latency.
 		 */
 		STEADY,
 
 		/**
-		 * The limit is halved, to measure the time of a lightly loaded upstream.
+		 * The limit is halved to measure the baseline.
 		 */
 		PROBE
 
 	}
 
 	/**
-	 * What was measured in a round. Immutable and safe for use by several threads.
+	 * Measurements of a round. Immutable and safe for use by several threads.
 	 *
-	 * @param calls the calls that ended
-	 * @param failures those of them that failed
-	 * @param seconds the time of those that did not fail
-	 * @param work the work of those that did not fail
-	 * @param mostRunning the most calls that ran at once
+	 * @param calls the number of calls that ended
+	 * @param failures the number of failed calls
+	 * @param seconds the total duration of the successful calls
+	 * @param work the total work of the successful calls
+	 * @param maxRunning the maximum number of calls in flight
 	 */
 	record Round(int calls, int failures, double seconds, long work, int maxRunning) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/admission/ServiceRate.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/admission/ServiceRate.java
@@ -5,19 +5,18 @@
 import java.util.Optional;
 
 /**
- * The recent rate at which waiting calls are served, by which a call whose deadline
- * cannot be met is refused when it comes. Only the times between services while calls
- * wait count: an idle queue says nothing of how fast it could be served. Immutable and
- * safe for use by several threads.
+ * Recent service rate of a queue, used to reject calls that cannot meet their deadlines.
+ * Only intervals with waiting calls count, because an idle queue does not show its
+ * service rate. Immutable and safe for use by several threads.
  *
- * @param lastService when a call was last served while others waited
- * @param meanIntervalSeconds the smoothed time between two services
- * @param intervals the number of times that were smoothed
+ * @param lastService when a call was last served while others were waiting
+ * @param meanIntervalSeconds the smoothed interval between services
+ * @param intervals the number of smoothed intervals
  */
 public record ServiceRate(Optional<Instant> lastService, double meanIntervalSeconds, int intervals) {
 
 	/**
-	 * The rate of a queue that was not measured yet.
+	 * Rate of a queue without measurements.
 	 */
 	public static final ServiceRate UNKNOWN = new ServiceRate(Optional.empty(), 0, 0);
 
@@ -26,9 +25,9 @@
 	private static final double NANOS_PER_SECOND = 1e9;
 
 	/**
-	 * Returns the rate after a call was served.
+	 * Returns the rate updated after a call was served.
 	 * @param now the time
-	 * @param stillWaiting the calls that wait after it
+	 * @param stillWaiting the number of calls still waiting
 	 * @return the rate
 	 */
 	public ServiceRate served(Instant now, int stillWaiting) {
@@ -38,12 +37,11 @@
 	}
 
 	/**
-	 * Returns whether a call that comes now can be served before its deadline. Until
-	 * enough is measured the answer is yes, since a refusal on a guess would lose a call
-	 * that could have run.
+	 * Returns whether a call that arrives now can be served before its deadline. Calls
+	 * are not rejected until enough intervals are measured.
 	 * @param now the time
 	 * @param deadline the deadline of the call
-	 * @param callsAhead the waiting calls that will be served before it
+	 * @param callsAhead the number of waiting calls that are served before it
 	 * @return whether the deadline can be met
 	 */
 	public boolean canMeet(Instant now, Instant deadline, int callsAhead) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/admission/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/admission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * How many calls an upstream gets at once, and which calls can still be served in time.
+ * Concurrency limits of upstreams and deadline-based admission.
  */
 package io.lentilslip.core.admission;
