--- a/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidate.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidate.java
@@ -7,16 +7,15 @@
 import io.lentilslip.core.identity.ZoneName;
 
 /**
- * An upstream that work can be given to, as one entry knows it. Its reported load is
- * always old; the entry's own calls since then correct it. Immutable and safe for use by
- * several threads.
+ * Upstream considered for placement, as known to one entry. The reported load is stale,
+ * so it is corrected by the calls that this entry has sent since the report. Immutable
+ * and safe for use by several threads.
  *
  * @param vm the VM of the upstream
  * @param zone the availability zone of the VM
- * @param availability whether it may be given work
- * @param load the load it reported last
- * @param sentSinceReport the calls that this entry sent since the report and that have
- * not ended
+ * @param availability whether it accepts new work
+ * @param load the last reported load
+ * @param sentSinceReport the calls in flight that this entry has sent since the report
  */
 public record Candidate(VmName vm, ZoneName zone, Availability availability, Load load, int sentSinceReport) {
 
@@ -24,10 +23,10 @@
 	 * Creates a candidate.
 	 * @param vm the VM of the upstream
 	 * @param zone the availability zone of the VM
-	 * @param availability whether it may be given work
-	 * @param load the load it reported last
-	 * @param sentSinceReport the calls that this entry sent since the report and that
-	 * have not ended
+	 * @param availability whether it accepts new work
+	 * @param load the last reported load
+	 * @param sentSinceReport the calls in flight that this entry has sent since the
+	 * report
 	 */
 	public Candidate {
 		Objects.requireNonNull(vm, "vm");
@@ -37,10 +36,10 @@
 	}
 
 	/**
-	 * Returns a candidate that has a link and has been sent nothing since its report.
+	 * Returns a linked candidate to which no calls were sent since its report.
 	 * @param vm the VM of the upstream
 	 * @param zone the availability zone of the VM
-	 * @param load the load it reported
+	 * @param load the reported load
 	 * @return the candidate
 	 */
 	public static Candidate linked(VmName vm, ZoneName zone, Load load) {
@@ -48,8 +47,8 @@
 	}
 
 	/**
-	 * Returns this candidate with another availability.
-	 * @param changed whether it may be given work
+	 * Returns this candidate with a changed availability.
+	 * @param changed the new availability
 	 * @return the candidate
 	 */
 	public Candidate with(Availability changed) {
@@ -57,9 +56,9 @@
 	}
 
 	/**
-	 * Returns this candidate after it reported its load. A report counts the calls that
-	 * were sent before; those still on their way are too few to matter.
-	 * @param withLoad the load it reported
+	 * Returns this candidate with a new load report. The report counts calls sent
+	 * earlier; calls still on the way to the upstream are ignored.
+	 * @param reported the new report
 	 * @return the candidate
 	 */
 	public Candidate withLoad(Load reported) {
@@ -67,7 +66,7 @@
 	}
 
 	/**
-	 * Returns this candidate after a call was sent to it.
+	 * Returns this candidate after this entry sent a call to it.
 	 * @return the candidate
 	 */
 	public Candidate callSent() {
@@ -75,7 +74,7 @@
 	}
 
 	/**
-	 * Returns this candidate after a call that this entry had sent to it ended.
+	 * Returns this candidate after a call sent by this entry ended.
 	 * @return the candidate
 	 */
 	public Candidate callEnded() {
@@ -86,60 +85,61 @@
 	}
 
 	/**
-	 * Returns the calls at this upstream for each call that it takes at once.
-	 * @param entryCount the entries that send calls by the same reports: each is taken to
-	 * have sent as much as this one
-	 * @return the utilization: above one, calls wait
+	 * Returns the estimated ratio of calls to the concurrency limit.
+	 * @param entryCount the number of entries that place calls by the same reports, each
+	 * assumed to have sent as many calls as this one
+	 * @return the utilization; calls are queued if it is above one
 	 */
 	public double utilization(int entryCount) {
 		return (double) (this.load.calls() + (long) this.sentSinceReport * entryCount) / this.load.limit();
 	}
 
 	/**
-	 * Whether an upstream may be given work. Safe for use by several threads.
+	 * Availability of an upstream for new work. Safe for use by several threads.
 	 */
 	public enum Availability {
 
 		/**
-		 * It can be reached and takes work.
+		 * It is linked and accepts new work.
 		 */
 		LINKED,
 
 		/**
-		 * It leaves and takes no new work.
+		 * It is draining and accepts no new work.
 		 */
 		LEAVING,
 
 		/**
-		 * It cannot be reached.
+		 * It is unreachable.
 		 */
 		UNLINKED
 
 	}
 
 	/**
-	 * The load that an upstream reported. Immutable and safe for use by several threads.
+	 * Load reported by an upstream. Immutable and safe for use by several threads.
 	 *
-	 * @param queued the calls waiting
-	 * @param running the calls running
-	 * @param limit the most calls running at once
-	 * @param reportedAt when the report came
+	 * @param queued the number of queued calls
+	 * @param running the number of running calls
+	 * @param limit the concurrency limit
+	 * @param reportedAt when the report was received
 	 */
 	public record Load(int queued, int running, int limit, Instant reportedAt) {
 
 		/**
 		 * Creates a load.
-		 * @param queued the calls waiting
-		 * @param running the calls running
-		 * @param limit the most calls running at once
-		 * @param reportedAt when the report came
-		 * @throws IllegalArgumentException if a number is negative or the limit not
+		 * @param queued the number of queued calls
+		 * @param running the number of running calls
+		 * @param limit the concurrency limit
+		 * @param reportedAt when the report was received
+		 * @throws IllegalArgumentException if a count is negative or the limit is not
 		 * positive
 		 */
 		public Load {
 			Objects.requireNonNull(reportedAt, "reportedAt");
 			if (queued < 0 || running < 0 || limit < 1) {
-				throw new IllegalArgumentException("no load: " + queued + ", " + running + ", " + limit);
+				throw new IllegalArgumentException("load requires non-negative counts and a positive limit, not queued="
+						+ queued + ", running=" + running + ", limit=" + limit);
 			}
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidates.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidates.java
@@ -12,10 +12,9 @@
 import io.vavr.collection.Vector;
 
 /**
- * The upstreams that one model or service can run on, indexed so that a choice among them
- * takes no time that grows with their number. Only upstreams that may be given work can
- * be chosen. A change takes time logarithmic in their number. Immutable and safe for use
- * by several threads.
+ * Candidates of one model or service. A candidate is selected in constant time or from
+ * the head of a sorted set; updates take logarithmic time. Only linked candidates can be
+ * selected. Immutable and safe for use by several threads.
  */
 public final class Candidates {
 
@@ -66,7 +65,8 @@
 		return find(vm).map(this::without).orElse(this);
 	}
 
-	// The last one takes the place of the one that goes, so that none else has to move.
+	// Moves the last linked candidate to the free position, so that no other position
+	// changes.
 	private Candidates without(Candidate candidate) {
 		VmName vm = candidate.vm();
 		if (candidate.availability() != Availability.LINKED) {
@@ -81,7 +81,7 @@
 	/**
 	 * Returns these candidates after one of them changed.
 	 * @param vm the VM of the candidate
-	 * @param change the change, which keeps the VM
+	 * @param change the change, which must not change the VM
 	 * @return the candidates, unchanged if there is no such candidate
 	 */
 	public Candidates changed(VmName vm, UnaryOperator<Candidate> change) {
@@ -97,7 +97,7 @@
 	}
 
 	/**
-	 * Returns a candidate, whether or not it may be given work.
+	 * Returns a candidate of any availability.
 	 * @param vm the VM of the candidate
 	 * @return the candidate, or an empty result if there is none on the VM
 	 */
@@ -106,16 +106,16 @@
 	}
 
 	/**
-	 * Returns a candidate that may be given work.
+	 * Returns a linked candidate.
 	 * @param vm the VM of the candidate
-	 * @return the candidate, or an empty result if it may not be given work
+	 * @return the candidate, or an empty result if there is none or it is not linked
 	 */
 	public Optional<Candidate> findLinked(VmName vm) {
 		return find(vm).filter((candidate) -> candidate.availability() == Availability.LINKED);
 	}
 
 	/**
-	 * Returns the number of candidates that may be given work.
+	 * Returns the number of linked candidates.
 	 * @return the number of candidates
 	 */
 	public int linkedSize() {
@@ -123,7 +123,7 @@
 	}
 
 	/**
-	 * Returns one of the candidates that may be given work.
+	 * Returns a linked candidate by position.
 	 * @param position its position, from 0
 	 * @return the candidate
 	 */
@@ -132,7 +132,7 @@
 	}
 
 	/**
-	 * Returns the candidate with the least utilization of those that may be given work.
+	 * Returns the linked candidate with the lowest utilization.
 	 * @return the candidate, or an empty result if there is none
 	 */
 	Optional<Candidate> leastUtilized() {
@@ -140,9 +140,9 @@
 	}
 
 	/**
-	 * The place of a candidate in the order of utilization.
+	 * Sort key of a candidate by utilization.
 	 *
-	 * @param value its utilization, as far as one entry knows
+	 * @param value its utilization, as known to this entry
 	 * @param vm its VM
 	 */
 	private record Utilization(double value, VmName vm) implements Comparable<Utilization> {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/placement/Placement.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/placement/Placement.java
@@ -9,23 +9,23 @@
 import io.lentilslip.core.identity.VmName;
 
 /**
- * A strategy that chooses the upstream for a new program or a single call. It never
- * chooses one that leaves or cannot be reached, and always chooses one if there is one.
- * The same candidates and request give the same choice. Implementations are immutable and
- * safe for use by several threads.
+ * Strategy that selects the upstream for a new program or a single call. It selects only
+ * linked upstreams, and always selects one if any is linked. The result depends only on
+ * the candidates and the request. Implementations are immutable and safe for use by
+ * several threads.
  */
 public sealed interface Placement {
 
 	/**
-	 * The most upstreams with a prefix in their cache that a choice considers.
+	 * Maximum number of cached prefixes that a placement considers.
 	 */
 	int MAX_CACHED_PREFIXES = 4;
 
 	/**
-	 * Chooses an upstream.
-	 * @param candidates the upstreams to choose from
-	 * @param request what else the choice goes by
-	 * @return the VM of the upstream, or an empty result if none may be given work
+	 * Selects an upstream.
+	 * @param candidates the available upstreams
+	 * @param request the other inputs of the decision
+	 * @return the VM of the upstream, or an empty result if none is linked
 	 */
 	default Optional<VmName> choose(Candidates candidates, PlacementRequest request) {
 		if (candidates.linkedSize() == 0) {
@@ -35,9 +35,9 @@
 	}
 
 	/**
-	 * Chooses among at least one candidate that may be given work.
-	 * @param candidates the upstreams to choose from
-	 * @param request what else the choice goes by
+	 * Selects an upstream. At least one candidate is linked.
+	 * @param candidates the available upstreams
+	 * @param request the other inputs of the decision
 	 * @return the upstream
 	 */
 	Candidate select(Candidates candidates, PlacementRequest request);
@@ -58,7 +58,7 @@
 	}
 
 	/**
-	 * A placement on each upstream in turn.
+	 * Round-robin placement over the linked upstreams.
 	 */
 	record RoundRobin() implements Placement {
 
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	 * A placement on the upstream with the least load, as far as the entry knows.
+	 * Placement on the upstream with the lowest known utilization.
 	 */
 	record LeastLoaded() implements Placement {
 
@@ -82,8 +82,8 @@
 	}
 
 	/**
-	 * A placement on the upstream with the longest prefix in its cache, whatever its
-	 * load; on a random one if none has any.
+	 * Placement on the upstream with the longest cached prefix regardless of load, or on
+	 * a random one if none has a cached prefix.
 	 */
 	record AffinityOnly() implements Placement {
 
@@ -96,20 +96,20 @@
 	}
 
 	/**
-	 * A placement on that one of two random upstreams, and of those with the longest
-	 * prefixes in their caches, where the call is expected to cost the least time. Two
-	 * random ones rather than the least loaded of all: reports are old, so all entries
-	 * would send to the one that seemed idle until the next report shows it overloaded.
+	 * Placement by the lowest expected time among two random upstreams and those with the
+	 * longest cached prefixes. Random upstreams are sampled instead of taking the least
+	 * loaded one because all entries see the same stale reports and would overload it
+	 * until its next report.
 	 *
-	 * @param callTime the time that a full upstream takes until it has served as many
-	 * calls as it takes at once
-	 * @param zoneCost the time that another availability zone costs
-	 * @param prefillRate the prompt tokens that an upstream computes in a second
+	 * @param callTime the time in which a fully utilized upstream serves as many calls as
+	 * its concurrency limit
+	 * @param zoneCost the added latency of another availability zone
+	 * @param prefillRate the prompt tokens that an upstream processes per second
 	 */
 	record Default(Duration callTime, Duration zoneCost, long prefillRate) implements Placement {
 
 		/**
-		 * The defaults.
+		 * Default settings.
 		 */
 		public static final Default STANDARD = new Default(Duration.ofSeconds(2), Duration.ofMillis(3), 10_000);
 
@@ -117,16 +117,17 @@
 
 		/**
 		 * Creates a placement.
-		 * @param callTime the time that a full upstream takes until it has served as many
-		 * calls as it takes at once
-		 * @param zoneCost the time that another availability zone costs
-		 * @param prefillRate the prompt tokens that an upstream computes in a second
-		 * @throws IllegalArgumentException if a time is negative or the rate is not
+		 * @param callTime the time in which a fully utilized upstream serves as many
+		 * calls as its concurrency limit
+		 * @param zoneCost the added latency of another availability zone
+		 * @param prefillRate the prompt tokens that an upstream processes per second
+		 * @throws IllegalArgumentException if a duration is negative or the rate is not
 		 * positive
 		 */
 		public Default {
 			if (callTime.isNegative() || zoneCost.isNegative() || prefillRate < 1) {
-				throw new IllegalArgumentException("times must not be negative, the rate must be positive");
+				throw new IllegalArgumentException(
+						"call time and zone cost must not be negative, and prefill rate must be positive");
 			}
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/placement/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/placement/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which upstream a new program or a single call goes to.
+ * Selection of the upstream for a new program or a single call.
  */
 package io.lentilslip.core.placement;
