--- a/lentilslip-core/src/main/java/io/lentilslip/core/retry/Backoff.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/retry/Backoff.java
@@ -3,41 +3,43 @@
 import java.time.Duration;
 
 /**
- * A pause that doubles with each failure up to a bound, of which a random half is taken
- * off. Without the random part all processes that lost the log at once would come back to
- * it at once. Immutable and safe for use by several threads.
+ * Exponential backoff with random jitter: the delay doubles with each failure up to a
+ * maximum, and up to half of it is subtracted at random. The jitter keeps processes that
+ * lost a service at the same time from reconnecting at the same time. Immutable and safe
+ * for use by several threads.
  *
- * @param initial the pause after the first failure
- * @param maximum the longest pause
+ * @param initial the maximum delay after the first failure
+ * @param maximum the maximum delay after any number of failures
  */
 public record Backoff(Duration initial, Duration maximum) {
 
 	/**
-	 * The pauses between attempts to reach a service of the platform. The longest leaves
-	 * room for a change of configuration to be everywhere within seconds after an outage.
+	 * Backoff for services of the platform. Its maximum lets configuration changes
+	 * propagate within seconds after an outage.
 	 */
 	public static final Backoff STANDARD = new Backoff(Duration.ofMillis(50), Duration.ofSeconds(2));
 
 	private static final int MAX_DOUBLINGS = 20;
 
 	/**
-	 * Creates a back-off.
-	 * @param initial the pause after the first failure
-	 * @param maximum the longest pause
-	 * @throws IllegalArgumentException if the shortest is not positive or above the
-	 * longest
+	 * Creates a backoff.
+	 * @param initial the maximum delay after the first failure
+	 * @param maximum the maximum delay after any number of failures
+	 * @throws IllegalArgumentException if the initial delay is not positive or exceeds
+	 * the maximum
 	 */
 	public Backoff {
 		if (!initial.isPositive() || initial.compareTo(maximum) > 0) {
-			throw new IllegalArgumentException("no pauses from " + initial + " to " + maximum);
+			throw new IllegalArgumentException(
+					"initial delay must be positive and not exceed the maximum, not " + initial + " and " + maximum);
 		}
 	}
 
 	/**
-	 * Returns the pause before the next attempt.
-	 * @param failures the number of failures in a row, from 1
-	 * @param seed a random number
-	 * @return the pause
+	 * Returns the delay before the next attempt.
+	 * @param failures the number of consecutive failures, from 1
+	 * @param seed a random seed
+	 * @return the delay
 	 */
 	public Duration delayAfter(int failures, long seed) {
 		int doublings = Math.min(failures - 1, MAX_DOUBLINGS);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/retry/RetryBudget.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/retry/RetryBudget.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 
 /**
- * A token bucket that keeps retries under a share of first attempts. Each first attempt
- * earns a part of a retry, up to a bound; the bucket begins full. So between any two
- * moments there are at most that share of the first attempts between them, and the bound.
- * Without it, retries would multiply the load just when an upstream is slow. Immutable
- * and safe for use by several threads.
+ * Token bucket that limits retries to a percentage of first attempts. Each first attempt
+ * adds a fraction of a retry, up to a capacity; the bucket starts full. Over any
+ * interval, retries are bounded by that percentage of its first attempts plus the
+ * capacity, so that retries cannot multiply the load on slow upstreams. Immutable and
+ * safe for use by several threads.
  *
- * @param percent the retries that a hundred first attempts earn
- * @param capacity the most retries that are saved up
- * @param balanceHundredths the retries saved up, in hundredths
+ * @param percent the retries added by a hundred first attempts
+ * @param capacity the maximum number of saved retries
+ * @param balanceHundredths the saved retries, in hundredths
  */
 public record RetryBudget(int percent, int capacity, long balanceHundredths) {
 
 	/**
-	 * The retries that are saved up by default.
+	 * Default capacity.
 	 */
 	public static final int DEFAULT_CAPACITY = 10;
 
@@ -24,33 +24,34 @@
 
 	/**
 	 * Creates a budget.
-	 * @param percent the retries that a hundred first attempts earn
-	 * @param capacity the most retries that are saved up
-	 * @param balanceHundredths the retries saved up, in hundredths
-	 * @throws IllegalArgumentException if a number is negative or the balance above the
-	 * bound
+	 * @param percent the retries added by a hundred first attempts
+	 * @param capacity the maximum number of saved retries
+	 * @param balanceHundredths the saved retries, in hundredths
+	 * @throws IllegalArgumentException if a value is negative or the balance exceeds the
+	 * capacity
 	 */
 	public RetryBudget {
 		if (percent < 0 || capacity < 0 || balanceHundredths < 0
 				|| balanceHundredths > (long) capacity * HUNDREDTHS_PER_RETRY) {
 			throw new IllegalArgumentException(
-					"no retry budget: " + percent + ", " + capacity + ", " + balanceHundredths);
+					"retry budget requires non-negative values and a balance within capacity, not percent=" + percent
+							+ ", capacity=" + capacity + ", balanceHundredths=" + balanceHundredths);
 		}
 	}
 
 	/**
-	 * Returns a full budget. One that earns nothing is empty for ever.
-	 * @param percent the retries that a hundred first attempts earn
-	 * @param capacity the most retries that are saved up
+	 * Returns a full budget, or an empty one if the percentage is zero.
+	 * @param percent the retries added by a hundred first attempts
+	 * @param capacity the maximum number of saved retries
 	 * @return the budget
 	 */
-	public static RetryBudget of(int percent, int bound) {
-		return new RetryBudget(percent, bound, (percent > 0) ? (long) bound * HUNDREDTHS_PER_RETRY : 0);
+	public static RetryBudget of(int percent, int capacity) {
+		return new RetryBudget(percent, capacity, (percent > 0) ? (long) capacity * HUNDREDTHS_PER_RETRY : 0);
 	}
 
 	/**
 	 * Returns the budget after a first attempt.
-	 * @return a budget that has earned a part of a retry
+	 * @return the budget with the earned fraction of a retry
 	 */
 	public RetryBudget afterFirstAttempt() {
 		long earned = Math.min(this.balanceHundredths + this.percent, (long) this.capacity * HUNDREDTHS_PER_RETRY);
@@ -59,7 +60,8 @@
 
 	/**
 	 * Returns the budget after a retry.
-	 * @return a budget with one retry less, or an empty result if there is none left
+	 * @return the budget with one retry less, or an empty result if less than one retry
+	 * is saved
 	 */
 	public Optional<RetryBudget> afterRetry() {
 		if (this.balanceHundredths < HUNDREDTHS_PER_RETRY) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/retry/RetryDecision.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/retry/RetryDecision.java
@@ -3,13 +3,13 @@
 import io.lentilslip.core.call.CallFailure;
 
 /**
- * What follows from a failed attempt. Implementations are immutable and safe for use by
- * several threads.
+ * Decision whether a failed call is retried. Implementations are immutable and safe for
+ * use by several threads.
  */
 public sealed interface RetryDecision {
 
 	/**
-	 * The call is tried again, at another upstream if there is one.
+	 * The call is retried, at another upstream if there is one.
 	 *
 	 * @param budget the budget after the retry
 	 */
@@ -18,9 +18,9 @@
 	}
 
 	/**
-	 * The call is not tried again.
+	 * The call is not retried.
 	 *
-	 * @param failure what the caller is told
+	 * @param failure the failure to report to the caller
 	 */
 	record GiveUp(CallFailure failure) implements RetryDecision {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/retry/RetryPolicy.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/retry/RetryPolicy.java
@@ -10,17 +10,17 @@
 import io.lentilslip.core.call.FailureCause;
 
 /**
- * Rules that decide whether a failed call is tried again. A call that may have run is
- * tried again only if it may be repeated; one that ran never is. Immutable and safe for
- * use by several threads.
+ * Policy that decides whether a failed call is retried. A call that may have run is
+ * retried only if it is repeatable, and a call that ran is never retried. Immutable and
+ * safe for use by several threads.
  *
- * @param maximumAttempts the most attempts of one call, with the first
- * @param minimumTimeLeft the time that an attempt needs to make sense
+ * @param maximumAttempts the maximum number of attempts per call, including the first
+ * @param minimumTimeLeft the minimum time before the deadline for another attempt
  */
 public record RetryPolicy(int maximumAttempts, Duration minimumTimeLeft) {
 
 	/**
-	 * The defaults.
+	 * Default policy.
 	 */
 	public static final RetryPolicy DEFAULT = new RetryPolicy(3, Duration.ofMillis(50));
 
@@ -29,22 +29,25 @@
 			FailureCause.OUTCOME_UNKNOWN);
 
 	/**
-	 * Creates rules.
-	 * @param maximumAttempts the most attempts of one call, with the first
-	 * @param minimumTimeLeft the time that an attempt needs to make sense
-	 * @throws IllegalArgumentException if there is no attempt or the time is negative
+	 * Creates a policy.
+	 * @param maximumAttempts the maximum number of attempts per call, including the first
+	 * @param minimumTimeLeft the minimum time before the deadline for another attempt
+	 * @throws IllegalArgumentException if the maximum is not positive or the time is
+	 * negative
 	 */
 	public RetryPolicy {
 		if (maximumAttempts < 1 || minimumTimeLeft.isNegative()) {
-			throw new IllegalArgumentException("no rules for retries: " + maximumAttempts + ", " + minimumTimeLeft);
+			throw new IllegalArgumentException(
+					"retry policy requires a positive number of attempts and a non-negative time, not "
+							+ maximumAttempts + " and " + minimumTimeLeft);
 		}
 	}
 
 	/**
-	 * Decides what follows from a failed attempt.
+	 * Decides whether to retry a call after a failed attempt.
 	 * @param attempts the attempts so far
-	 * @param budget the budget that all calls share
-	 * @return to try again, or to give up
+	 * @param budget the retry budget shared by all calls
+	 * @return the decision
 	 */
 	public RetryDecision decide(FailedAttempts attempts, RetryBudget budget) {
 		if (!isWorthwhile(attempts) || !isSafe(attempts)) {
@@ -69,12 +72,12 @@
 	}
 
 	/**
-	 * The attempts of a call, the last of which failed. Immutable and safe for use by
-	 * several threads.
+	 * Attempts of a call whose last attempt failed. Immutable and safe for use by several
+	 * threads.
 	 *
 	 * @param failure the last failure, with the verdict over all attempts
-	 * @param made the number of attempts
-	 * @param repeatable whether the call may be repeated
+	 * @param count the number of attempts
+	 * @param repeatable whether the call may run more than once
 	 * @param timeLeft the time left until the caller's deadline
 	 */
 	public record FailedAttempts(CallFailure failure, int count, boolean repeatable, Duration timeLeft) {
@@ -82,16 +85,16 @@
 		/**
 		 * Creates attempts.
 		 * @param failure the last failure, with the verdict over all attempts
-		 * @param made the number of attempts
-		 * @param repeatable whether the call may be repeated
+		 * @param count the number of attempts
+		 * @param repeatable whether the call may run more than once
 		 * @param timeLeft the time left until the caller's deadline
-		 * @throws IllegalArgumentException if no attempt was made
+		 * @throws IllegalArgumentException if the number of attempts is not positive
 		 */
 		public FailedAttempts {
 			Objects.requireNonNull(failure, "failure");
 			Objects.requireNonNull(timeLeft, "timeLeft");
 			if (count < 1) {
-				throw new IllegalArgumentException("no attempt was made");
+				throw new IllegalArgumentException("number of attempts must be positive");
 			}
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/retry/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/retry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * When a failed call is tried again.
+ * Retry policy, retry budget and backoff.
  */
 package io.lentilslip.core.retry;
