--- a/lentilslip-core/src/test/java/io/lentilslip/core/admission/ConcurrencyLimitTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/admission/ConcurrencyLimitTests.java
@@ -18,49 +18,48 @@
 
 	private static final int MAXIMUM = 256;
 
-	// An upstream serves a number of calls at once without slowing down and shares its
-	// time
-	// among more than that. Under load without end, the limit has to find that number:
-	// below it the upstream idles, far above it calls wait where nobody orders them.
+	// The upstream's latency rises beyond a fixed concurrency. Under sustained load the
+	// limit must stay near that concurrency: a lower one leaves the upstream idle, a much
+	// higher one queues calls inside it.
 	@Property(tries = 100, seed = "1")
-	void findsWhatTheUpstreamServesAtOnce(@ForAll @IntRange(min = 2, max = 64) int atOnce,
+	void convergesToTheConcurrencyOfTheUpstream(@ForAll @IntRange(min = 2, max = 64) int concurrency,
 			@ForAll @IntRange(min = 1, max = 100) int millis) {
-		ConcurrencyLimit limit = underLoad(ConcurrencyLimit.between(1, MAXIMUM), atOnce, millis, 400);
-		int least = MAXIMUM;
-		int most = 0;
+		ConcurrencyLimit limit = applyLoad(ConcurrencyLimit.between(1, MAXIMUM), concurrency, millis, 400);
+		int lowest = MAXIMUM;
+		int highest = 0;
 		for (int round = 0; round < 200; round++) {
-			limit = underLoad(limit, atOnce, millis, 1);
+			limit = applyLoad(limit, concurrency, millis, 1);
 			if (!isProbing(limit)) {
-				least = Math.min(least, limit.limit());
-				most = Math.max(most, limit.limit());
+				lowest = Math.min(lowest, limit.limit());
+				highest = Math.max(highest, limit.limit());
 			}
 		}
-		assertThat(least).isGreaterThanOrEqualTo(atOnce);
-		assertThat(most).isLessThanOrEqualTo(2 * atOnce + 2 * (int) Math.sqrt(atOnce) + 2);
+		assertThat(lowest).isGreaterThanOrEqualTo(concurrency);
+		assertThat(highest).isLessThanOrEqualTo(2 * concurrency + 2 * (int) Math.sqrt(concurrency) + 2);
 	}
 
-	// The upstream becomes ten times slower for its work, as with longer prompts, without
-	// being overloaded. A baseline of better days would throttle it for ever.
+	// The upstream's work becomes ten times slower without overload. An outdated baseline
+	// would throttle it permanently.
 	@Test
-	void learnsThatTheWorkHasChanged() {
-		ConcurrencyLimit limit = underLoad(ConcurrencyLimit.between(1, MAXIMUM), 32, 10, 100);
-		limit = underLoad(limit, 32, 100, 600);
+	void adaptsToChangedWork() {
+		ConcurrencyLimit limit = applyLoad(ConcurrencyLimit.between(1, MAXIMUM), 32, 10, 100);
+		limit = applyLoad(limit, 32, 100, 600);
 		assertThat(limit.limit()).isBetween(32, 80);
 	}
 
 	@Test
 	void shrinksWhileCallsFailAndRecovers() {
-		ConcurrencyLimit limit = underLoad(ConcurrencyLimit.between(2, MAXIMUM), 32, 10, 100);
+		ConcurrencyLimit limit = applyLoad(ConcurrencyLimit.between(2, MAXIMUM), 32, 10, 100);
 		for (int call = 0; call < 2000; call++) {
 			limit = limit.after(new Sample(Duration.ofSeconds(30), 0, limit.limit(), true));
 		}
 		assertThat(limit.limit()).isEqualTo(2);
-		assertThat(underLoad(limit, 32, 10, 200).limit()).isGreaterThanOrEqualTo(32);
+		assertThat(applyLoad(limit, 32, 10, 200).limit()).isGreaterThanOrEqualTo(32);
 	}
 
 	@Test
-	void staysWhileItIsNotUsed() {
-		ConcurrencyLimit limit = underLoad(ConcurrencyLimit.between(1, MAXIMUM), 32, 10, 20);
+	void doesNotGrowWhileUnused() {
+		ConcurrencyLimit limit = applyLoad(ConcurrencyLimit.between(1, MAXIMUM), 32, 10, 20);
 		int before = limit.limit();
 		for (int call = 0; call < 20 * before; call++) {
 			limit = limit.after(new Sample(Duration.ofMillis(10), WORK, 1, false));
@@ -81,18 +80,18 @@
 	}
 
 	@Test
-	void aFixedLimitNeverChanges() {
+	void keepsAFixedLimit() {
 		ConcurrencyLimit limit = ConcurrencyLimit.fixed(7);
-		assertThat(underLoad(limit, 1, 1000, 10).limit()).isEqualTo(7);
+		assertThat(applyLoad(limit, 1, 1000, 10).limit()).isEqualTo(7);
 		assertThatIllegalArgumentException().isThrownBy(() -> ConcurrencyLimit.fixed(0));
 		assertThatIllegalArgumentException().isThrownBy(() -> ConcurrencyLimit.between(3, 2));
 	}
 
-	private static ConcurrencyLimit underLoad(ConcurrencyLimit start, int atOnce, int millis, int rounds) {
+	private static ConcurrencyLimit applyLoad(ConcurrencyLimit start, int concurrency, int millis, int rounds) {
 		ConcurrencyLimit limit = start;
 		for (int round = 0; round < rounds; round++) {
 			int running = limit.limit();
-			Duration duration = Duration.ofNanos(millis * 1_000_000L * Math.max(running, atOnce) / atOnce);
+			Duration duration = Duration.ofNanos(millis * 1_000_000L * Math.max(running, concurrency) / concurrency);
 			for (int call = 0; call < running; call++) {
 				limit = limit.after(new Sample(duration, WORK, running, false));
 			}
