--- a/lentilslip-core/src/test/java/io/lentilslip/core/placement/PlacementTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/placement/PlacementTests.java
@@ -25,23 +25,23 @@
 
 	private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
 
-	private static final ZoneName NEAR = new ZoneName("hala-tulcea");
+	private static final ZoneName LOCAL = new ZoneName("hala-tulcea");
 
-	private static final ZoneName FAR = new ZoneName("hala-galati");
+	private static final ZoneName REMOTE = new ZoneName("hala-galati");
 
 	private static final List<Placement> PLACEMENTS = List.of(new Placement.RoundRobin(), new Placement.LeastLoaded(),
 			new Placement.AffinityOnly(), Placement.Default.STANDARD);
 
-	// Upstreams come, change, leave and go in any order. Whatever the strategy, one that
-	// leaves or cannot be reached gets nothing new, even if its cache is the warmest, and
-	// as long as there is another one the call is placed.
+	// Upstreams are added, changed and removed in random order. Every strategy must
+	// select a linked upstream whenever there is one, and never another, even if its
+	// cache has the longest prefix.
 	@Property(tries = 500, seed = "1")
-	void choosesOnlyAmongThoseThatMayBeGivenWork(@ForAll long seed, @ForAll @IntRange(max = 3) int placement) {
+	void selectsOnlyLinkedUpstreams(@ForAll long seed, @ForAll @IntRange(max = 3) int placement) {
 		SplittableRandom random = new SplittableRandom(seed);
 		Candidates candidates = Candidates.NONE;
 		Map<VmName, Candidate> model = new HashMap<>();
 		for (int step = 0; step < 40; step++) {
-			Candidate candidate = new Candidate(vm(random.nextInt(8)), NEAR, Availability.values()[random.nextInt(3)],
+			Candidate candidate = new Candidate(vm(random.nextInt(8)), LOCAL, Availability.values()[random.nextInt(3)],
 					load(random.nextInt(10)), random.nextInt(3));
 			switch (random.nextInt(4)) {
 				case 0 -> {
@@ -71,11 +71,11 @@
 		}
 	}
 
-	// Fifty entries go by one report, five seconds old, in which one upstream is idle. By
-	// least load all fifty send to it, and their callers wait for the fifty before them.
+	// Fifty entries share one stale report with an idle upstream. Selecting the least
+	// loaded would send all calls there.
 	@Property(tries = 100, seed = "2")
-	void entriesThatShareAStaleReportDoNotHerd(@ForAll long seed) {
-		Candidates candidates = candidates(10, 5).with(Candidate.linked(vm(3), FAR, load(0)));
+	void spreadsCallsOfEntriesThatShareAStaleReport(@ForAll long seed) {
+		Candidates candidates = candidates(10, 5).with(Candidate.linked(vm(3), REMOTE, load(0)));
 		SplittableRandom seeds = new SplittableRandom(seed);
 		Map<VmName, Integer> chosen = new TreeMap<>();
 		for (int entry = 0; entry < 50; entry++) {
@@ -87,11 +87,10 @@
 		assertThat(chosen).hasSizeGreaterThanOrEqualTo(5);
 	}
 
-	// One entry sends a burst before the next report comes. Its own calls are the only
-	// thing that changes, so they have to count: else the burst would go to few
-	// upstreams.
+	// One entry sends a burst between two reports. Its own calls must count, or the burst
+	// would go to a few upstreams.
 	@Property(tries = 50, seed = "3")
-	void ownCallsCorrectAStaleReport(@ForAll long seed) {
+	void correctsAStaleReportByOwnCalls(@ForAll long seed) {
 		Candidates candidates = candidates(8, 0);
 		SplittableRandom seeds = new SplittableRandom(seed);
 		for (int call = 0; call < 80; call++) {
@@ -104,35 +103,35 @@
 	}
 
 	@Property(tries = 20, seed = "4")
-	void weighsAWarmPrefixAgainstWaiting(@ForAll long seed) {
-		CachedPrefix warm = new CachedPrefix(vm(1), 5000);
+	void weighsACachedPrefixAgainstQueueing(@ForAll long seed) {
+		CachedPrefix cached = new CachedPrefix(vm(1), 5000);
 		Candidates idle = candidates(2, 0);
-		Candidates busy = idle.with(Candidate.linked(vm(1), NEAR, load(40)));
-		assertThat(Placement.Default.STANDARD.choose(idle, request(seed, 1, warm))).contains(vm(1));
-		assertThat(Placement.Default.STANDARD.choose(busy, request(seed, 1, warm))).contains(vm(0));
-		assertThat(new Placement.AffinityOnly().choose(busy, request(seed, 1, warm))).contains(vm(1));
+		Candidates busy = idle.with(Candidate.linked(vm(1), LOCAL, load(40)));
+		assertThat(Placement.Default.STANDARD.choose(idle, request(seed, 1, cached))).contains(vm(1));
+		assertThat(Placement.Default.STANDARD.choose(busy, request(seed, 1, cached))).contains(vm(0));
+		assertThat(new Placement.AffinityOnly().choose(busy, request(seed, 1, cached))).contains(vm(1));
 	}
 
 	@Property(tries = 20, seed = "5")
-	void prefersTheNearZoneAmongEquals(@ForAll long seed) {
-		Candidates candidates = Candidates.NONE.with(Candidate.linked(vm(0), FAR, load(1)))
-			.with(Candidate.linked(vm(1), NEAR, load(1)));
+	void prefersTheLocalZoneAtEqualLoad(@ForAll long seed) {
+		Candidates candidates = Candidates.NONE.with(Candidate.linked(vm(0), REMOTE, load(1)))
+			.with(Candidate.linked(vm(1), LOCAL, load(1)));
 		assertThat(Placement.Default.STANDARD.choose(candidates, request(seed, 1))).contains(vm(1));
 	}
 
 	@Test
-	void roundRobinTakesEachInTurn() {
+	void placesRoundRobin() {
 		Candidates candidates = candidates(3, 0);
 		List<VmName> chosen = LongStream.range(0, 6)
-			.mapToObj((number) -> new PlacementRequest(NEAR, List.of(), number, 0, 1))
+			.mapToObj((number) -> new PlacementRequest(LOCAL, List.of(), number, 0, 1))
 			.map((request) -> new Placement.RoundRobin().choose(candidates, request).orElseThrow())
 			.toList();
 		assertThat(chosen).containsExactly(vm(0), vm(1), vm(2), vm(0), vm(1), vm(2));
 	}
 
 	@Test
-	void endedCallsAndReportsCorrectTheLoad() {
-		Candidate candidate = Candidate.linked(vm(0), NEAR, load(4)).callSent().callSent();
+	void correctsTheLoadByEndedCallsAndReports() {
+		Candidate candidate = Candidate.linked(vm(0), LOCAL, load(4)).callSent().callSent();
 		assertThat(candidate.utilization(1)).isEqualTo(6 / 8.0);
 		assertThat(candidate.utilization(3)).isEqualTo(10 / 8.0);
 		assertThat(candidate.callEnded().callEnded().callEnded().utilization(1)).isEqualTo(3 / 8.0);
@@ -142,13 +141,13 @@
 	private static Candidates candidates(int count, int running) {
 		Candidates candidates = Candidates.NONE;
 		for (int number = 0; number < count; number++) {
-			candidates = candidates.with(Candidate.linked(vm(number), NEAR, load(running)));
+			candidates = candidates.with(Candidate.linked(vm(number), LOCAL, load(running)));
 		}
 		return candidates;
 	}
 
-	private static PlacementRequest request(long seed, int deciders, CachedPrefix... warm) {
-		return new PlacementRequest(NEAR, List.of(warm), 0, seed, deciders);
+	private static PlacementRequest request(long seed, int entryCount, CachedPrefix... prefixes) {
+		return new PlacementRequest(LOCAL, List.of(prefixes), 0, seed, entryCount);
 	}
 
 	private static Load load(int calls) {
