--- a/lentilslip-core/src/test/java/io/lentilslip/core/retry/BackoffTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/retry/BackoffTests.java
@@ -15,15 +15,14 @@
 	private static final Backoff BACKOFF = new Backoff(Duration.ofMillis(40), Duration.ofMillis(400));
 
 	@Property
-	void pauseIsBetweenHalfAndTheWholeOfItsBound(@ForAll @IntRange(min = 1, max = 100) int failures,
-			@ForAll long seed) {
-		Duration bound = Duration.ofMillis((failures < 5) ? 40L << (failures - 1) : 400);
-		Duration pause = BACKOFF.delayAfter(failures, seed);
-		assertThat(pause).isBetween(bound.dividedBy(2), bound);
+	void delayIsBetweenHalfAndAllOfItsMaximum(@ForAll @IntRange(min = 1, max = 100) int failures, @ForAll long seed) {
+		Duration maximum = Duration.ofMillis((failures < 5) ? 40L << (failures - 1) : 400);
+		Duration delay = BACKOFF.delayAfter(failures, seed);
+		assertThat(delay).isBetween(maximum.dividedBy(2), maximum);
 	}
 
 	@Test
-	void pausesThatShrinkAreRefused() {
+	void rejectsAnInitialDelayAboveTheMaximum() {
 		assertThatIllegalArgumentException().isThrownBy(() -> new Backoff(Duration.ofMillis(2), Duration.ofMillis(1)));
 	}
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/retry/RetryPolicyTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/retry/RetryPolicyTests.java
@@ -21,39 +21,39 @@
 
 	private static final RetryBudget ENOUGH = RetryBudget.of(10, 10);
 
-	// Every call fails, as when all upstreams are overloaded. Caller, entry and upstream
-	// would each try again and multiply the load that makes the calls fail. Over any
-	// window the retries stay under their share of first attempts and what was saved up.
+	// Every call fails, as in an overload. Retries in any window must stay within their
+	// percentage of first attempts plus the saved capacity, or they would multiply the
+	// load.
 	@Property(tries = 200, seed = "1")
-	void retriesStayUnderTheirShare(@ForAll @IntRange(max = 100) int percent, @ForAll @IntRange(max = 20) int bound,
-			@ForAll @Size(max = 200) List<@IntRange(max = 3) Integer> wishes) {
-		RetryBudget budget = RetryBudget.of(percent, bound);
+	void retriesStayWithinTheirBudget(@ForAll @IntRange(max = 100) int percent,
+			@ForAll @IntRange(max = 20) int capacity,
+			@ForAll @Size(max = 200) List<@IntRange(max = 3) Integer> requestedRetries) {
+		RetryBudget budget = RetryBudget.of(percent, capacity);
 		long firstAttempts = 0;
 		long retries = 0;
-		double least = 0;
-		for (int wished : wishes) {
+		double lowestExcess = 0;
+		for (int requested : requestedRetries) {
 			budget = budget.afterFirstAttempt();
 			firstAttempts++;
-			for (int wish = 0; wish < wished; wish++) {
+			for (int request = 0; request < requested; request++) {
 				if (decide(FailureCause.QUEUE_FULL, Verdict.NOT_RUN, 1, false, LONG,
 						budget) instanceof RetryDecision.RetryElsewhere retry) {
 					budget = retry.budget();
 					retries++;
 				}
 			}
-			double over = retries - firstAttempts * percent / 100.0;
-			assertThat(over - least).isLessThanOrEqualTo(bound + 1e-9);
-			least = Math.min(least, over);
+			double excess = retries - firstAttempts * percent / 100.0;
+			assertThat(excess - lowestExcess).isLessThanOrEqualTo(capacity + 1e-9);
+			lowestExcess = Math.min(lowestExcess, excess);
 		}
 	}
 
-	// A check-in was sent and its answer is lost. Tried again it would be billed twice,
-	// so
-	// the caller is told that it may have run, whatever the cause and whatever is left.
+	// A call that may have run is not repeatable, so a retry could duplicate its effect.
+	// The reported verdict must be kept.
 	@Property(seed = "2")
-	void neverRetriesWhatMayHaveRunAndMayNotBeRepeated(@ForAll FailureCause cause, @ForAll Verdict verdict,
-			@ForAll boolean repeatable, @ForAll @IntRange(min = 1, max = 4) int made) {
-		RetryDecision decision = decide(cause, verdict, made, repeatable, LONG, ENOUGH);
+	void neverRetriesAnUnrepeatableCallThatMayHaveRun(@ForAll FailureCause cause, @ForAll Verdict verdict,
+			@ForAll boolean repeatable, @ForAll @IntRange(min = 1, max = 4) int count) {
+		RetryDecision decision = decide(cause, verdict, count, repeatable, LONG, ENOUGH);
 		if (verdict == Verdict.RAN || (verdict == Verdict.MAY_HAVE_RUN && !repeatable)) {
 			assertThat(decision).isInstanceOfSatisfying(RetryDecision.GiveUp.class,
 					(end) -> assertThat(end.failure().verdict()).isEqualTo(verdict));
@@ -61,7 +61,7 @@
 	}
 
 	@Test
-	void retriesWhatMaySucceedElsewhere() {
+	void retriesRetryableFailures() {
 		assertThat(decide(FailureCause.STOPPING, Verdict.NOT_RUN, 1, false, LONG, ENOUGH))
 			.isInstanceOf(RetryDecision.RetryElsewhere.class);
 		assertThat(decide(FailureCause.OUTCOME_UNKNOWN, Verdict.MAY_HAVE_RUN, 1, true, LONG, ENOUGH))
@@ -69,7 +69,7 @@
 	}
 
 	@Test
-	void givesUpWhenAnotherAttemptMakesNoSense() {
+	void givesUpWhenARetryIsNotWorthwhile() {
 		RetryBudget spent = RetryBudget.of(0, 10);
 		assertThat(List.of(decide(FailureCause.INVALID, Verdict.NOT_RUN, 1, true, LONG, ENOUGH),
 				decide(FailureCause.STOPPING, Verdict.NOT_RUN, 3, true, LONG, ENOUGH),
@@ -78,10 +78,10 @@
 			.allSatisfy((decision) -> assertThat(decision).isInstanceOf(RetryDecision.GiveUp.class));
 	}
 
-	private static RetryDecision decide(FailureCause cause, Verdict verdict, int made, boolean repeatable,
+	private static RetryDecision decide(FailureCause cause, Verdict verdict, int count, boolean repeatable,
 			Duration timeLeft, RetryBudget budget) {
-		CallFailure failure = CallFailure.notRun(cause, "no answer").after(verdict);
-		return RetryPolicy.DEFAULT.decide(new FailedAttempts(failure, made, repeatable, timeLeft), budget);
+		CallFailure failure = CallFailure.notRun(cause, "no response").after(verdict);
+		return RetryPolicy.DEFAULT.decide(new FailedAttempts(failure, count, repeatable, timeLeft), budget);
 	}
 
 }
