--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetRulesTests.java
@@ -37,7 +37,7 @@
 	private static final int WAIT = (int) BudgetRules.SLICE_TIMEOUT.toSeconds() + 1;
 
 	@Test
-	void letsCallsWithoutABudgetPass() {
+	void admitsCallsWithoutABudget() {
 		BudgetSite site = new BudgetSite(1, LIMIT);
 		site.entry(0).call("buyers", Optional.empty(), 5000);
 		assertThat(site.entry(0).running).hasSize(1);
@@ -45,12 +45,11 @@
 		assertThat(site.entry(0).account()).isEmpty();
 	}
 
-	// A hundred calls of one group come at once at ten entries, and the budget has room
-	// for ten. Ten run, whatever the order of the appends, and the others are told when
-	// the period turns over. All is reserved, so none of the ten had to wait for an entry
-	// that held more than it used.
+	// Calls at ten entries request ten times the budget. Exactly as many run as the
+	// budget covers, whatever the order of the appends, and the others are refused until
+	// the next period.
 	@Test
-	void runsTenOfAHundredCalls() {
+	void admitsOnlyAsManyCallsAsTheBudgetCovers() {
 		BudgetSite site = new BudgetSite(10, LIMIT);
 		for (BudgetSite.Entry entry : site.entries) {
 			for (int call = 0; call < 10; call++) {
@@ -71,10 +70,10 @@
 			.containsExactly(new EntryStatus.Group(BudgetSite.SELLERS, 2, LIMIT, Optional.of(LIMIT)));
 	}
 
-	// Ten calls of a hundred tokens hold the whole budget, and turn out to need half.
-	// Another entry's call, which came meanwhile, gets what lies unused there.
+	// A call uses half of its reservation. The unused half is returned for a waiting call
+	// of another entry.
 	@Test
-	void returnsWhatLiesUnused() {
+	void returnsUnusedTokens() {
 		BudgetSite site = new BudgetSite(2, LIMIT);
 		long large = site.entry(0).call(LIMIT);
 		site.settle();
@@ -86,10 +85,10 @@
 		assertThat(site.entry(1).running).containsKey(other);
 	}
 
-	// An entry dies holding a slice. The others cannot know what it spent, so the slice
-	// counts as spent until the period turns over; then all is there again.
+	// An entry crashes while it holds a slice. The slice counts as used until the next
+	// period because its use is unknown.
 	@Test
-	void losesTheSliceOfADeadEntryUntilTheTurn() {
+	void countsTheSliceOfACrashedEntryUntilTheNextPeriod() {
 		BudgetSite site = new BudgetSite(2, LIMIT);
 		site.entry(0).call(900);
 		site.settle();
@@ -103,11 +102,10 @@
 		assertThat(site.entry(1).running).containsKey(next);
 	}
 
-	// The log goes down. What the entry holds may be spent, and no more. Then the period
-	// turns over, which the entry knows by its own clock alone: the old slice must not
-	// pay for calls of the new period, whose budget others reserve from the start.
+	// While the log is unreachable, an entry may spend only the slice it holds, and must
+	// not carry it into a new period.
 	@Test
-	void spendsNoOldSliceInANewPeriodWhileTheLogIsDown() {
+	void discardsTheSliceInANewPeriodWhileTheLogIsUnreachable() {
 		BudgetSite site = new BudgetSite(1, LIMIT);
 		BudgetSite.Entry entry = site.entry(0);
 		long first = entry.call(500);
@@ -126,10 +124,10 @@
 		assertThat(entry.running).hasSize(1);
 	}
 
-	// An operator lowers the budget below what is reserved, part of which lies unused.
-	// The unused part goes back and pays for what the new limit leaves, and no more.
+	// The budget is lowered below the reserved tokens. Unused tokens are returned, and
+	// calls are admitted only up to the new limit.
 	@Test
-	void followsALoweredBudget() {
+	void appliesALoweredBudget() {
 		BudgetSite site = new BudgetSite(1, LIMIT);
 		BudgetSite.Entry entry = site.entry(0);
 		long first = entry.call(900);
@@ -145,7 +143,7 @@
 	}
 
 	@Test
-	void letsWaitingCallsGoWhenTheBudgetIsTakenAway() {
+	void admitsWaitingCallsWhenTheBudgetIsRemoved() {
 		BudgetSite site = new BudgetSite(1, LIMIT);
 		site.entry(0).call(100);
 		assertThat(site.entry(0).running).isEmpty();
@@ -154,9 +152,8 @@
 		assertThat(site.entry(0).account()).isEmpty();
 	}
 
-	// A program of a caller of one group is another group's by a rule, as a sub-agent
-	// that works for that group. Its call is charged there: charged to the caller's own
-	// group, which has no budget, it would run for nothing.
+	// A program that a rule assigns to another group must be charged to that group. The
+	// caller's own group has no budget, so its calls would be free.
 	@Test
 	void chargesAProgramToTheGroupOfItsRule() {
 		BudgetSite site = new BudgetSite(1, LIMIT);
@@ -172,10 +169,10 @@
 			});
 	}
 
-	// The answer of the append is lost, and the record is in the log or is not. The entry
-	// sends it again, the log counts it once, and the call runs.
+	// The result of an append is unknown. The entry appends the reservation again, and
+	// the ledger counts it once.
 	@Test
-	void sendsAReservationAgain() {
+	void retriesAReservationWithUnknownResult() {
 		for (BudgetSite.AppendFault fate : BudgetSite.AppendFault.values()) {
 			BudgetSite site = new BudgetSite(1, LIMIT);
 			BudgetSite.Entry entry = site.entry(0);
@@ -187,11 +184,10 @@
 		}
 	}
 
-	// An entry starts and reads that the budget is exhausted, from a period that is over
-	// since. Nothing else is written to the log, so it cannot know. It asks all the same,
-	// and the call runs.
+	// The log ends in an earlier period whose budget is exhausted. The entry must still
+	// append a reservation to start the new period.
 	@Test
-	void asksTheLogWhenItReadNothingNew() {
+	void reservesInANewPeriodWithoutNewRecords() {
 		BudgetSite site = new BudgetSite(2, LIMIT);
 		site.entry(1).call(LIMIT);
 		site.entry(1).appendNext(BudgetSite.AppendFault.APPENDED);
@@ -203,11 +199,10 @@
 		assertThat(site.entry(0).running).hasSize(1);
 	}
 
-	// The clock of the log is behind what the entry believes, across the turn of a
-	// period. The slice is of the old period and dropped. Asking again at once would
-	// waste a slice and an append for each answer until the log's clock is there.
+	// The log's clock lags behind the entry's across a period boundary. An immediate
+	// retry of the rejected reservation would waste an append for each response.
 	@Test
-	void doesNotAskAgainAtOnceBeforeTheLogIsInThePeriod() {
+	void doesNotRetryAtOnceWhileTheLogIsInAnEarlierPeriod() {
 		BudgetSite site = new BudgetSite(1, LIMIT);
 		BudgetSite.Entry entry = site.entry(0);
 		entry.call(10 + 1);
@@ -223,10 +218,10 @@
 		assertThat(entry.running).containsKey(late);
 	}
 
-	// The appends of an entry get no answer, and the log is not known to be down. The
-	// caller hears after a while that the log is at fault, not the budget.
+	// Appends receive no response, and the log is not reported unreachable. The refusal
+	// must name the log instead of the budget.
 	@Test
-	void tellsASilentLogFromAnExhaustedBudget() {
+	void distinguishesAnUnresponsiveLogFromAnExhaustedBudget() {
 		BudgetSite site = new BudgetSite(1, LIMIT);
 		BudgetSite.Entry entry = site.entry(0);
 		long call = entry.call(600);
@@ -237,17 +232,17 @@
 	}
 
 	@Test
-	void refusesACallThatIsLargerThanTheBudget() {
+	void refusesACallLargerThanTheBudget() {
 		BudgetSite site = new BudgetSite(1, LIMIT);
 		long call = site.entry(0).call(LIMIT + 1);
 		assertThat(failure(site.entry(0), call).cause()).isEqualTo(FailureCause.BUDGET_EXHAUSTED);
 		assertThat(site.entry(0).appends).isEmpty();
 	}
 
-	// The caller leaves while its call runs, or an attempt ends without a word. What the
-	// call took is not known, so all that was held for it is charged.
+	// A caller disconnects or an attempt has an unknown outcome. The whole estimate is
+	// charged, because the usage is unknown.
 	@Test
-	void chargesAllThatWasHeldWhenTheOutcomeIsUnknown() {
+	void chargesTheEstimateWhenTheOutcomeIsUnknown() {
 		BudgetSite site = new BudgetSite(1, LIMIT);
 		BudgetSite.Entry entry = site.entry(0);
 		long left = entry.call(300);
@@ -257,22 +252,22 @@
 		entry.disconnectCaller(left);
 		entry.finish(lost, failed(CallFailure.mayHaveRun(FailureCause.CANCELLED, "Lost.")), 300);
 		assertThat(entry.account().orElseThrow().available()).isZero();
-		entry.finish(notRun, failed(CallFailure.notRun(FailureCause.DEADLINE_PASSED, "Late.")), 0);
+		entry.finish(notRun, failed(CallFailure.notRun(FailureCause.DEADLINE_PASSED, "Deadline passed.")), 0);
 		assertThat(entry.account().orElseThrow().available()).isEqualTo(300);
 	}
 
-	// Three entries share a budget while appends get lost or lose their answers, records
-	// are read late, entries die, limits change, periods turn over and calls take up to
-	// twice their estimate. What the log grants in a period stays within the limit in
-	// force, and no entry spends more than it was granted and its overdraft. Once the
-	// faults end, a call that the budget has room for runs within a few records.
+	// Three entries share a budget under lost and delayed appends, restarts, changed
+	// limits, new periods and calls above their estimates. The ledger must never grant
+	// more than the limit, and no entry may spend more than its slices plus its
+	// overdraft. After the faults end, a call that fits the remaining budget must run
+	// within a few records.
 	@Property(tries = 2000, seed = "20260714")
-	void holdsTheBudgetInAnyOrderOfEvents(
+	void enforcesTheBudgetInAnyOrderOfEvents(
 			@ForAll @Size(min = 5, max = 120) List<@IntRange(max = 1_000_000) Integer> steps) {
 		BudgetSite site = new BudgetSite(3, LIMIT);
 		long version = 1;
 		long limit = LIMIT;
-		List<BudgetSite.Entry> lives = new ArrayList<>(site.entries);
+		List<BudgetSite.Entry> incarnations = new ArrayList<>(site.entries);
 		for (int step : steps) {
 			int number = step % 3;
 			int value = step / 30;
@@ -298,7 +293,7 @@
 					if (value % 4 == 0) {
 						entry.appends.forEach((append) -> site.delayedRecords.add(append.record()));
 						site.restart(number, limit, version);
-						lives.add(site.entry(number));
+						incarnations.add(site.entry(number));
 					}
 					else if (value % 4 == 1) {
 						site.now = site.now.plus(Duration.ofMinutes(value % 90));
@@ -308,11 +303,11 @@
 					}
 				}
 			}
-			ExpectedBudget reading = ExpectedBudget.of(site.log);
-			assertThat(reading.violated).isFalse();
-			lives.forEach((each) -> assertSpendsOnlyWhatItWasGranted(reading, each));
+			ExpectedBudget expected = ExpectedBudget.of(site.log);
+			assertThat(expected.violated).isFalse();
+			incarnations.forEach((each) -> assertSpendsAtMostItsSlices(expected, each));
 		}
-		assertRunsWhatFits(site, version + 1);
+		assertAdmitsCallsThatFit(site, version + 1);
 	}
 
 	private static void appendNext(BudgetSite.Entry entry, int value) {
@@ -336,7 +331,7 @@
 		switch (value % 4) {
 			case 0 -> entry.answer(ticket.get(), estimate);
 			case 1 -> entry.answer(ticket.get(), value % (estimate * 2));
-			case 2 -> entry.finish(ticket.get(), failed(CallFailure.notRun(FailureCause.INVALID, "No.")), 0);
+			case 2 -> entry.finish(ticket.get(), failed(CallFailure.notRun(FailureCause.INVALID, "Invalid.")), 0);
 			default -> entry.finish(ticket.get(), failed(CallFailure.mayHaveRun(FailureCause.CANCELLED, "Lost.")),
 					value % estimate);
 		}
@@ -346,18 +341,18 @@
 		return entry.account().orElseThrow().heldFor(new Ticket(ticket));
 	}
 
-	private static void assertSpendsOnlyWhatItWasGranted(ExpectedBudget reading, BudgetSite.Entry entry) {
+	private static void assertSpendsAtMostItsSlices(ExpectedBudget expected, BudgetSite.Entry entry) {
 		if (entry.account().isEmpty()) {
 			return;
 		}
 		Account<Ticket> account = entry.account().get();
 		long held = entry.running.keySet().stream().mapToLong((ticket) -> estimate(entry, ticket)).sum();
-		long granted = reading.grantedTo.getOrDefault(entry.self, 0L);
+		long granted = expected.grantedTo.getOrDefault(entry.self, 0L);
 		assertThat(entry.usedTokens + held + account.available()).isLessThanOrEqualTo(granted + account.overdraft());
 		assertThat(account.available() == 0 || account.overdraft() == 0).isTrue();
 	}
 
-	private static void assertRunsWhatFits(BudgetSite site, long version) {
+	private static void assertAdmitsCallsThatFit(BudgetSite site, long version) {
 		site.appendDelayedRecords();
 		for (BudgetSite.Entry entry : site.entries) {
 			entry.configure(version, LIMIT);
@@ -372,8 +367,8 @@
 		site.advanceTime(2 * WAIT);
 		BudgetSite.Entry last = site.entry(2);
 		assertThat(last.account().map((account) -> account.waiting().size()).orElse(0)).isZero();
-		ExpectedBudget reading = ExpectedBudget.of(site.log);
-		long left = LIMIT - reading.reservedAt(site.now);
+		ExpectedBudget expected = ExpectedBudget.of(site.log);
+		long left = LIMIT - expected.reservedAt(site.now);
 		long overdraft = last.account().map(Account::overdraft).orElse(0L);
 		if (left - overdraft < 11) {
 			return;
@@ -402,7 +397,7 @@
 	}
 
 	/**
-	 * What the ledger decided, counted apart from it.
+	 * Independent model of the budget that checks the ledger's decisions.
 	 */
 	private static final class ExpectedBudget {
 
@@ -425,11 +420,11 @@
 		private boolean violated;
 
 		static ExpectedBudget of(List<BudgetSite.LoggedRecord> log) {
-			ExpectedBudget reading = new ExpectedBudget();
+			ExpectedBudget expected = new ExpectedBudget();
 			for (int offset = 0; offset < log.size(); offset++) {
-				reading.read(offset, log.get(offset));
+				expected.read(offset, log.get(offset));
 			}
-			return reading;
+			return expected;
 		}
 
 		long reservedAt(Instant time) {
@@ -439,14 +434,14 @@
 
 		private void read(int offset, BudgetSite.LoggedRecord logged) {
 			advanceTo(logged.time());
-			Ledger.ApplyResult reading = this.ledger.apply(new Position(offset, 0), logged.time(), logged.record());
-			this.ledger = reading.ledger();
+			Ledger.ApplyResult result = this.ledger.apply(new Position(offset, 0), logged.time(), logged.record());
+			this.ledger = result.ledger();
 			if (logged.record() instanceof LedgerRecord.SliceReserved record
 					&& record.configurationVersion() >= this.version) {
 				this.version = record.configurationVersion();
 				this.limit = record.limit();
 			}
-			switch (reading.changes().getFirst()) {
+			switch (result.changes().getFirst()) {
 				case LedgerChange.SliceGranted change -> grant(change.record());
 				case LedgerChange.SliceReturned change -> returnSlice(change.record());
 				case LedgerChange.Voided change when change.reason() == LedgerChange.VoidReason.BUDGET_EXHAUSTED ->
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetSite.java
@@ -47,8 +47,8 @@
 import io.lentilslip.core.role.NodeEvent;
 
 /**
- * Entries over one log, with an engine that answers when it is told to. Each entry has a
- * clock of its own and reads the log at its own pace. Confined to one thread.
+ * Test fixture of entries that share a log and an engine with scripted answers. Each
+ * entry has its own clock and log offset. Confined to one thread.
  */
 final class BudgetSite {
 
@@ -64,7 +64,7 @@
 
 	private static final ProcessId SIDECAR = new ProcessId(new VmName("vm-1"), new Incarnation(1));
 
-	// What an estimate counts besides the tokens to generate.
+	// Tokens that an estimate adds to the tokens to generate.
 	private static final int TOKENS_OF_PROMPT = 10;
 
 	final List<LoggedRecord> log = new ArrayList<>();
@@ -90,17 +90,17 @@
 	}
 
 	/**
-	 * Lets an entry die and its VM start another one.
+	 * Replaces an entry by a new incarnation on the same VM.
 	 * @param number the entry
-	 * @param limit the limit in the configuration that the new one starts with
-	 * @param version the version of that configuration
+	 * @param limit the configured limit of the new incarnation
+	 * @param version the configuration version of the new incarnation
 	 */
 	void restart(int number, long limit, long version) {
 		this.entries.set(number, new Entry(Duration.ofSeconds(77), version, limit));
 	}
 
 	/**
-	 * Lets records appear in the log whose appends were given up as lost.
+	 * Adds the records of delayed appends to the log.
 	 */
 	void appendDelayedRecords() {
 		while (!this.delayedRecords.isEmpty()) {
@@ -109,29 +109,28 @@
 	}
 
 	/**
-	 * Lets every append reach the log and every entry read it, until nothing is under
-	 * way.
+	 * Completes all appends and reads until none is in flight.
 	 */
 	void settle() {
-		boolean moved = true;
-		while (moved) {
-			moved = false;
+		boolean progressed = true;
+		while (progressed) {
+			progressed = false;
 			for (Entry entry : this.entries) {
 				while (!entry.appends.isEmpty()) {
 					entry.appendNext(AppendFault.APPENDED);
-					moved = true;
+					progressed = true;
 				}
 				while (entry.read < this.log.size()) {
 					entry.readNext();
-					moved = true;
+					progressed = true;
 				}
 			}
 		}
 	}
 
 	/**
-	 * Lets time pass in steps of one second, with a log that works.
-	 * @param seconds how many seconds
+	 * Advances the time in steps of one second with a reachable log.
+	 * @param seconds the number of seconds
 	 */
 	void advanceTime(int seconds) {
 		for (int second = 0; second < seconds; second++) {
@@ -157,7 +156,7 @@
 	}
 
 	/**
-	 * What becomes of an append.
+	 * Fault injected into an append.
 	 */
 	enum AppendFault {
 
@@ -166,9 +165,9 @@
 	}
 
 	/**
-	 * A record in the log.
+	 * Record in the log.
 	 *
-	 * @param time the log's time
+	 * @param time the time in the log
 	 * @param record the record
 	 */
 	record LoggedRecord(Instant time, LedgerRecord record) {
@@ -176,9 +175,9 @@
 	}
 
 	/**
-	 * An append that an entry asked for.
+	 * Append requested by an entry.
 	 *
-	 * @param id the number of the append
+	 * @param id the identifier of the append
 	 * @param record the record
 	 */
 	record PendingAppend(AppendId id, LedgerRecord record) {
@@ -186,7 +185,7 @@
 	}
 
 	/**
-	 * One life of an entry.
+	 * One incarnation of an entry.
 	 */
 	final class Entry {
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/CallerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/CallerRulesTests.java
@@ -53,10 +53,10 @@
 		assertThat(unconfigured.dispatches()).hasSize(1);
 	}
 
-	// The entry was told to stop while a call runs. The call ends as ever; a new one is
-	// refused as not run, with the time after which another entry takes it.
+	// A call completes while the entry shuts down. New calls are refused as not run, with
+	// a retry delay for another entry.
 	@Test
-	void refusesNewCallsWhileItStops() {
+	void refusesNewCallsDuringShutdown() {
 		Ticket running = this.site.call(PLAIN);
 		this.site.stop();
 		assertRefused(this.site, PLAIN, FailureCause.STOPPING);
@@ -66,9 +66,8 @@
 		assertThat(this.site.outcomesOf(running)).containsExactly(answer);
 	}
 
-	// The same for a call with a key: an earlier attempt may be in the part of the log
-	// that the entry has not read, so it reads on before it says that the call did not
-	// run.
+	// An earlier attempt of a keyed call may be in the unread part of the log, so the
+	// entry must read on before it refuses the call as not run.
 	@Test
 	void readsTheLogBeforeItRefusesAKeyedCallAsNotRun() {
 		this.site.stop();
@@ -101,7 +100,7 @@
 	}
 
 	@Test
-	void refusesACallThatLeavesTheHistoryWithoutANumber() {
+	void refusesAStoredHistoryCallWithoutANumber() {
 		assertRefused(this.site, EntrySite.model(Optional.of(EntrySite.CHAT), Optional.empty(), HistoryMode.NEW, "m"),
 				FailureCause.INVALID);
 	}
@@ -125,18 +124,18 @@
 
 	@Test
 	void refusesMoreMessagesThanAProgramMayHave() {
-		String[] most = Collections.nCopies(EntrySite.MAX_MESSAGES, "m").toArray(String[]::new);
-		this.site.call(EntrySite.model(NO_PROGRAM, Optional.empty(), HistoryMode.WHOLE, most));
+		String[] maximum = Collections.nCopies(EntrySite.MAX_MESSAGES, "m").toArray(String[]::new);
+		this.site.call(EntrySite.model(NO_PROGRAM, Optional.empty(), HistoryMode.WHOLE, maximum));
 		assertThat(this.site.dispatches()).hasSize(1);
-		String[] more = Collections.nCopies(EntrySite.MAX_MESSAGES + 1, "m").toArray(String[]::new);
-		assertRefused(this.site, EntrySite.model(NO_PROGRAM, Optional.empty(), HistoryMode.WHOLE, more),
+		String[] tooMany = Collections.nCopies(EntrySite.MAX_MESSAGES + 1, "m").toArray(String[]::new);
+		assertRefused(this.site, EntrySite.model(NO_PROGRAM, Optional.empty(), HistoryMode.WHOLE, tooMany),
 				FailureCause.TOO_LARGE);
 	}
 
-	// The rule names the group of a program, whoever calls it: the caller's own group
-	// would pay for another one's work, and the program would be two.
+	// A rule assigns a program to a group whoever calls it. With the caller's group,
+	// another group would pay and the program would exist twice.
 	@Test
-	void putsAProgramIntoTheGroupOfItsRule() {
+	void assignsAProgramToTheGroupOfItsRule() {
 		ProgramName offer = new ProgramName("offer-7");
 		this.site.call(EntrySite.model(Optional.of(offer), Optional.of(1), HistoryMode.NEW, "m"));
 		this.site.readAppended();
@@ -145,8 +144,8 @@
 			.isEqualTo(new ProgramId(EntrySite.BUYERS, offer));
 	}
 
-	// A program ended after its first call. A call that it never had surely did not run;
-	// of a resend of its first call only the lost answer could tell.
+	// A program ended after its first call. A later call has not run, but a retry of the
+	// first call may have.
 	@Test
 	void refusesCallsOfAnEndedProgram() {
 		ProgramId program = new ProgramId(EntrySite.SELLERS, EntrySite.CHAT);
@@ -156,9 +155,9 @@
 				List.of("m"), new Answer.FromModel("{}", "stop", Usage.NONE)), Optional.empty()));
 		this.site.read(new LedgerRecord.ProgramEnded(program, EndReason.IDLE));
 		assertRefused(this.site, EntrySite.turn(2, "n"), FailureCause.PROGRAM_ENDED);
-		CallFailure resent = this.site.failureOf(this.site.call(EntrySite.turn(1, "m")));
-		assertThat(resent.cause()).isEqualTo(FailureCause.PROGRAM_ENDED);
-		assertThat(resent.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
+		CallFailure retried = this.site.failureOf(this.site.call(EntrySite.turn(1, "m")));
+		assertThat(retried.cause()).isEqualTo(FailureCause.PROGRAM_ENDED);
+		assertThat(retried.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
 
 	private static void assertRefused(EntrySite site, Submission submission, FailureCause cause) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/CompletionRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/CompletionRulesTests.java
@@ -52,12 +52,10 @@
 
 	private EntryState state = EntryState.of(new ProcessId(new VmName("entry-1"), new Incarnation(9)), ZONE);
 
-	// Callers send thousands of calls a second, each with a deadline minutes away, and
-	// each
-	// is answered at once. If the reminders of the deadlines stayed until they were due,
-	// the entry would hold minutes of past calls, run out of memory and answer nobody.
+	// Answered calls must not leave deadline timers behind, which would exhaust the
+	// memory of a busy entry.
 	@Test
-	void keepsNothingOfAnsweredCalls() {
+	void releasesAnsweredCalls() {
 		start();
 		for (int number = 1; number <= 100; number++) {
 			answer(call(number));
@@ -67,9 +65,9 @@
 		assertThat(this.state.attempts.size()).isZero();
 	}
 
-	// The caller goes away before its answer: nothing of the call is left either.
+	// A caller that disconnects must not leave its call or timer behind.
 	@Test
-	void keepsNothingOfCallsWhoseCallersAreGone() {
+	void releasesCallsOfDisconnectedCallers() {
 		start();
 		call(1);
 		assertThat(this.state.timers.size()).isOne();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/EntrySite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/EntrySite.java
@@ -43,8 +43,8 @@
 import io.lentilslip.core.role.NodeEvent;
 
 /**
- * An entry with two engines, a plain service and the log it reads. Nothing happens, and
- * no time passes, but by the calls of a test. Confined to one thread.
+ * Test fixture of an entry with two engines, a service and a log. Time and events advance
+ * only by calls of the test. Confined to one thread.
  */
 final class EntrySite {
 
@@ -87,8 +87,8 @@
 	private long tickets;
 
 	/**
-	 * Returns an entry that has its configuration, links to all sidecars, and the log.
-	 * @return the site
+	 * Returns a configured entry that is linked to all sidecars.
+	 * @return the fixture
 	 */
 	static EntrySite ready() {
 		EntrySite site = new EntrySite();
@@ -163,8 +163,8 @@
 	}
 
 	/**
-	 * Lets the sidecar of the latest dispatch send a part of the answer.
-	 * @param sequence the number of the part
+	 * Sends a delta from the sidecar of the latest dispatch.
+	 * @param sequence the sequence number
 	 * @param text its text
 	 */
 	void sendDelta(int sequence, String text) {
@@ -172,7 +172,7 @@
 	}
 
 	/**
-	 * Lets the sidecar of the latest dispatch end the attempt.
+	 * Completes the latest dispatch.
 	 * @param outcome the outcome
 	 */
 	void finish(CallOutcome outcome) {
@@ -189,7 +189,7 @@
 	}
 
 	/**
-	 * Lets two rounds of reading end, so that the entry knows all that was in the log.
+	 * Completes two reads of the log, so that the whole log is known to be read.
 	 */
 	void catchUp() {
 		for (int round = 0; round < 2; round++) {
@@ -207,7 +207,7 @@
 	}
 
 	/**
-	 * Lets all that was appended appear in the log.
+	 * Delivers all appended records to the entry.
 	 */
 	void readAppended() {
 		while (this.readRecords < appended().size()) {
@@ -224,7 +224,7 @@
 	}
 
 	/**
-	 * Returns the dispatches in their sequence.
+	 * Returns the dispatches in order.
 	 * @return the dispatches, each with the sidecar it was sent to
 	 */
 	List<EntryEffect.Send> dispatches() {
@@ -266,7 +266,7 @@
 		if (outcomes.size() == 1 && outcomes.getFirst() instanceof CallOutcome.Failed failed) {
 			return failed.failure();
 		}
-		throw new AssertionError("the call has not ended with one failure: " + outcomes);
+		throw new AssertionError("call must complete once, with a failure, but its outcomes are: " + outcomes);
 	}
 
 	private <T extends EntryEffect> List<T> effects(Class<T> type) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/EntryStateInspector.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/EntryStateInspector.java
@@ -6,8 +6,8 @@
 import io.lentilslip.core.ledger.Ledger;
 
 /**
- * Names the collections of an entry's state that hold something although nothing is under
- * way.
+ * Inspects the state of an entry for tests. The checked collections should be empty when
+ * no request is in flight.
  */
 public final class EntryStateInspector {
 
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/RouteRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/RouteRulesTests.java
@@ -22,11 +22,11 @@
 
 class RouteRulesTests {
 
-	private static final Duration TAKEOVER_TIME = Duration.ofSeconds(3);
+	private static final Duration TAKEOVER_DELAY = Duration.ofSeconds(3);
 
-	private static final Duration CLAIM_WAIT = Duration.ofSeconds(2);
+	private static final Duration CLAIM_TIMEOUT = Duration.ofSeconds(2);
 
-	private static final Duration MOMENT = Duration.ofMillis(1);
+	private static final Duration ONE_MILLISECOND = Duration.ofMillis(1);
 
 	private static final ProgramId PROGRAM = new ProgramId(EntrySite.SELLERS, EntrySite.CHAT);
 
@@ -34,8 +34,8 @@
 
 	private final EntrySite site = EntrySite.ready();
 
-	// Nothing is sent before the log holds the claim: a home that is not in the log could
-	// be one of two.
+	// A call must not be sent before the log holds its home's claim. Otherwise two
+	// entries could use different homes.
 	@Test
 	void claimsAHomeBeforeItSends() {
 		this.site.call(EntrySite.turn(1, "m"));
@@ -48,8 +48,8 @@
 		assertThat(this.site.dispatch().standing()).isEqualTo(new Standing.ForHome(claim.home(), FIRST_EPOCH, 0));
 	}
 
-	// Another entry claimed the program for another sidecar, and its claim is first in
-	// the log. The call goes there, and this entry's own claim changes nothing.
+	// A concurrent claim of another entry comes first in the log. The call must go to the
+	// home of that claim.
 	@Test
 	void followsTheClaimThatIsFirstInTheLog() {
 		this.site.call(EntrySite.turn(1, "m"));
@@ -61,10 +61,10 @@
 		assertThat(this.site.latestDispatch().sidecar()).isEqualTo(other);
 	}
 
-	// The sidecar was started anew: its old life is over, and with it what it held. The
-	// next epoch is claimed at once.
+	// The home restarted and lost its state, so the next epoch is claimed without a
+	// takeover delay.
 	@Test
-	void claimsTheNextEpochWhenAnotherLifeAnswers() {
+	void claimsTheNextEpochAfterTheHomeRestarted() {
 		this.site.read(claim(FIRST_EPOCH, EntrySite.FIRST));
 		this.site.link(new ProcessId(EntrySite.FIRST.vm(), new Incarnation(2)));
 		this.site.call(EntrySite.turn(1, "m"));
@@ -73,18 +73,17 @@
 			.isEqualTo(FIRST_EPOCH.next());
 	}
 
-	// The link to the home is lost in a stream. The entry waits for it to come back, as
-	// the cache is there. Then it claims the next epoch elsewhere, and the call goes on
-	// after the text that its caller has.
+	// The link to the home is lost in the middle of a stream. After the takeover delay
+	// another home continues from the delivered text.
 	@Test
-	void takesAProgramOverWhenItsHomeStaysAway() {
+	void takesAProgramOverAfterTheTakeoverDelay() {
 		this.site.read(claim(FIRST_EPOCH, EntrySite.FIRST));
 		Ticket call = this.site.call(EntrySite.turn(1, "m"));
 		this.site.sendDelta(0, "Good ");
 		this.site.unlink(EntrySite.FIRST);
-		this.site.advanceTime(TAKEOVER_TIME.minus(MOMENT));
+		this.site.advanceTime(TAKEOVER_DELAY.minus(ONE_MILLISECOND));
 		assertThat(this.site.appended()).isEmpty();
-		this.site.advanceTime(MOMENT);
+		this.site.advanceTime(ONE_MILLISECOND);
 		assertThat(this.site.appended()).containsExactly(claim(FIRST_EPOCH.next(), EntrySite.SECOND));
 		this.site.readAppended();
 		assertThat(this.site.latestDispatch().sidecar()).isEqualTo(EntrySite.SECOND);
@@ -93,24 +92,25 @@
 		assertThat(this.site.textFor(call)).isEqualTo("Good morning");
 	}
 
-	// The same, but the link comes back in time. The same home is asked again.
+	// The link to the home recovers within the takeover delay. The call must stay with
+	// the home that has the cache.
 	@Test
-	void asksTheSameHomeAgainAfterAShortLoss() {
+	void resendsToTheSameHomeAfterAReconnect() {
 		this.site.read(claim(FIRST_EPOCH, EntrySite.FIRST));
 		this.site.call(EntrySite.turn(1, "m"));
 		this.site.unlink(EntrySite.FIRST);
-		this.site.advanceTime(TAKEOVER_TIME.minus(MOMENT));
+		this.site.advanceTime(TAKEOVER_DELAY.minus(ONE_MILLISECOND));
 		this.site.link(EntrySite.FIRST);
-		this.site.advanceTime(TAKEOVER_TIME);
+		this.site.advanceTime(TAKEOVER_DELAY);
 		assertThat(this.site.appended()).isEmpty();
 		assertThat(this.site.dispatches()).extracting(EntryEffect.Send::sidecar)
 			.containsExactly(EntrySite.FIRST, EntrySite.FIRST);
 	}
 
-	// The sidecar that had claimed a keyed call was started anew, and the log has no
-	// outcome. Nobody can say whether it ran, and nobody runs it again.
+	// The executor of a keyed call restarted without recording an outcome. The call may
+	// have run and must not run again.
 	@Test
-	void saysThatTheCallOfALostExecutorMayHaveRun() {
+	void reportsThatTheCallOfALostExecutorMayHaveRun() {
 		Ticket call = this.site.call(EntrySite.order("k", "body"));
 		this.site.readAppended();
 		this.site.link(new ProcessId(EntrySite.PLAIN.vm(), new Incarnation(2)));
@@ -120,10 +120,10 @@
 		assertThat(this.site.appended()).hasSize(1);
 	}
 
-	// A key comes again with another body. Neither the old answer nor a second run would
-	// be what the caller wants.
+	// An idempotency key is reused with different content. Neither the recorded answer
+	// nor another run would be correct.
 	@Test
-	void refusesAKeyWithOtherContent() {
+	void refusesAKeyWithDifferentContent() {
 		this.site.call(EntrySite.order("k", "body"));
 		this.site.readAppended();
 		CallFailure failure = this.site.failureOf(this.site.call(EntrySite.order("k", "other")));
@@ -131,28 +131,29 @@
 		assertThat(this.site.dispatches()).hasSize(1);
 	}
 
-	// The log is down, so nobody knows whether another entry sent this key before. The
-	// call is not sent, and yet it may have run.
+	// Without the log, another entry may have sent a call with the same key. The refused
+	// call must not be reported as not run.
 	@Test
-	void saysNotRunOfNoKeyedCallWithoutTheLog() {
+	void doesNotReportAKeyedCallAsNotRunWithoutTheLog() {
 		this.site.loseLog();
 		assertUnknown(this.site.call(EntrySite.order("k", "body")), FailureCause.LOG_UNAVAILABLE);
 		assertThat(this.site.dispatches()).isEmpty();
 	}
 
-	// The same, but the log goes down when the claim is on its way to it.
+	// The log becomes unreachable during the append of a claim. The refused call must not
+	// be reported as not run.
 	@Test
-	void saysNotRunOfNoKeyedCallWhoseClaimIsLost() {
+	void doesNotReportAKeyedCallAsNotRunWhenItsClaimIsLost() {
 		Ticket call = this.site.call(EntrySite.order("k", "body"));
 		this.site.loseLog();
-		this.site.advanceTime(CLAIM_WAIT);
+		this.site.advanceTime(CLAIM_TIMEOUT);
 		assertUnknown(call, FailureCause.LOG_UNAVAILABLE);
 		assertThat(this.site.dispatches()).isEmpty();
 	}
 
-	// One of two engines is leaving. However many programs come, all go to the other.
+	// A draining upstream must not receive new programs.
 	@Test
-	void givesALeavingUpstreamNoNewProgram() {
+	void placesNoNewProgramOnADrainingUpstream() {
 		this.site.receive(EntrySite.FIRST, new LinkMessage.Leaving());
 		for (int number = 0; number < 20; number++) {
 			this.site.call(
@@ -163,10 +164,10 @@
 			.allSatisfy((send) -> assertThat(send.sidecar()).isEqualTo(EntrySite.SECOND));
 	}
 
-	// The home hands a call back and another one runs it. What the first one still says
-	// of its attempt reaches nobody: the text would be there twice.
+	// The home rejects a call and another one runs it. Late messages of the first attempt
+	// must not reach the caller, or text could be duplicated.
 	@Test
-	void dropsWhatComesLateOfAnAttemptGivenUp() {
+	void dropsLateMessagesOfAnAbandonedAttempt() {
 		this.site.read(claim(FIRST_EPOCH, EntrySite.FIRST));
 		Ticket call = this.site.call(EntrySite.turn(1, "m"));
 		LinkMessage.Dispatch first = this.site.dispatch();
@@ -180,10 +181,10 @@
 		assertThat(this.site.outcomesOf(call)).isEmpty();
 	}
 
-	// A part of the answer is missing. The attempt is cancelled, and the caller gets an
-	// error rather than a text with a gap.
+	// A delta is missing. The attempt is cancelled, and the caller must get an error
+	// rather than incomplete text.
 	@Test
-	void endsAnAttemptWithAGapInItsParts() {
+	void cancelsAnAttemptWithAMissingDelta() {
 		this.site.read(claim(FIRST_EPOCH, EntrySite.FIRST));
 		Ticket call = this.site.call(EntrySite.turn(1, "m"));
 		this.site.sendDelta(0, "Good ");
@@ -193,10 +194,10 @@
 		assertUnknown(call, FailureCause.INTERNAL);
 	}
 
-	// The sidecar is silent. It has a moment longer than the deadline, as it may know
-	// that the call did not run; then the call is cancelled and may have run.
+	// The sidecar does not respond. It may still report the outcome within a grace
+	// period; then the call is cancelled and may have run.
 	@Test
-	void endsACallAfterItsDeadline() {
+	void expiresACallAfterItsGracePeriod() {
 		this.site.read(claim(FIRST_EPOCH, EntrySite.FIRST));
 		Ticket call = this.site.call(EntrySite.turn(1, "m"));
 		this.site.advanceTime(EntrySite.TIME_LEFT);
