--- a/lentilslip-core/src/main/java/io/lentilslip/core/admission/ConcurrencyLimit.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/admission/ConcurrencyLimit.java
@@ -236,12 +236,12 @@
 		private static final double NANOS_PER_SECOND = 1e9;
 
 		private Round with(Sample sample) {
-			int most = Math.max(this.maxRunning, sample.running());
+			int highest = Math.max(this.maxRunning, sample.running());
 			if (sample.failed()) {
-				return new Round(this.calls + 1, this.failures + 1, this.seconds, this.work, most);
+				return new Round(this.calls + 1, this.failures + 1, this.seconds, this.work, highest);
 			}
 			return new Round(this.calls + 1, this.failures,
-					this.seconds + sample.duration().toNanos() / NANOS_PER_SECOND, this.work + sample.work(), most);
+					this.seconds + sample.duration().toNanos() / NANOS_PER_SECOND, this.work + sample.work(), highest);
 		}
 
 		private double secondsPerWorkUnit() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
@@ -129,8 +129,8 @@
 			.orElse(RETRY_AFTER);
 	}
 
-	// A call without a key and a number cannot be a retry. Any other call may already
-	// have been sent by another entry, so its refusal has to consult the log.
+	// A call with neither a key nor a number cannot be a retry. Any other call may
+	// already have been sent by another entry, so its refusal has to consult the log.
 	private void refuse(Call call, CallFailure failure) {
 		boolean untracked = call.request().key().isEmpty()
 				&& call.request().place().flatMap(ProgramCall::number).isEmpty();
@@ -179,14 +179,14 @@
 		if (this.draft.activeConfiguration.isEmpty()) {
 			return Optional.empty();
 		}
-		ActiveConfiguration setup = this.draft.activeConfiguration.get();
-		Optional<Budget> budget = setup.configuration().group(group).flatMap(GroupPolicy::budget);
+		ActiveConfiguration active = this.draft.activeConfiguration.get();
+		Optional<Budget> budget = active.configuration().group(group).flatMap(GroupPolicy::budget);
 		return budget.map((each) -> each.inPartsOf(MAX_PERIOD))
 			.map((each) -> this.draft.log.ledger()
 				.budget(group)
-				.filter((state) -> state.configurationVersion() > setup.version())
-				.map((state) -> new Terms(state.limit(), state.period(), each, setup.version()))
-				.orElseGet(() -> new Terms(each.tokens(), each.period(), each, setup.version())));
+				.filter((state) -> state.configurationVersion() > active.version())
+				.map((state) -> new Terms(state.limit(), state.period(), each, active.version()))
+				.orElseGet(() -> new Terms(each.tokens(), each.period(), each, active.version())));
 	}
 
 	private Account<Ticket> accountOf(GroupName group, Terms terms) {
@@ -295,7 +295,7 @@
 	}
 
 	/**
-	 * Appends a slice record again unless its result is known. The ledger ignores
+	 * Appends a slice record again while its decision is pending. The ledger voids
 	 * duplicates.
 	 * @param record the record
 	 */
@@ -382,7 +382,7 @@
 	}
 
 	void measure() {
-		this.draft.activeConfiguration.ifPresent((setup) -> setup.configuration().groups().forEach(this::measure));
+		this.draft.activeConfiguration.ifPresent((active) -> active.configuration().groups().forEach(this::measure));
 		this.draft.measure(new Measurement.CollectionSize(CollectionName.BUDGET_SLICES,
 				this.draft.accounts.values().count(Account::hasSlice), 0));
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
@@ -291,14 +291,14 @@
 	}
 
 	void stateReceived(LinkMessage.ProgramAnswer answer) {
-		Option<Tuple2<Ticket, ProgramRequest>> question = this.draft.programRequests
+		Option<Tuple2<Ticket, ProgramRequest>> request = this.draft.programRequests
 			.find((each) -> each._2() instanceof ProgramRequest.ForState state
 					&& state.attempt().equals(answer.attempt()));
-		if (question.isEmpty()) {
+		if (request.isEmpty()) {
 			return;
 		}
-		Ticket ticket = question.get()._1();
-		ProgramId program = question.get()._2().program();
+		Ticket ticket = request.get()._1();
+		ProgramId program = request.get()._2().program();
 		this.draft.programRequests = this.draft.programRequests.remove(ticket);
 		if (answer.view().isPresent()) {
 			this.draft.emit(new EntryEffect.SendProgramState(ticket, answer.view().get()));
@@ -328,21 +328,21 @@
 	 * @param state its state
 	 */
 	void programEnded(ProgramId program, ProgramState state) {
-		for (Tuple2<Ticket, ProgramRequest> question : this.draft.programRequests) {
-			if (question._2().program().equals(program)) {
-				this.draft.programRequests = this.draft.programRequests.remove(question._1());
-				sendStateFromLog(question._1(), program, state);
+		for (Tuple2<Ticket, ProgramRequest> request : this.draft.programRequests) {
+			if (request._2().program().equals(program)) {
+				this.draft.programRequests = this.draft.programRequests.remove(request._1());
+				sendStateFromLog(request._1(), program, state);
 			}
 		}
 	}
 
 	void expireProgramRequest(Ticket ticket) {
-		Option<ProgramRequest> question = this.draft.programRequests.get(ticket);
-		if (question.isEmpty()) {
+		Option<ProgramRequest> request = this.draft.programRequests.get(ticket);
+		if (request.isEmpty()) {
 			return;
 		}
 		this.draft.programRequests = this.draft.programRequests.remove(ticket);
-		CallFailure failure = switch (question.get()) {
+		CallFailure failure = switch (request.get()) {
 			case ProgramRequest.ForState state ->
 				CallFailure.notRun(FailureCause.NO_UPSTREAM, "The home of the program did not respond.");
 			case ProgramRequest.ForEnd end ->
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
@@ -68,8 +68,8 @@
 			return;
 		}
 		Ticket ticket = call.ticket();
-		long least = (unanswered == Verdict.NOT_RUN) ? 0 : account.get().heldFor(ticket);
-		long tokens = (call.attempts() == 0) ? 0 : Math.max(least, usage.total());
+		long minimum = (unanswered == Verdict.NOT_RUN) ? 0 : account.get().heldFor(ticket);
+		long tokens = (call.attempts() == 0) ? 0 : Math.max(minimum, usage.total());
 		this.draft.putAndAdvance(group, account.get().removeWaiting(ticket).settle(ticket, tokens));
 	}
 
@@ -122,9 +122,9 @@
 
 	private String serviceClassOf(Call call) {
 		return this.draft.activeConfiguration
-			.flatMap((setup) -> call.request()
+			.flatMap((active) -> call.request()
 				.place()
-				.map((place) -> setup.configuration().classOf(call.request().group(), place.program().name())))
+				.map((place) -> active.configuration().classOf(call.request().group(), place.program().name())))
 			.orElse(ServiceClass.INTERACTIVE)
 			.name();
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Draft.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Draft.java
@@ -136,12 +136,12 @@
 		emit(new NodeEffect.Append(id, record));
 	}
 
-	void startTimer(Duration delay, Timer duty) {
-		startTimerAt(this.now.plus(delay), duty);
+	void startTimer(Duration delay, Timer timer) {
+		startTimerAt(this.now.plus(delay), timer);
 	}
 
-	void startTimerAt(Instant time, Timer duty) {
-		this.timers = this.timers.with(time, duty);
+	void startTimerAt(Instant time, Timer timer) {
+		this.timers = this.timers.with(time, timer);
 	}
 
 	long nextNumber() {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEvent.java
@@ -55,7 +55,7 @@
 	 *
 	 * @param ticket the request
 	 * @param submission the request's content
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 * @param seed a random seed for the resulting decisions
 	 */
 	record CallArrived(Ticket ticket, Submission submission, Instant now, long seed) implements EntryEvent {
@@ -66,7 +66,7 @@
 	 * The caller disconnected before its request was completed.
 	 *
 	 * @param ticket the request
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record CallerDisconnected(Ticket ticket, Instant now) implements EntryEvent {
 
@@ -78,7 +78,7 @@
 	 * @param ticket the request
 	 * @param caller the digest of the key that the caller showed
 	 * @param program the program
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record ProgramStateRequested(Ticket ticket, Digest caller, ProgramName program, Instant now) implements EntryEvent {
 
@@ -90,7 +90,7 @@
 	 * @param ticket the request
 	 * @param caller the digest of the key that the caller showed
 	 * @param program the program
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record ProgramEndRequested(Ticket ticket, Digest caller, ProgramName program, Instant now) implements EntryEvent {
 
@@ -101,7 +101,7 @@
 	 *
 	 * @param vm the VM of the sidecar, as configured
 	 * @param sidecar the process at the other end
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record SidecarLinked(VmName vm, ProcessId sidecar, Instant now) implements EntryEvent {
 
@@ -111,7 +111,7 @@
 	 * A link to a sidecar was closed or could not be opened.
 	 *
 	 * @param vm the VM of the sidecar
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record SidecarUnlinked(VmName vm, Instant now) implements EntryEvent {
 
@@ -122,7 +122,7 @@
 	 *
 	 * @param sidecar the sidecar
 	 * @param message the message
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record SidecarMessageReceived(ProcessId sidecar, LinkMessage.FromSidecar message,
 			Instant now) implements EntryEvent {
@@ -134,7 +134,7 @@
 	 *
 	 * @param sidecar the receiver
 	 * @param message the message
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record SendRefused(ProcessId sidecar, LinkMessage.ToSidecar message, Instant now) implements EntryEvent {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryReducer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryReducer.java
@@ -29,7 +29,7 @@
 	private static long seedOf(EntryEvent event) {
 		return switch (event) {
 			case EntryEvent.CallArrived arrived -> arrived.seed();
-			case EntryEvent.NodeEventReceived spoke when spoke.event() instanceof NodeEvent.Ticked ticked ->
+			case EntryEvent.NodeEventReceived received when received.event() instanceof NodeEvent.Ticked ticked ->
 				ticked.seed();
 			default -> event.now().getNano();
 		};
@@ -39,15 +39,15 @@
 		SidecarRules sidecars = new SidecarRules(draft, routes);
 		CallerRules callers = new CallerRules(draft);
 		switch (event) {
-			case EntryEvent.LogEventReceived spoke -> new LedgerRules(draft, routes).handle(spoke.event());
-			case EntryEvent.NodeEventReceived spoke -> new NodeRules(draft, routes).handle(spoke.event());
+			case EntryEvent.LogEventReceived received -> new LedgerRules(draft, routes).handle(received.event());
+			case EntryEvent.NodeEventReceived received -> new NodeRules(draft, routes).handle(received.event());
 			case EntryEvent.CallArrived arrived -> callers.callArrived(arrived, arrived.seed());
-			case EntryEvent.CallerDisconnected gone -> callers.callerDisconnected(gone.ticket());
-			case EntryEvent.ProgramStateRequested asked -> callers.stateRequested(asked);
-			case EntryEvent.ProgramEndRequested asked -> callers.endRequested(asked);
+			case EntryEvent.CallerDisconnected disconnected -> callers.callerDisconnected(disconnected.ticket());
+			case EntryEvent.ProgramStateRequested requested -> callers.stateRequested(requested);
+			case EntryEvent.ProgramEndRequested requested -> callers.endRequested(requested);
 			case EntryEvent.SidecarLinked linked -> sidecars.linked(linked);
 			case EntryEvent.SidecarUnlinked unlinked -> sidecars.unlinked(unlinked);
-			case EntryEvent.SidecarMessageReceived spoke -> sidecars.messageReceived(spoke);
+			case EntryEvent.SidecarMessageReceived received -> sidecars.messageReceived(received);
 			case EntryEvent.SendRefused refused -> sidecars.sendRefused(refused);
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/LedgerRules.java
@@ -121,7 +121,7 @@
 		if (event.result() == AppendResult.UNKNOWN) {
 			this.draft.report(NoticeCode.APPEND_UNKNOWN.with(FieldName.STREAM, "programs"));
 		}
-		retryTimer(record.get()).ifPresent((duty) -> this.draft.startTimer(APPEND_RETRY_DELAY, duty));
+		retryTimer(record.get()).ifPresent((timer) -> this.draft.startTimer(APPEND_RETRY_DELAY, timer));
 	}
 
 	private static Optional<Timer> retryTimer(LedgerRecord record) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
@@ -44,7 +44,7 @@
 	}
 
 	private void accept(NodeEvent.ConfigurationAccepted event) {
-		if (this.draft.activeConfiguration.filter((setup) -> setup.version() >= event.version()).isPresent()) {
+		if (this.draft.activeConfiguration.filter((active) -> active.version() >= event.version()).isPresent()) {
 			return;
 		}
 		Configuration configuration = event.configuration();
@@ -95,16 +95,16 @@
 		measure();
 	}
 
-	private void fire(Timer duty) {
-		switch (duty) {
-			case Timer.CallDeadline giveUp -> this.routes.expireCall(giveUp.ticket());
-			case Timer.RouteRetry look -> this.routes.reroute(look.ticket());
-			case Timer.ClaimRetry again -> this.routes.retryClaim(again.route(), again.record());
-			case Timer.ClaimTimeout giveUp -> this.routes.expireClaim(giveUp.route(), giveUp.claim());
-			case Timer.SliceRetry again -> this.budgets.retryAppend(again.record());
-			case Timer.SliceTimeout giveUp -> this.budgets.expireSliceWait(giveUp.ticket());
-			case Timer.ProgramRequestTimeout giveUp ->
-				new CallerRules(this.draft).expireProgramRequest(giveUp.ticket());
+	private void fire(Timer timer) {
+		switch (timer) {
+			case Timer.CallDeadline deadline -> this.routes.expireCall(deadline.ticket());
+			case Timer.RouteRetry retry -> this.routes.reroute(retry.ticket());
+			case Timer.ClaimRetry retry -> this.routes.retryClaim(retry.route(), retry.record());
+			case Timer.ClaimTimeout timeout -> this.routes.expireClaim(timeout.route(), timeout.claim());
+			case Timer.SliceRetry retry -> this.budgets.retryAppend(retry.record());
+			case Timer.SliceTimeout timeout -> this.budgets.expireSliceWait(timeout.ticket());
+			case Timer.ProgramRequestTimeout timeout ->
+				new CallerRules(this.draft).expireProgramRequest(timeout.ticket());
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Payload.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Payload.java
@@ -19,10 +19,10 @@
 	 *
 	 * @param model the model
 	 * @param mode how the messages relate to the history
-	 * @param messages the messages, each a JSON object in canonical text
-	 * @param maximumTokens the most tokens to generate, if the caller set it
-	 * @param parameters the further fields of the request, a JSON object
-	 * @param streamed whether the caller wants the answer as it is generated
+	 * @param messages the messages, each a JSON object in canonical form
+	 * @param maximumTokens the maximum number of tokens to generate, if the caller set it
+	 * @param parameters the other fields of the request, a JSON object
+	 * @param streamed whether the caller requested streaming
 	 */
 	record ForModel(ModelName model, HistoryMode mode, List<String> messages, Optional<Integer> maximumTokens,
 			String parameters, boolean streamed) implements Payload {
@@ -31,10 +31,11 @@
 		 * Creates a value.
 		 * @param model the model
 		 * @param mode how the messages relate to the history
-		 * @param messages the messages, each a JSON object in canonical text
-		 * @param maximumTokens the most tokens to generate, if the caller set it
-		 * @param parameters the further fields of the request, a JSON object
-		 * @param streamed whether the caller wants the answer as it is generated
+		 * @param messages the messages, each a JSON object in canonical form
+		 * @param maximumTokens the maximum number of tokens to generate, if the caller
+		 * set it
+		 * @param parameters the other fields of the request, a JSON object
+		 * @param streamed whether the caller requested streaming
 		 */
 		public ForModel {
 			messages = List.copyOf(messages);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/RouteRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/RouteRules.java
@@ -124,8 +124,8 @@
 		claimHome(call, route, Epoch.NONE.next(), Optional.empty());
 	}
 
-	private static boolean isOtherIncarnation(Peer peer, ProcessId known) {
-		return peer.process().isPresent() && !peer.isLinkedTo(known);
+	private static boolean isOtherIncarnation(Peer peer, ProcessId expected) {
+		return peer.process().isPresent() && !peer.isLinkedTo(expected);
 	}
 
 	private static boolean serves(Peer peer, Call call) {
@@ -150,10 +150,10 @@
 		}
 		Optional<Peer> peer = this.draft.peer(claim.executor().vm());
 		if (peer.isEmpty() || isOtherIncarnation(peer.get(), claim.executor())) {
-			// The executor's incarnation has ended without recording an outcome. The call
-			// may have run, so it must not run elsewhere.
+			// The executor has restarted or was removed without recording an outcome. The
+			// call may have run, so it must not run elsewhere.
 			refuse(call, CallFailure.mayHaveRun(FailureCause.OUTCOME_UNKNOWN,
-					"The process assigned to the request has stopped without recording an outcome."));
+					"The process assigned to the request is no longer available and recorded no outcome."));
 			return;
 		}
 		if (peer.get().isLinkedTo(claim.executor())) {
@@ -396,12 +396,12 @@
 	 */
 	void attemptFailed(Call call, Call.Phase.Sent sent, CallFailure failure) {
 		this.draft.removeAttempt(sent);
-		Call known = call.withVerdict(failure.verdict()).withPhase(new Call.Phase.Waiting());
-		this.draft.put(known);
+		Call updated = call.withVerdict(failure.verdict()).withPhase(new Call.Phase.Waiting());
+		this.draft.put(updated);
 		switch (call.route()) {
-			case Route.ForHome route -> afterHomeFailure(known, route, sent, failure);
-			case Route.ForClaim route -> afterExecutorFailure(known, failure);
-			case Route.ForAny route -> afterAnyFailure(known, failure);
+			case Route.ForHome route -> afterHomeFailure(updated, route, sent, failure);
+			case Route.ForClaim route -> afterExecutorFailure(updated, failure);
+			case Route.ForAny route -> afterAnyFailure(updated, failure);
 		}
 	}
 
@@ -506,9 +506,9 @@
 			return;
 		}
 		this.draft.removeAttempt(sent);
-		Call known = call.withVerdict(Verdict.MAY_HAVE_RUN).withPhase(new Call.Phase.Waiting());
-		this.draft.put(known);
-		route(known);
+		Call updated = call.withVerdict(Verdict.MAY_HAVE_RUN).withPhase(new Call.Phase.Waiting());
+		this.draft.put(updated);
+		route(updated);
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidates.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidates.java
@@ -12,8 +12,8 @@
 import io.vavr.collection.Vector;
 
 /**
- * Candidates of one model or service. A candidate is selected in constant time or from
- * the head of a sorted set; updates take logarithmic time. Only linked candidates can be
+ * Candidates of one model or service, indexed so that the time of a selection does not
+ * grow with their number. Updates take logarithmic time. Only linked candidates can be
  * selected. Immutable and safe for use by several threads.
  */
 public final class Candidates {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetRulesTests.java
@@ -34,7 +34,7 @@
 
 	private static final long LIMIT = 1000;
 
-	private static final int WAIT = (int) BudgetRules.SLICE_TIMEOUT.toSeconds() + 1;
+	private static final int SLICE_WAIT_SECONDS = (int) BudgetRules.SLICE_TIMEOUT.toSeconds() + 1;
 
 	@Test
 	void admitsCallsWithoutABudget() {
@@ -58,7 +58,7 @@
 		}
 		site.settle();
 		assertThat(site.entries.stream().mapToInt((entry) -> entry.running.size()).sum()).isEqualTo(10);
-		site.advanceTime(WAIT);
+		site.advanceTime(SLICE_WAIT_SECONDS);
 		List<CallFailure> refused = failures(site);
 		assertThat(refused).hasSize(90);
 		assertThat(refused).allSatisfy((failure) -> {
@@ -81,7 +81,7 @@
 		site.settle();
 		assertThat(site.entry(1).running).isEmpty();
 		site.entry(0).answer(large, 500);
-		site.advanceTime(WAIT);
+		site.advanceTime(SLICE_WAIT_SECONDS);
 		assertThat(site.entry(1).running).containsKey(other);
 	}
 
@@ -94,7 +94,7 @@
 		site.settle();
 		site.restart(0, LIMIT, 1);
 		long call = site.entry(1).call(200);
-		site.advanceTime(WAIT);
+		site.advanceTime(SLICE_WAIT_SECONDS);
 		assertThat(failure(site.entry(1), call).cause()).isEqualTo(FailureCause.BUDGET_EXHAUSTED);
 		site.now = site.now.plus(BudgetSite.PERIOD);
 		long next = site.entry(1).call(LIMIT);
@@ -114,10 +114,10 @@
 		entry.loseLog();
 		entry.call(100);
 		assertThat(entry.running).hasSize(1);
-		long more = entry.call(350);
-		assertThat(failure(entry, more).cause()).isEqualTo(FailureCause.LOG_UNAVAILABLE);
-		assertThat(failure(entry, more).verdict()).isEqualTo(Verdict.NOT_RUN);
-		assertThat(failure(entry, more).retryAfter()).isPresent();
+		long excess = entry.call(350);
+		assertThat(failure(entry, excess).cause()).isEqualTo(FailureCause.LOG_UNAVAILABLE);
+		assertThat(failure(entry, excess).verdict()).isEqualTo(Verdict.NOT_RUN);
+		assertThat(failure(entry, excess).retryAfter()).isPresent();
 		site.now = site.now.plus(BudgetSite.PERIOD);
 		long late = entry.call(100);
 		assertThat(failure(entry, late).cause()).isEqualTo(FailureCause.LOG_UNAVAILABLE);
@@ -138,7 +138,7 @@
 		long tooMuch = entry.call(100);
 		site.settle();
 		assertThat(entry.running).containsOnlyKeys(fits);
-		site.advanceTime(WAIT);
+		site.advanceTime(SLICE_WAIT_SECONDS);
 		assertThat(failure(entry, tooMuch).cause()).isEqualTo(FailureCause.BUDGET_EXHAUSTED);
 	}
 
@@ -173,11 +173,11 @@
 	// the ledger counts it once.
 	@Test
 	void retriesAReservationWithUnknownResult() {
-		for (BudgetSite.AppendFault fate : BudgetSite.AppendFault.values()) {
+		for (BudgetSite.AppendFault fault : BudgetSite.AppendFault.values()) {
 			BudgetSite site = new BudgetSite(1, LIMIT);
 			BudgetSite.Entry entry = site.entry(0);
 			entry.call(600);
-			entry.appendNext(fate);
+			entry.appendNext(fault);
 			site.advanceTime(2);
 			assertThat(entry.running).hasSize(1);
 			assertThat(entry.account().orElseThrow().available()).isZero();
@@ -225,7 +225,7 @@
 		BudgetSite site = new BudgetSite(1, LIMIT);
 		BudgetSite.Entry entry = site.entry(0);
 		long call = entry.call(600);
-		site.now = site.now.plusSeconds(WAIT);
+		site.now = site.now.plusSeconds(SLICE_WAIT_SECONDS);
 		entry.tick();
 		assertThat(failure(entry, call).cause()).isEqualTo(FailureCause.LOG_UNAVAILABLE);
 		assertThat(entry.account().orElseThrow().waiting()).isEmpty();
@@ -245,11 +245,11 @@
 	void chargesTheEstimateWhenTheOutcomeIsUnknown() {
 		BudgetSite site = new BudgetSite(1, LIMIT);
 		BudgetSite.Entry entry = site.entry(0);
-		long left = entry.call(300);
+		long disconnected = entry.call(300);
 		long lost = entry.call(300);
 		long notRun = entry.call(300);
 		site.settle();
-		entry.disconnectCaller(left);
+		entry.disconnectCaller(disconnected);
 		entry.finish(lost, failed(CallFailure.mayHaveRun(FailureCause.CANCELLED, "Lost.")), 300);
 		assertThat(entry.account().orElseThrow().available()).isZero();
 		entry.finish(notRun, failed(CallFailure.notRun(FailureCause.DEADLINE_PASSED, "Deadline passed.")), 0);
@@ -360,11 +360,11 @@
 			entry.receive(new LogEvent.CaughtUp(site.log.size(), entry.clock()));
 			List.copyOf(entry.running.keySet()).forEach((ticket) -> entry.answer(ticket, estimate(entry, ticket)));
 		}
-		site.advanceTime(2 * WAIT);
+		site.advanceTime(2 * SLICE_WAIT_SECONDS);
 		for (BudgetSite.Entry entry : site.entries) {
 			List.copyOf(entry.running.keySet()).forEach((ticket) -> entry.answer(ticket, estimate(entry, ticket)));
 		}
-		site.advanceTime(2 * WAIT);
+		site.advanceTime(2 * SLICE_WAIT_SECONDS);
 		BudgetSite.Entry last = site.entry(2);
 		assertThat(last.account().map((account) -> account.waiting().size()).orElse(0)).isZero();
 		ExpectedBudget expected = ExpectedBudget.of(site.log);
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/BudgetSite.java
@@ -251,15 +251,15 @@
 					Durability.NOT_KEPT, 0), tokens);
 		}
 
-		void appendNext(AppendFault fate) {
+		void appendNext(AppendFault fault) {
 			PendingAppend append = this.appends.remove();
-			if (fate == AppendFault.APPENDED || fate == AppendFault.APPENDED_ANSWER_LOST) {
+			if (fault == AppendFault.APPENDED || fault == AppendFault.APPENDED_ANSWER_LOST) {
 				BudgetSite.this.log.add(new LoggedRecord(BudgetSite.this.now, append.record()));
 			}
-			if (fate == AppendFault.APPENDED_LATER) {
+			if (fault == AppendFault.APPENDED_LATER) {
 				BudgetSite.this.delayedRecords.add(append.record());
 			}
-			AppendResult result = switch (fate) {
+			AppendResult result = switch (fault) {
 				case APPENDED -> AppendResult.APPENDED;
 				case NOT_APPENDED -> AppendResult.NOT_APPENDED;
 				case APPENDED_ANSWER_LOST, NOT_APPENDED_ANSWER_LOST, APPENDED_LATER -> AppendResult.UNKNOWN;
--- a/lentilslip-core/src/test/java/io/lentilslip/core/entry/EntryStateInspector.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/entry/EntryStateInspector.java
@@ -17,25 +17,25 @@
 	}
 
 	public static List<String> nonEmptyCollections(EntryState state) {
-		List<String> left = new ArrayList<>();
-		addIfNonEmpty(left, "calls", state.calls.size());
-		addIfNonEmpty(left, "attempts", state.attempts.size());
-		addIfNonEmpty(left, "sent", state.attemptsByVm.size());
-		addIfNonEmpty(left, "waiting", state.waitingByRoute.size());
-		addIfNonEmpty(left, "claims", state.pendingClaims.size());
-		addIfNonEmpty(left, "appends", state.pendingAppends.size());
-		addIfNonEmpty(left, "questions", state.programRequests.size());
-		addIfNonEmpty(left, "agenda", Math.max(0, state.timers.size() - MAX_IDLE_TIMERS));
-		return left;
+		List<String> nonEmpty = new ArrayList<>();
+		addIfNonEmpty(nonEmpty, "calls", state.calls.size());
+		addIfNonEmpty(nonEmpty, "attempts", state.attempts.size());
+		addIfNonEmpty(nonEmpty, "attemptsByVm", state.attemptsByVm.size());
+		addIfNonEmpty(nonEmpty, "waitingByRoute", state.waitingByRoute.size());
+		addIfNonEmpty(nonEmpty, "pendingClaims", state.pendingClaims.size());
+		addIfNonEmpty(nonEmpty, "pendingAppends", state.pendingAppends.size());
+		addIfNonEmpty(nonEmpty, "programRequests", state.programRequests.size());
+		addIfNonEmpty(nonEmpty, "timers", Math.max(0, state.timers.size() - MAX_IDLE_TIMERS));
+		return nonEmpty;
 	}
 
 	public static Ledger ledgerOf(EntryState state) {
 		return state.log.ledger();
 	}
 
-	private static void addIfNonEmpty(List<String> left, String name, int size) {
+	private static void addIfNonEmpty(List<String> nonEmpty, String name, int size) {
 		if (size > 0) {
-			left.add(name + "=" + size);
+			nonEmpty.add(name + "=" + size);
 		}
 	}
 
