--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
@@ -132,8 +132,8 @@
 	// A call with neither a key nor a number cannot be a retry. Any other call may
 	// already have been sent by another entry, so its refusal has to consult the log.
 	private void refuse(Call call, CallFailure failure) {
-		boolean untracked = call.request().key().isEmpty()
-				&& call.request().place().flatMap(ProgramCall::number).isEmpty();
+		boolean untracked = call.request().idempotencyKey().isEmpty()
+				&& call.request().programCall().flatMap(ProgramCall::number).isEmpty();
 		if (untracked) {
 			new CompletionRules(this.draft).refuse(call, failure);
 			return;
@@ -153,7 +153,7 @@
 			case Route.ForHome route -> {
 				int last = ledger.program(route.program()).map(ProgramState::lastCall).orElse(0);
 				yield call.request()
-					.place()
+					.programCall()
 					.flatMap(ProgramCall::number)
 					.filter((number) -> number <= last)
 					.isPresent();
@@ -171,7 +171,7 @@
 	}
 
 	private long historyOf(CallRequest.ForModel call) {
-		Optional<ProgramId> program = call.place().map(ProgramCall::program);
+		Optional<ProgramId> program = call.programCall().map(ProgramCall::program);
 		return program.flatMap(this.draft.log.ledger()::program).map(ProgramState::historyTokens).orElse(0L);
 	}
 
@@ -181,7 +181,7 @@
 		}
 		ActiveConfiguration active = this.draft.activeConfiguration.get();
 		Optional<Budget> budget = active.configuration().group(group).flatMap(GroupPolicy::budget);
-		return budget.map((each) -> each.inPartsOf(MAX_PERIOD))
+		return budget.map((each) -> each.splitTo(MAX_PERIOD))
 			.map((each) -> this.draft.log.ledger()
 				.budget(group)
 				.filter((state) -> state.configurationVersion() > active.version())
--- a/lentilslip-core/src/test/java/io/lentilslip/core/retry/RetryPolicyTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/retry/RetryPolicyTests.java
@@ -80,7 +80,7 @@
 
 	private static RetryDecision decide(FailureCause cause, Verdict verdict, int count, boolean repeatable,
 			Duration timeLeft, RetryBudget budget) {
-		CallFailure failure = CallFailure.notRun(cause, "no response").after(verdict);
+		CallFailure failure = CallFailure.notRun(cause, "no response").combineWith(verdict);
 		return RetryPolicy.DEFAULT.decide(new FailedAttempts(failure, count, repeatable, timeLeft), budget);
 	}
 
