--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
@@ -79,9 +79,9 @@
 
 	private Either<CallFailure, Call> check(EntryEvent.CallArrived event) {
 		Submission submission = event.submission();
-		return callerOf(submission.caller()).flatMap((caller) -> placeOf(caller, submission))
-			.flatMap((place) -> place.group()
-				.map((group) -> requestOf(group, place.call(), submission))
+		return callerOf(submission.caller()).flatMap((caller) -> assignmentOf(caller, submission))
+			.flatMap((assignment) -> assignment.group()
+				.map((group) -> requestOf(group, assignment.programCall(), submission))
 				.orElseGet(() -> refused(FailureCause.FORBIDDEN, "The caller's group is not configured.")))
 			.flatMap((request) -> routeOf(request).map((route) -> Call.of(event.ticket(), request, route, event.now(),
 					event.now().plus(timeoutOf(submission)), this.draft.log.catchUpCount())));
@@ -105,12 +105,12 @@
 		return this.draft.activeConfiguration.orElseThrow().configuration();
 	}
 
-	private Either<CallFailure, PlaceInGroup> placeOf(CallerPolicy caller, Submission submission) {
+	private Either<CallFailure, GroupAssignment> assignmentOf(CallerPolicy caller, Submission submission) {
 		if (submission.program().isEmpty()) {
 			if (submission.parent().isPresent() || submission.number().isPresent()) {
 				return refused(FailureCause.INVALID, "A parent program or a call number requires a program.");
 			}
-			return Either.right(new PlaceInGroup(Optional.of(caller.group()), Optional.empty()));
+			return Either.right(new GroupAssignment(Optional.of(caller.group()), Optional.empty()));
 		}
 		ProgramName name = submission.program().get();
 		if (submission.parent().equals(submission.program())) {
@@ -119,22 +119,22 @@
 		GroupName group = configuration().groupFor(caller, name);
 		Optional<ProgramId> parent = submission.parent()
 			.map((each) -> new ProgramId(configuration().groupFor(caller, each), each));
-		ProgramCall place = new ProgramCall(new ProgramId(group, name), parent, submission.number());
-		return Either.right(new PlaceInGroup(Optional.of(group), Optional.of(place)));
+		ProgramCall programCall = new ProgramCall(new ProgramId(group, name), parent, submission.number());
+		return Either.right(new GroupAssignment(Optional.of(group), Optional.of(programCall)));
 	}
 
-	private Either<CallFailure, CallRequest> requestOf(GroupName group, Optional<ProgramCall> place,
+	private Either<CallFailure, CallRequest> requestOf(GroupName group, Optional<ProgramCall> programCall,
 			Submission submission) {
 		if (configuration().group(group).isEmpty()) {
 			return refused(FailureCause.FORBIDDEN, "The caller's group is not configured.");
 		}
 		return switch (submission.payload()) {
-			case Payload.ForModel payload -> modelRequest(group, place, submission, payload);
-			case Payload.ForService payload -> serviceRequest(group, place, submission, payload);
+			case Payload.ForModel payload -> modelRequest(group, programCall, submission, payload);
+			case Payload.ForService payload -> serviceRequest(group, programCall, submission, payload);
 		};
 	}
 
-	private Either<CallFailure, CallRequest> modelRequest(GroupName group, Optional<ProgramCall> place,
+	private Either<CallFailure, CallRequest> modelRequest(GroupName group, Optional<ProgramCall> programCall,
 			Submission submission, Payload.ForModel payload) {
 		Optional<ModelPolicy> model = configuration().model(payload.model());
 		if (model.isEmpty()) {
@@ -155,7 +155,7 @@
 		if (tokens < 1) {
 			return refused(FailureCause.INVALID, "The maximum number of tokens to generate must be positive.");
 		}
-		return Either.right(new CallRequest.ForModel(group, place, submission.key(), contentOf(payload, tokens),
+		return Either.right(new CallRequest.ForModel(group, programCall, submission.key(), contentOf(payload, tokens),
 				payload.model(), payload.mode(), payload.messages(), tokens, payload.parameters(), payload.streamed()));
 	}
 
@@ -171,7 +171,7 @@
 		return digest;
 	}
 
-	private Either<CallFailure, CallRequest> serviceRequest(GroupName group, Optional<ProgramCall> place,
+	private Either<CallFailure, CallRequest> serviceRequest(GroupName group, Optional<ProgramCall> programCall,
 			Submission submission, Payload.ForService payload) {
 		Optional<ServicePolicy> service = configuration().service(payload.service());
 		if (service.isEmpty()) {
@@ -182,7 +182,7 @@
 			.then(Digest.of(message.method()))
 			.then(Digest.of(message.path()))
 			.then(message.body().digest());
-		return Either.right(new CallRequest.ForService(group, place, submission.key(), content, payload.service(),
+		return Either.right(new CallRequest.ForService(group, programCall, submission.key(), content, payload.service(),
 				message, service.get().isRepeatable(message.method(), message.path())));
 	}
 
@@ -212,10 +212,10 @@
 	}
 
 	private static Route serviceRoute(CallRequest.ForService call) {
-		Optional<ProgramCall> place = call.programCall().filter((each) -> each.number().isPresent());
-		if (call.idempotencyKey().isEmpty() && place.isPresent() && !call.repeatable()) {
-			return new Route.ForClaim(new CallKey.ForProgramCall(place.get().program(), call.service(),
-					place.get().number().orElseThrow()));
+		Optional<ProgramCall> programCall = call.programCall().filter((each) -> each.number().isPresent());
+		if (call.idempotencyKey().isEmpty() && programCall.isPresent() && !call.repeatable()) {
+			return new Route.ForClaim(new CallKey.ForProgramCall(programCall.get().program(), call.service(),
+					programCall.get().number().orElseThrow()));
 		}
 		return routeByKey(call);
 	}
@@ -355,9 +355,9 @@
 	 * Program of a call and the group that is charged.
 	 *
 	 * @param group the group
-	 * @param call the call's place in a program, if it belongs to one
+	 * @param programCall the program call, if the call belongs to a program
 	 */
-	private record PlaceInGroup(Optional<GroupName> group, Optional<ProgramCall> call) {
+	private record GroupAssignment(Optional<GroupName> group, Optional<ProgramCall> programCall) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CompletionRules.java
@@ -124,7 +124,8 @@
 		return this.draft.activeConfiguration
 			.flatMap((active) -> call.request()
 				.programCall()
-				.map((place) -> active.configuration().classOf(call.request().group(), place.program().name())))
+				.map((programCall) -> active.configuration()
+					.classOf(call.request().group(), programCall.program().name())))
 			.orElse(ServiceClass.INTERACTIVE)
 			.name();
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryState.java
@@ -176,7 +176,7 @@
 	private static EntryStatus.Upstream view(Peer peer) {
 		LinkMessage.LoadReport report = peer.report().orElse(new LinkMessage.LoadReport(0, 0, 0, 0, List.of()));
 		return new EntryStatus.Upstream(peer.policy().vm(), peer.policy().zone(), peer.process().isPresent(),
-				peer.leaving() || peer.listedLeaving(), report.queued(), report.running(), report.limit());
+				peer.draining() || peer.listedDraining(), report.queued(), report.running(), report.limit());
 	}
 
 }
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
@@ -81,9 +81,9 @@
 
 	private void vmListRead(NodeEvent.VmListRead event) {
 		for (Peer peer : this.draft.peers.values()) {
-			boolean leaving = event.draining().contains(peer.policy().vm());
-			if (leaving != peer.listedLeaving()) {
-				this.draft.put(peer.listedAsLeaving(leaving));
+			boolean draining = event.draining().contains(peer.policy().vm());
+			if (draining != peer.listedDraining()) {
+				this.draft.put(peer.withListedDraining(draining));
 			}
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Peer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Peer.java
@@ -16,11 +16,11 @@
  * @param policy the configuration of its upstream
  * @param process the linked process, if a link is open
  * @param since when the link was last opened or closed
- * @param leaving whether the sidecar announced that it is draining
- * @param listedLeaving whether the VM list marks its VM as draining
+ * @param draining whether the sidecar announced that it is draining
+ * @param listedDraining whether the VM list marks its VM as draining
  * @param report the last load report received over this link
  */
-record Peer(UpstreamPolicy policy, Optional<ProcessId> process, Instant since, boolean leaving, boolean listedLeaving,
+record Peer(UpstreamPolicy policy, Optional<ProcessId> process, Instant since, boolean draining, boolean listedDraining,
 		Optional<LinkMessage.LoadReport> report) {
 
 	static Peer of(UpstreamPolicy policy, Instant now) {
@@ -28,28 +28,28 @@
 	}
 
 	Peer with(UpstreamPolicy changed) {
-		return new Peer(changed, this.process, this.since, this.leaving, this.listedLeaving, this.report);
+		return new Peer(changed, this.process, this.since, this.draining, this.listedDraining, this.report);
 	}
 
 	Peer linked(ProcessId sidecar, Instant now) {
-		return new Peer(this.policy, Optional.of(sidecar), now, false, this.listedLeaving, Optional.empty());
+		return new Peer(this.policy, Optional.of(sidecar), now, false, this.listedDraining, Optional.empty());
 	}
 
 	Peer unlinked(Instant now) {
 		Instant from = (this.process.isPresent()) ? now : this.since;
-		return new Peer(this.policy, Optional.empty(), from, false, this.listedLeaving, Optional.empty());
+		return new Peer(this.policy, Optional.empty(), from, false, this.listedDraining, Optional.empty());
 	}
 
-	Peer announcedLeaving() {
-		return new Peer(this.policy, this.process, this.since, true, this.listedLeaving, this.report);
+	Peer withDraining() {
+		return new Peer(this.policy, this.process, this.since, true, this.listedDraining, this.report);
 	}
 
-	Peer listedAsLeaving(boolean value) {
-		return new Peer(this.policy, this.process, this.since, this.leaving, value, this.report);
+	Peer withListedDraining(boolean value) {
+		return new Peer(this.policy, this.process, this.since, this.draining, value, this.report);
 	}
 
-	Peer reporting(LinkMessage.LoadReport latest) {
-		return new Peer(this.policy, this.process, this.since, this.leaving, this.listedLeaving, Optional.of(latest));
+	Peer withReport(LinkMessage.LoadReport latest) {
+		return new Peer(this.policy, this.process, this.since, this.draining, this.listedDraining, Optional.of(latest));
 	}
 
 	boolean isLinkedTo(ProcessId sidecar) {
@@ -66,7 +66,7 @@
 			return Availability.UNLINKED;
 		}
 		boolean down = this.report.filter((latest) -> latest.limit() == 0).isPresent();
-		return (this.leaving || this.listedLeaving || down) ? Availability.LEAVING : Availability.LINKED;
+		return (this.draining || this.listedDraining || down) ? Availability.DRAINING : Availability.LINKED;
 	}
 
 	Candidate toCandidate(Instant now) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/SidecarRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/SidecarRules.java
@@ -76,8 +76,8 @@
 			case LinkMessage.Delta delta -> deltaReceived(delta);
 			case LinkMessage.Finished finished -> finished(finished);
 			case LinkMessage.ProgramResponse answer -> new CallerRules(this.draft).stateReceived(answer);
-			case LinkMessage.LoadReport report -> this.draft.put(peer.get().reporting(report));
-			case LinkMessage.Draining leaving -> leaving(peer.get());
+			case LinkMessage.LoadReport report -> this.draft.put(peer.get().withReport(report));
+			case LinkMessage.Draining draining -> draining(peer.get());
 			case LinkMessage.Hello hello -> {
 			}
 			case LinkMessage.Heartbeat heartbeat -> {
@@ -87,8 +87,8 @@
 		}
 	}
 
-	private void leaving(Peer peer) {
-		this.draft.put(peer.announcedLeaving());
+	private void draining(Peer peer) {
+		this.draft.put(peer.withDraining());
 		this.draft.report(NoticeCode.UPSTREAM_LEAVING.with(FieldName.VM, peer.policy().vm()));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidate.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/placement/Candidate.java
@@ -107,7 +107,7 @@
 		/**
 		 * It is draining and accepts no new work.
 		 */
-		LEAVING,
+		DRAINING,
 
 		/**
 		 * It is unreachable.
