--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/BudgetRules.java
@@ -92,7 +92,7 @@
 	private Optional<CallFailure> refusalOf(GroupName group, Terms terms, Account<Ticket> account, long tokens) {
 		if (tokens > terms.limit()) {
 			return Optional.of(CallFailure.notRun(FailureCause.BUDGET_EXHAUSTED,
-					"The request may use more tokens than the whole budget of its group.`"));
+					"The request may use more tokens than the whole budget of its group."));
 		}
 		if (!this.draft.log.isReachable()) {
 			return Optional.of(logUnavailable());
