--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/CallerRules.java
@@ -36,8 +36,8 @@
 import io.vavr.control.Option;
 
 /**
- * The rules for what callers ask: who they are, what they may, and what the request must
- * look like. Confined to one application of the reducer.
+ * Rules for requests of callers: authentication, validation and routing. Confined to one
+ * application of the reducer.
  */
 final class CallerRules {
 
@@ -66,7 +66,7 @@
 		RouteRules routes = new RouteRules(this.draft, seed);
 		if (this.draft.stopping) {
 			routes.refuseUnsent(call.get(),
-					CallFailure.notRun(FailureCause.STOPPING, "This entry is stopping; another one takes the request.")
+					CallFailure.notRun(FailureCause.STOPPING, "This entry is shutting down; retry at another entry.")
 						.retryAfter(RETRY_AFTER));
 			return;
 		}
@@ -79,9 +79,9 @@
 
 	private Either<CallFailure, Call> check(EntryEvent.CallArrived event) {
 		Submission submission = event.submission();
-		return callerOf(submission.caller()).flatMap((caller) -> placeOf(caller, submission))
-			.flatMap((place) -> place.group()
-				.map((group) -> requestOf(group, place.call(), submission))
+		return callerOf(submission.caller()).flatMap((caller) -> assignmentOf(caller, submission))
+			.flatMap((assignment) -> assignment.group()
+				.map((group) -> requestOf(group, assignment.programCall(), submission))
 				.orElseGet(() -> refused(FailureCause.FORBIDDEN, "The caller's group is not configured.")))
 			.flatMap((request) -> routeOf(request).map((route) -> Call.of(event.ticket(), request, route, event.now(),
 					event.now().plus(timeoutOf(submission)), this.draft.log.catchUpCount())));
@@ -98,69 +98,68 @@
 		}
 		return configuration().caller(key)
 			.<Either<CallFailure, CallerPolicy>>map(Either::right)
-			.orElseGet(() -> refused(FailureCause.UNAUTHORIZED, "The key is not known."));
+			.orElseGet(() -> refused(FailureCause.UNAUTHORIZED, "The caller's key is unknown."));
 	}
 
 	private Configuration configuration() {
 		return this.draft.activeConfiguration.orElseThrow().configuration();
 	}
 
-	private Either<CallFailure, PlaceInGroup> placeOf(CallerPolicy caller, Submission submission) {
+	private Either<CallFailure, GroupAssignment> assignmentOf(CallerPolicy caller, Submission submission) {
 		if (submission.program().isEmpty()) {
 			if (submission.parent().isPresent() || submission.number().isPresent()) {
-				return refused(FailureCause.INVALID, "A parent or a number needs a program.");
+				return refused(FailureCause.INVALID, "A parent program or a call number requires a program.");
 			}
-			return Either.right(new PlaceInGroup(Optional.of(caller.group()), Optional.empty()));
+			return Either.right(new GroupAssignment(Optional.of(caller.group()), Optional.empty()));
 		}
 		ProgramName name = submission.program().get();
 		if (submission.parent().equals(submission.program())) {
-			return refused(FailureCause.INVALID, "A program is not its own parent.");
+			return refused(FailureCause.INVALID, "A program cannot be its own parent.");
 		}
 		GroupName group = configuration().groupFor(caller, name);
 		Optional<ProgramId> parent = submission.parent()
 			.map((each) -> new ProgramId(configuration().groupFor(caller, each), each));
-		ProgramCall place = new ProgramCall(new ProgramId(group, name), parent, submission.number());
-		return Either.right(new PlaceInGroup(Optional.of(group), Optional.of(place)));
+		ProgramCall programCall = new ProgramCall(new ProgramId(group, name), parent, submission.number());
+		return Either.right(new GroupAssignment(Optional.of(group), Optional.of(programCall)));
 	}
 
-	private Either<CallFailure, CallRequest> requestOf(GroupName group, Optional<ProgramCall> place,
+	private Either<CallFailure, CallRequest> requestOf(GroupName group, Optional<ProgramCall> programCall,
 			Submission submission) {
 		if (configuration().group(group).isEmpty()) {
 			return refused(FailureCause.FORBIDDEN, "The caller's group is not configured.");
 		}
 		return switch (submission.payload()) {
-			case Payload.ForModel payload -> modelRequest(group, place, submission, payload);
-			case Payload.ForService payload -> serviceRequest(group, place, submission, payload);
+			case Payload.ForModel payload -> modelRequest(group, programCall, submission, payload);
+			case Payload.ForService payload -> serviceRequest(group, programCall, submission, payload);
 		};
 	}
 
-	private Either<CallFailure, CallRequest> modelRequest(GroupName group, Optional<ProgramCall> place,
+	private Either<CallFailure, CallRequest> modelRequest(GroupName group, Optional<ProgramCall> programCall,
 			Submission submission, Payload.ForModel payload) {
 		Optional<ModelPolicy> model = configuration().model(payload.model());
 		if (model.isEmpty()) {
-			return refused(FailureCause.NOT_FOUND, "The model is not served here.");
+			return refused(FailureCause.NOT_FOUND, "The model is not configured.");
 		}
 		if (payload.messages().isEmpty()) {
-			return refused(FailureCause.INVALID, "A call needs a message.");
+			return refused(FailureCause.INVALID, "The request contains no messages.");
 		}
 		if (payload.mode() == HistoryMode.NEW && submission.number().isEmpty()) {
 			return refused(FailureCause.INVALID,
-					"A call that leaves the history to the system needs a program and a number.");
+					"A call that relies on the stored history requires a program and a call number.");
 		}
 		if (payload.messages().size() > configuration().limits().programs().messages()) {
-			return refused(FailureCause.TOO_LARGE, "Too many messages.");
+			return refused(FailureCause.TOO_LARGE, "The request contains too many messages.");
 		}
-		long most = model.get().maximumOutputTokens();
-		int tokens = (int) Math.min(payload.maximumTokens().orElse(DEFAULT_MAXIMUM_TOKENS), most);
+		long limit = model.get().maximumOutputTokens();
+		int tokens = (int) Math.min(payload.maximumTokens().orElse(DEFAULT_MAXIMUM_TOKENS), limit);
 		if (tokens < 1) {
-			return refused(FailureCause.INVALID, "The most tokens to generate must be positive.");
+			return refused(FailureCause.INVALID, "The maximum number of tokens to generate must be positive.");
 		}
-		return Either.right(new CallRequest.ForModel(group, place, submission.key(), contentOf(payload, tokens),
+		return Either.right(new CallRequest.ForModel(group, programCall, submission.key(), contentOf(payload, tokens),
 				payload.model(), payload.mode(), payload.messages(), tokens, payload.parameters(), payload.streamed()));
 	}
 
-	// Whether the answer is streamed is not part of the content: a resend may ask for the
-	// other form.
+	// Streaming is not part of the content digest: a retry may request the other form.
 	private static Digest contentOf(Payload.ForModel payload, int tokens) {
 		Digest digest = Digest.of(payload.model().value())
 			.then(Digest.of(payload.mode().name()))
@@ -172,7 +171,7 @@
 		return digest;
 	}
 
-	private Either<CallFailure, CallRequest> serviceRequest(GroupName group, Optional<ProgramCall> place,
+	private Either<CallFailure, CallRequest> serviceRequest(GroupName group, Optional<ProgramCall> programCall,
 			Submission submission, Payload.ForService payload) {
 		Optional<ServicePolicy> service = configuration().service(payload.service());
 		if (service.isEmpty()) {
@@ -183,7 +182,7 @@
 			.then(Digest.of(message.method()))
 			.then(Digest.of(message.path()))
 			.then(message.body().digest());
-		return Either.right(new CallRequest.ForService(group, place, submission.key(), content, payload.service(),
+		return Either.right(new CallRequest.ForService(group, programCall, submission.key(), content, payload.service(),
 				message, service.get().isRepeatable(message.method(), message.path())));
 	}
 
@@ -191,7 +190,7 @@
 		if (this.draft.log.ledger()
 			.crashCount(request.contentDigest()) >= configuration().limits().faults().crashesBeforeStop()) {
 			return Either.left(CallFailure.mayHaveRun(FailureCause.CRASHES_UPSTREAMS,
-					"The request crashed upstreams before and is not run again."));
+					"The request crashed upstreams before and is not retried."));
 		}
 		Optional<ProgramId> program = request.programCall().map(ProgramCall::program);
 		Optional<ProgramState> ended = program.flatMap(this.draft.log.ledger()::program)
@@ -213,10 +212,10 @@
 	}
 
 	private static Route serviceRoute(CallRequest.ForService call) {
-		Optional<ProgramCall> place = call.programCall().filter((each) -> each.number().isPresent());
-		if (call.idempotencyKey().isEmpty() && place.isPresent() && !call.repeatable()) {
-			return new Route.ForClaim(new CallKey.ForProgramCall(place.get().program(), call.service(),
-					place.get().number().orElseThrow()));
+		Optional<ProgramCall> programCall = call.programCall().filter((each) -> each.number().isPresent());
+		if (call.idempotencyKey().isEmpty() && programCall.isPresent() && !call.repeatable()) {
+			return new Route.ForClaim(new CallKey.ForProgramCall(programCall.get().program(), call.service(),
+					programCall.get().number().orElseThrow()));
 		}
 		return routeByKey(call);
 	}
@@ -228,7 +227,7 @@
 	}
 
 	/**
-	 * Ends a request whose caller has gone.
+	 * Ends a request after its caller disconnected.
 	 * @param ticket the request
 	 */
 	void callerDisconnected(Ticket ticket) {
@@ -277,28 +276,29 @@
 		Either<CallFailure, ProgramState> state = callerOf(caller).flatMap((policy) -> this.draft.log.ledger()
 			.program(new ProgramId(configuration().groupFor(policy, name), name))
 			.<Either<CallFailure, ProgramState>>map(Either::right)
-			.orElseGet(() -> refused(FailureCause.NOT_FOUND, "The program is not known.")));
+			.orElseGet(() -> refused(FailureCause.NOT_FOUND, "The program is unknown.")));
 		if (state.isLeft()) {
 			this.draft.emit(new EntryEffect.Complete(ticket, new CallOutcome.Failed(state.getLeft())));
 		}
 		return state.toJavaOptional();
 	}
 
-	// Shows what the log says, without the messages, since the home cannot be asked.
+	// Sends the state recorded in the log, which has no messages, because the home cannot
+	// be queried.
 	private void sendStateFromLog(Ticket ticket, ProgramId program, ProgramState state) {
 		this.draft.emit(new EntryEffect.SendProgramState(ticket,
 				new ProgramView(program, state.epoch(), state.lastCall(), 0, state.endReason(), List.of())));
 	}
 
 	void stateReceived(LinkMessage.ProgramResponse answer) {
-		Option<Tuple2<Ticket, ProgramRequest>> question = this.draft.programRequests
+		Option<Tuple2<Ticket, ProgramRequest>> request = this.draft.programRequests
 			.find((each) -> each._2() instanceof ProgramRequest.ForState state
 					&& state.attempt().equals(answer.attempt()));
-		if (question.isEmpty()) {
+		if (request.isEmpty()) {
 			return;
 		}
-		Ticket ticket = question.get()._1();
-		ProgramId program = question.get()._2().program();
+		Ticket ticket = request.get()._1();
+		ProgramId program = request.get()._2().program();
 		this.draft.programRequests = this.draft.programRequests.remove(ticket);
 		if (answer.view().isPresent()) {
 			this.draft.emit(new EntryEffect.SendProgramState(ticket, answer.view().get()));
@@ -323,41 +323,41 @@
 	}
 
 	/**
-	 * Answers those who asked for the end of a program.
+	 * Answers all pending requests about a program that ended.
 	 * @param program the program
 	 * @param state its state
 	 */
 	void programEnded(ProgramId program, ProgramState state) {
-		for (Tuple2<Ticket, ProgramRequest> question : this.draft.programRequests) {
-			if (question._2().program().equals(program)) {
-				this.draft.programRequests = this.draft.programRequests.remove(question._1());
-				sendStateFromLog(question._1(), program, state);
+		for (Tuple2<Ticket, ProgramRequest> request : this.draft.programRequests) {
+			if (request._2().program().equals(program)) {
+				this.draft.programRequests = this.draft.programRequests.remove(request._1());
+				sendStateFromLog(request._1(), program, state);
 			}
 		}
 	}
 
 	void expireProgramRequest(Ticket ticket) {
-		Option<ProgramRequest> question = this.draft.programRequests.get(ticket);
-		if (question.isEmpty()) {
+		Option<ProgramRequest> request = this.draft.programRequests.get(ticket);
+		if (request.isEmpty()) {
 			return;
 		}
 		this.draft.programRequests = this.draft.programRequests.remove(ticket);
-		CallFailure failure = switch (question.get()) {
+		CallFailure failure = switch (request.get()) {
 			case ProgramRequest.ForState state ->
-				CallFailure.notRun(FailureCause.NO_UPSTREAM, "The home of the program does not answer.");
-			case ProgramRequest.ForEnd end -> CallFailure.mayHaveRun(FailureCause.LOG_UNAVAILABLE,
-					"The end of the program could not be confirmed by the log.");
+				CallFailure.notRun(FailureCause.NO_UPSTREAM, "The home of the program did not respond.");
+			case ProgramRequest.ForEnd end ->
+				CallFailure.mayHaveRun(FailureCause.LOG_UNAVAILABLE, "The log did not confirm the end of the program.");
 		};
 		this.draft.emit(new EntryEffect.Complete(ticket, new CallOutcome.Failed(failure.retryAfter(RETRY_AFTER))));
 	}
 
 	/**
-	 * The place of a call and the group it is charged to.
+	 * Program of a call and the group that is charged.
 	 *
 	 * @param group the group
-	 * @param call the place in a program, if it belongs to one
+	 * @param programCall the program call, if the call belongs to a program
 	 */
-	private record PlaceInGroup(Optional<GroupName> group, Optional<ProgramCall> call) {
+	private record GroupAssignment(Optional<GroupName> group, Optional<ProgramCall> programCall) {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryEvent.java
@@ -11,8 +11,8 @@
 import io.lentilslip.core.role.NodeEvent;
 
 /**
- * An event in the life of an entry. Implementations are immutable and safe for use by
- * several threads.
+ * Input event of an entry. Implementations are immutable and safe for use by several
+ * threads.
  */
 public sealed interface EntryEvent {
 
@@ -23,9 +23,9 @@
 	Instant now();
 
 	/**
-	 * Something was learned of the log service.
+	 * An event of the log service was received.
 	 *
-	 * @param event what was learned
+	 * @param event the log event
 	 */
 	record LogEventReceived(LogEvent event) implements EntryEvent {
 
@@ -37,9 +37,9 @@
 	}
 
 	/**
-	 * Something happened that happens to a process of any role.
+	 * An event common to processes of all roles was received.
 	 *
-	 * @param event what happened
+	 * @param event the event
 	 */
 	record NodeEventReceived(NodeEvent event) implements EntryEvent {
 
@@ -51,78 +51,78 @@
 	}
 
 	/**
-	 * A caller sent a request.
+	 * A request was received from a caller.
 	 *
 	 * @param ticket the request
-	 * @param submission what it says
-	 * @param now the time of the event, by a clock of this process that never goes back
-	 * @param seed a random number for the decisions that follow
+	 * @param submission the request's content
+	 * @param now the time of the event, by a monotonic clock of this process
+	 * @param seed a random seed for the resulting decisions
 	 */
 	record CallArrived(Ticket ticket, Submission submission, Instant now, long seed) implements EntryEvent {
 
 	}
 
 	/**
-	 * The caller gave its request up.
+	 * The caller disconnected before its request was completed.
 	 *
 	 * @param ticket the request
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record CallerDisconnected(Ticket ticket, Instant now) implements EntryEvent {
 
 	}
 
 	/**
-	 * A caller asks for the state of a program.
+	 * A caller requested the state of a program.
 	 *
 	 * @param ticket the request
 	 * @param caller the digest of the key that the caller showed
 	 * @param program the program
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record ProgramStateRequested(Ticket ticket, Digest caller, ProgramName program, Instant now) implements EntryEvent {
 
 	}
 
 	/**
-	 * A caller ends a program.
+	 * A caller requested the end of a program.
 	 *
 	 * @param ticket the request
 	 * @param caller the digest of the key that the caller showed
 	 * @param program the program
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record ProgramEndRequested(Ticket ticket, Digest caller, ProgramName program, Instant now) implements EntryEvent {
 
 	}
 
 	/**
-	 * A link to a sidecar opened.
+	 * A link to a sidecar was opened.
 	 *
 	 * @param vm the VM of the sidecar, as configured
-	 * @param sidecar the process that answered
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param sidecar the process at the other end
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record SidecarLinked(VmName vm, ProcessId sidecar, Instant now) implements EntryEvent {
 
 	}
 
 	/**
-	 * A link to a sidecar ended, or could not be opened.
+	 * A link to a sidecar was closed or could not be opened.
 	 *
 	 * @param vm the VM of the sidecar
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record SidecarUnlinked(VmName vm, Instant now) implements EntryEvent {
 
 	}
 
 	/**
-	 * A sidecar sent a message.
+	 * A message was received from a sidecar.
 	 *
 	 * @param sidecar the sidecar
 	 * @param message the message
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record SidecarMessageReceived(ProcessId sidecar, LinkMessage.FromSidecar message,
 			Instant now) implements EntryEvent {
@@ -130,11 +130,11 @@
 	}
 
 	/**
-	 * A message was surely not sent, since no link to its receiver was open.
+	 * A message was not sent because no link to its receiver was open.
 	 *
 	 * @param sidecar the receiver
 	 * @param message the message
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event, by a monotonic clock of this process
 	 */
 	record SendRefused(ProcessId sidecar, LinkMessage.ToSidecar message, Instant now) implements EntryEvent {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryReducer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/EntryReducer.java
@@ -5,7 +5,7 @@
 import io.lentilslip.core.role.NodeEvent;
 
 /**
- * All decisions of an entry. Safe for use by several threads.
+ * Reducer that makes all decisions of an entry. Safe for use by several threads.
  */
 public final class EntryReducer implements Reducer<EntryState, EntryEvent, EntryEffect> {
 
@@ -25,11 +25,11 @@
 		return draft.toStep();
 	}
 
-	// Events without a seed of their own take the time: it only spreads choices.
+	// The time suffices as seed of other events: the seed only randomizes placement.
 	private static long seedOf(EntryEvent event) {
 		return switch (event) {
 			case EntryEvent.CallArrived arrived -> arrived.seed();
-			case EntryEvent.NodeEventReceived spoke when spoke.event() instanceof NodeEvent.Ticked ticked ->
+			case EntryEvent.NodeEventReceived received when received.event() instanceof NodeEvent.Ticked ticked ->
 				ticked.seed();
 			default -> event.now().getNano();
 		};
@@ -39,15 +39,15 @@
 		SidecarRules sidecars = new SidecarRules(draft, routes);
 		CallerRules callers = new CallerRules(draft);
 		switch (event) {
-			case EntryEvent.LogEventReceived spoke -> new LedgerRules(draft, routes).handle(spoke.event());
-			case EntryEvent.NodeEventReceived spoke -> new NodeRules(draft, routes).handle(spoke.event());
+			case EntryEvent.LogEventReceived received -> new LedgerRules(draft, routes).handle(received.event());
+			case EntryEvent.NodeEventReceived received -> new NodeRules(draft, routes).handle(received.event());
 			case EntryEvent.CallArrived arrived -> callers.callArrived(arrived, arrived.seed());
-			case EntryEvent.CallerDisconnected gone -> callers.callerDisconnected(gone.ticket());
-			case EntryEvent.ProgramStateRequested asked -> callers.stateRequested(asked);
-			case EntryEvent.ProgramEndRequested asked -> callers.endRequested(asked);
+			case EntryEvent.CallerDisconnected disconnected -> callers.callerDisconnected(disconnected.ticket());
+			case EntryEvent.ProgramStateRequested requested -> callers.stateRequested(requested);
+			case EntryEvent.ProgramEndRequested requested -> callers.endRequested(requested);
 			case EntryEvent.SidecarLinked linked -> sidecars.linked(linked);
 			case EntryEvent.SidecarUnlinked unlinked -> sidecars.unlinked(unlinked);
-			case EntryEvent.SidecarMessageReceived spoke -> sidecars.messageReceived(spoke);
+			case EntryEvent.SidecarMessageReceived received -> sidecars.messageReceived(received);
 			case EntryEvent.SendRefused refused -> sidecars.sendRefused(refused);
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/NodeRules.java
@@ -15,8 +15,8 @@
 import io.lentilslip.core.role.TimerQueue;
 
 /**
- * The rules for time, configuration, membership and the end of the process. Confined to
- * one application of the reducer.
+ * Rules for timers, configuration, membership and shutdown. Confined to one application
+ * of the reducer.
  */
 final class NodeRules {
 
@@ -44,7 +44,7 @@
 	}
 
 	private void accept(NodeEvent.ConfigurationAccepted event) {
-		if (this.draft.activeConfiguration.filter((setup) -> setup.version() >= event.version()).isPresent()) {
+		if (this.draft.activeConfiguration.filter((active) -> active.version() >= event.version()).isPresent()) {
 			return;
 		}
 		Configuration configuration = event.configuration();
@@ -81,9 +81,9 @@
 
 	private void vmListRead(NodeEvent.VmListRead event) {
 		for (Peer peer : this.draft.peers.values()) {
-			boolean leaving = event.draining().contains(peer.policy().vm());
-			if (leaving != peer.listedLeaving()) {
-				this.draft.put(peer.listedAsLeaving(leaving));
+			boolean draining = event.draining().contains(peer.policy().vm());
+			if (draining != peer.listedDraining()) {
+				this.draft.put(peer.withListedDraining(draining));
 			}
 		}
 	}
@@ -95,16 +95,16 @@
 		measure();
 	}
 
-	private void fire(Timer duty) {
-		switch (duty) {
-			case Timer.CallDeadline giveUp -> this.routes.expireCall(giveUp.ticket());
-			case Timer.RouteRetry look -> this.routes.reroute(look.ticket());
-			case Timer.ClaimRetry again -> this.routes.retryClaim(again.route(), again.record());
-			case Timer.ClaimTimeout giveUp -> this.routes.expireClaim(giveUp.route(), giveUp.claim());
-			case Timer.SliceRetry again -> this.budgets.retryAppend(again.record());
-			case Timer.SliceTimeout giveUp -> this.budgets.expireSliceWait(giveUp.ticket());
-			case Timer.ProgramRequestTimeout giveUp ->
-				new CallerRules(this.draft).expireProgramRequest(giveUp.ticket());
+	private void fire(Timer timer) {
+		switch (timer) {
+			case Timer.CallDeadline deadline -> this.routes.expireCall(deadline.ticket());
+			case Timer.RouteRetry retry -> this.routes.reroute(retry.ticket());
+			case Timer.ClaimRetry retry -> this.routes.retryClaim(retry.route(), retry.record());
+			case Timer.ClaimTimeout timeout -> this.routes.expireClaim(timeout.route(), timeout.claim());
+			case Timer.SliceRetry retry -> this.budgets.retryAppend(retry.record());
+			case Timer.SliceTimeout timeout -> this.budgets.expireSliceWait(timeout.ticket());
+			case Timer.ProgramRequestTimeout timeout ->
+				new CallerRules(this.draft).expireProgramRequest(timeout.ticket());
 		}
 	}
 
@@ -139,7 +139,7 @@
 	}
 
 	/**
-	 * Ends the process once every caller has its answer.
+	 * Stops a process that is shutting down once all requests are answered.
 	 */
 	void stopIfDone() {
 		if (!this.draft.stopping || this.draft.stopped || !this.draft.calls.isEmpty()
--- a/lentilslip-core/src/main/java/io/lentilslip/core/entry/Payload.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/entry/Payload.java
@@ -9,20 +9,20 @@
 import io.lentilslip.core.identity.ServiceName;
 
 /**
- * What a caller asks for, before its group is known. Implementations are immutable and
- * safe for use by several threads.
+ * Content of a caller's request before its group is resolved. Implementations are
+ * immutable and safe for use by several threads.
  */
 public sealed interface Payload {
 
 	/**
-	 * A call of a model.
+	 * A model call.
 	 *
 	 * @param model the model
 	 * @param mode how the messages relate to the history
-	 * @param messages the messages, each a JSON object in canonical text
-	 * @param maximumTokens the most tokens to generate, if the caller set it
-	 * @param parameters the further fields of the request, a JSON object
-	 * @param streamed whether the caller wants the answer as it is generated
+	 * @param messages the messages, each a JSON object in canonical form
+	 * @param maximumTokens the maximum number of tokens to generate, if the caller set it
+	 * @param parameters the other fields of the request, a JSON object
+	 * @param streamed whether the caller requested streaming
 	 */
 	record ForModel(ModelName model, HistoryMode mode, List<String> messages, Optional<Integer> maximumTokens,
 			String parameters, boolean streamed) implements Payload {
@@ -31,10 +31,11 @@
 		 * Creates a value.
 		 * @param model the model
 		 * @param mode how the messages relate to the history
-		 * @param messages the messages, each a JSON object in canonical text
-		 * @param maximumTokens the most tokens to generate, if the caller set it
-		 * @param parameters the further fields of the request, a JSON object
-		 * @param streamed whether the caller wants the answer as it is generated
+		 * @param messages the messages, each a JSON object in canonical form
+		 * @param maximumTokens the maximum number of tokens to generate, if the caller
+		 * set it
+		 * @param parameters the other fields of the request, a JSON object
+		 * @param streamed whether the caller requested streaming
 		 */
 		public ForModel {
 			messages = List.copyOf(messages);
@@ -43,10 +44,10 @@
 	}
 
 	/**
-	 * A call of a plain service.
+	 * A service call.
 	 *
 	 * @param service the service
-	 * @param message the HTTP request to pass on
+	 * @param message the HTTP request to forward
 	 */
 	record ForService(ServiceName service, ServiceRequest message) implements Payload {
 
