--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/Backlog.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/Backlog.java
@@ -12,9 +12,8 @@
 import io.vavr.collection.TreeSet;
 
 /**
- * The lines that waiting calls stand in. Each operation takes time logarithmic in the
- * number of calls and groups. Implementations are immutable and safe for use by several
- * threads.
+ * Immutable queue of waiting calls in their order of service. Each operation takes time
+ * logarithmic in the number of calls and groups. Implementations are thread-safe.
  *
  * @param <K> the type of the calls' identities
  * @param <T> the type of the calls
@@ -27,13 +26,13 @@
 	 * @param <T> the type of the calls
 	 * @param ordering the order of service
 	 * @param shares the shares of groups
-	 * @return a backlog that no call waits in
+	 * @return a backlog without calls
 	 */
 	static <K, T> Backlog<K, T> of(Ordering ordering, Shares shares) {
 		return switch (ordering) {
-			case Ordering.FairShare fair -> GroupLinesBacklog.empty(fair, shares);
-			case Ordering.FirstComeFirstServed firstCome -> new SingleLine<>(TreeMap.empty());
-			case Ordering.ProgramFirstCome programFirstCome -> new SingleLine<>(TreeMap.empty());
+			case Ordering.FairShare fair -> FairShareQueues.empty(fair, shares);
+			case Ordering.FirstComeFirstServed firstCome -> new SingleQueue<>(TreeMap.empty());
+			case Ordering.ProgramFirstCome programFirstCome -> new SingleQueue<>(TreeMap.empty());
 		};
 	}
 
@@ -45,14 +44,15 @@
 	Backlog<K, T> with(QueuedCall<K, T> call);
 
 	/**
-	 * Returns this backlog after a call left it without service.
+	 * Returns this backlog without a call that was not served.
 	 * @param call the call
 	 * @return a backlog without the call
 	 */
 	Backlog<K, T> without(QueuedCall<K, T> call);
 
 	/**
-	 * Returns this backlog after a call left it for service, charged by its estimate.
+	 * Returns this backlog without a call that is served, after charging its estimated
+	 * cost to its group.
 	 * @param call the call
 	 * @return a backlog without the call
 	 */
@@ -60,57 +60,56 @@
 
 	/**
 	 * Returns the call to be served next.
-	 * @return the call, empty only if no call waits
+	 * @return the call, or an empty result if no call waits
 	 */
 	Optional<QueuedCall<K, T>> next();
 
 	/**
-	 * Returns the waiting call that has to give way to a new one when there is room for
-	 * no more.
+	 * Returns the waiting call to evict for a new one when the queue is full.
 	 * @param newcomer the group of the new call
-	 * @return the call to displace, or an empty result if the new one has to go
+	 * @return the call to evict, or an empty result if the new one is to be rejected
 	 */
 	Optional<QueuedCall<K, T>> findEviction(GroupName newcomer);
 
 	/**
 	 * Estimates how many of the waiting calls are served before a new one.
 	 * @param newcomer the group of the new call
-	 * @return the number of calls, if they all cost the same
+	 * @return the number of calls, assuming equal costs
 	 */
 	long callsAheadOf(GroupName newcomer);
 
 	/**
-	 * Returns this backlog after a group got service.
+	 * Returns this backlog after charging service to a group.
 	 * @param group the group
-	 * @param cost the service, negative to take some back
-	 * @return a backlog that counts the service
+	 * @param cost the cost of the service, negative for a refund
+	 * @return the charged backlog
 	 */
 	Backlog<K, T> charged(GroupName group, long cost);
 
 	/**
-	 * Returns this backlog with other shares, which count for service from now on.
+	 * Returns this backlog with other shares, which apply to service from now on.
 	 * @param shares the shares of groups
 	 * @return a backlog with the shares
 	 */
 	Backlog<K, T> withShares(Shares shares);
 
 	/**
-	 * A backlog in one line, whatever the groups of the calls.
+	 * Backlog in a single queue for the calls of all groups.
 	 *
 	 * @param <K> the type of the calls' identities
 	 * @param <T> the type of the calls
-	 * @param line the calls in their order
+	 * @param calls the calls in their order of service
 	 */
-	record SingleLine<K, T>(SortedMap<QueuePosition, QueuedCall<K, T>> line) implements Backlog<K, T> {
+	record SingleQueue<K, T>(SortedMap<QueuePosition, QueuedCall<K, T>> calls) implements Backlog<K, T> {
 
 		@Override
 		public Backlog<K, T> with(QueuedCall<K, T> call) {
-			return new SingleLine<>(this.line.put(call.position(), call));
+			return new SingleQueue<>(this.calls.put(call.position(), call));
 		}
 
 		@Override
 		public Backlog<K, T> without(QueuedCall<K, T> call) {
-			return new SingleLine<>(this.line.remove(call.position()));
+			return new SingleQueue<>(this.calls.remove(call.position()));
 		}
 
 		@Override
@@ -120,7 +119,7 @@
 
 		@Override
 		public Optional<QueuedCall<K, T>> next() {
-			return this.line.headOption().map(Tuple2::_2).toJavaOptional();
+			return this.calls.headOption().map(Tuple2::_2).toJavaOptional();
 		}
 
 		@Override
@@ -130,7 +129,7 @@
 
 		@Override
 		public long callsAheadOf(GroupName newcomer) {
-			return this.line.size();
+			return this.calls.size();
 		}
 
 		@Override
@@ -146,98 +145,98 @@
 	}
 
 	/**
-	 * A backlog with lines for each group and class. A group's counter grows by the
-	 * service it gets divided by its share; the group with the least counter goes first.
-	 * The counter of a group that comes back after it was idle is lifted to the least one
-	 * of the groups that wait: else the group would have saved up credit without bound,
-	 * and the others would get nothing until it is used up.
+	 * Backlog with a queue for each group and service class, scheduled by weighted fair
+	 * queueing. The normalized service of a group is the service it received divided by
+	 * its share; the group with the least is served first. When an idle group becomes
+	 * backlogged, its normalized service is raised to the least among the backlogged
+	 * groups. Otherwise a long idle group would accumulate credit without bound and
+	 * starve the others.
 	 *
 	 * @param <K> the type of the calls' identities
 	 * @param <T> the type of the calls
 	 * @param ordering the order within a group
 	 * @param shares the shares of groups
-	 * @param groups the groups that wait or have been served
-	 * @param turns the groups that wait, in the order of their counters
-	 * @param loads the groups that wait, in the order of their waiting calls for their
+	 * @param groups the queues of groups that are backlogged or have been served
+	 * @param serviceOrder the backlogged groups in their order of service
+	 * @param loadOrder the backlogged groups in the order of their waiting calls per
 	 * share
-	 * @param waitingShares the sum of the shares of the groups that wait
-	 * @param idleCounter the counter of the group that was the last to wait when none did
-	 * any more
-	 * @param services the number of calls served
+	 * @param backloggedShares the sum of the shares of the backlogged groups
+	 * @param idleVirtualTime the normalized service of the group that was backlogged last
+	 * before the backlog became empty
+	 * @param servedCalls the number of calls served
 	 */
-	record GroupLinesBacklog<K, T>(Ordering.FairShare ordering, Shares shares, Map<GroupName, GroupQueues<K, T>> groups,
+	record FairShareQueues<K, T>(Ordering.FairShare ordering, Shares shares, Map<GroupName, GroupQueues<K, T>> groups,
 			SortedSet<GroupRank> serviceOrder, SortedSet<GroupLoad> loadOrder, long backloggedShares,
 			double idleVirtualTime, long servedCalls) implements Backlog<K, T> {
 
 		private static <K, T> Backlog<K, T> empty(Ordering.FairShare ordering, Shares shares) {
-			return new GroupLinesBacklog<>(ordering, shares, HashMap.empty(), TreeSet.empty(), TreeSet.empty(), 0, 0,
-					0);
+			return new FairShareQueues<>(ordering, shares, HashMap.empty(), TreeSet.empty(), TreeSet.empty(), 0, 0, 0);
 		}
 
 		@Override
 		public Backlog<K, T> with(QueuedCall<K, T> call) {
-			GroupQueues<K, T> lines = queuesOf(call.group());
-			return replace(lines, lines.raisedTo(virtualTime()).with(call));
+			GroupQueues<K, T> queues = queuesOf(call.group());
+			return replace(queues, queues.raisedTo(virtualTime()).with(call));
 		}
 
 		@Override
 		public Backlog<K, T> without(QueuedCall<K, T> call) {
-			GroupQueues<K, T> lines = queuesOf(call.group());
-			return replace(lines, lines.without(call));
+			GroupQueues<K, T> queues = queuesOf(call.group());
+			return replace(queues, queues.without(call));
 		}
 
 		@Override
 		public Backlog<K, T> served(QueuedCall<K, T> call) {
-			GroupQueues<K, T> lines = queuesOf(call.group());
-			long service = this.servedCalls + 1;
+			GroupQueues<K, T> queues = queuesOf(call.group());
+			long serviceNumber = this.servedCalls + 1;
 			long cost = call.entry().estimatedCost();
-			GroupQueues<K, T> served = lines.served(call, this.ordering)
-				.charged(weighted(call.group(), cost))
-				.servedAt(service);
-			return replace(lines, served).withServedCalls(service);
+			GroupQueues<K, T> served = queues.served(call, this.ordering)
+				.charged(normalizedCost(call.group(), cost))
+				.servedAt(serviceNumber);
+			return replace(queues, served).withServedCalls(serviceNumber);
 		}
 
 		@Override
 		public Optional<QueuedCall<K, T>> next() {
-			return this.serviceOrder.headOption().toJavaOptional().flatMap((turn) -> queuesOf(turn.group()).next());
+			return this.serviceOrder.headOption().toJavaOptional().flatMap((rank) -> queuesOf(rank.group()).next());
 		}
 
 		@Override
 		public Optional<QueuedCall<K, T>> findEviction(GroupName newcomer) {
-			double after = GroupLoad.callsPerShare(newcomer, queuesOf(newcomer).size() + 1, this.shares);
+			double newLoad = GroupLoad.callsPerShare(newcomer, queuesOf(newcomer).size() + 1, this.shares);
 			return this.loadOrder.lastOption()
 				.toJavaOptional()
-				.filter((most) -> most.callsPerShare() > after)
-				.flatMap((most) -> queuesOf(most.group()).last());
+				.filter((highest) -> highest.callsPerShare() > newLoad)
+				.flatMap((highest) -> queuesOf(highest.group()).last());
 		}
 
-		// While the group gets one call more than it has waiting, each other group gets
-		// as much for its share.
+		// Until the new call is served, each other backlogged group receives service
+		// in proportion to its share.
 		@Override
 		public long callsAheadOf(GroupName newcomer) {
 			long share = this.shares.of(newcomer);
-			int own = queuesOf(newcomer).size();
-			long otherShares = this.backloggedShares - ((own > 0) ? share : 0);
-			return own + Math.ceilDiv((own + 1) * otherShares, share);
+			int ownCalls = queuesOf(newcomer).size();
+			long otherShares = this.backloggedShares - ((ownCalls > 0) ? share : 0);
+			return ownCalls + Math.ceilDiv((ownCalls + 1) * otherShares, share);
 		}
 
 		@Override
 		public Backlog<K, T> charged(GroupName group, long cost) {
-			GroupQueues<K, T> lines = queuesOf(group);
-			return replace(lines, lines.charged(weighted(group, cost)));
+			GroupQueues<K, T> queues = queuesOf(group);
+			return replace(queues, queues.charged(normalizedCost(group, cost)));
 		}
 
 		@Override
 		public Backlog<K, T> withShares(Shares changed) {
 			SortedSet<GroupLoad> changedLoads = TreeSet.empty();
 			long changedSum = 0;
-			for (GroupRank turn : this.serviceOrder) {
-				changedLoads = changedLoads.add(GroupLoad.of(queuesOf(turn.group()), changed));
-				changedSum += changed.of(turn.group());
+			for (GroupRank rank : this.serviceOrder) {
+				changedLoads = changedLoads.add(GroupLoad.of(queuesOf(rank.group()), changed));
+				changedSum += changed.of(rank.group());
 			}
 			Map<GroupName, GroupQueues<K, T>> kept = this.groups
-				.filter((group, lines) -> lines.size() > 0 || changed.contains(group));
-			return new GroupLinesBacklog<>(this.ordering, changed, kept, this.serviceOrder, changedLoads, changedSum,
+				.filter((group, queues) -> queues.size() > 0 || changed.contains(group));
+			return new FairShareQueues<>(this.ordering, changed, kept, this.serviceOrder, changedLoads, changedSum,
 					this.idleVirtualTime, this.servedCalls);
 		}
 
@@ -249,55 +248,55 @@
 			return this.serviceOrder.isEmpty() ? this.idleVirtualTime : this.serviceOrder.head().normalizedService();
 		}
 
-		private double weighted(GroupName group, long cost) {
+		private double normalizedCost(GroupName group, long cost) {
 			return (double) cost / this.shares.of(group);
 		}
 
-		private GroupLinesBacklog<K, T> withServedCalls(long count) {
-			return new GroupLinesBacklog<>(this.ordering, this.shares, this.groups, this.serviceOrder, this.loadOrder,
+		private FairShareQueues<K, T> withServedCalls(long count) {
+			return new FairShareQueues<>(this.ordering, this.shares, this.groups, this.serviceOrder, this.loadOrder,
 					this.backloggedShares, this.idleVirtualTime, count);
 		}
 
-		private GroupLinesBacklog<K, T> replace(GroupQueues<K, T> before, GroupQueues<K, T> after) {
-			SortedSet<GroupRank> changedTurns = this.serviceOrder;
+		private FairShareQueues<K, T> replace(GroupQueues<K, T> before, GroupQueues<K, T> after) {
+			SortedSet<GroupRank> changedOrder = this.serviceOrder;
 			SortedSet<GroupLoad> changedLoads = this.loadOrder;
 			long changedSum = this.backloggedShares;
 			if (before.size() > 0) {
-				changedTurns = changedTurns.remove(before.rank());
+				changedOrder = changedOrder.remove(before.rank());
 				changedLoads = changedLoads.remove(GroupLoad.of(before, this.shares));
 				changedSum -= this.shares.of(before.group());
 			}
 			if (after.size() > 0) {
-				changedTurns = changedTurns.add(after.rank());
+				changedOrder = changedOrder.add(after.rank());
 				changedLoads = changedLoads.add(GroupLoad.of(after, this.shares));
 				changedSum += this.shares.of(after.group());
 			}
-			boolean becameIdle = changedTurns.isEmpty() && !this.serviceOrder.isEmpty();
-			return new GroupLinesBacklog<>(this.ordering, this.shares, this.groups.put(after.group(), after),
-					changedTurns, changedLoads, changedSum,
+			boolean becameIdle = changedOrder.isEmpty() && !this.serviceOrder.isEmpty();
+			return new FairShareQueues<>(this.ordering, this.shares, this.groups.put(after.group(), after),
+					changedOrder, changedLoads, changedSum,
 					becameIdle ? after.normalizedService() : this.idleVirtualTime, this.servedCalls);
 		}
 
 	}
 
 	/**
-	 * The lines of one group.
+	 * Queues of one group.
 	 *
 	 * @param <K> the type of the calls' identities
 	 * @param <T> the type of the calls
 	 * @param group the group
-	 * @param counter the service it got, divided by its share
-	 * @param lastService the number of its last call that was served
+	 * @param normalizedService the service it received, divided by its share
+	 * @param lastService the number of its call that was served last
 	 * @param interactive its interactive calls in their order
 	 * @param background its background calls in their order
-	 * @param backgroundDue the service that its background calls are due
+	 * @param backgroundCredit the service reserved for its background calls
 	 */
 	record GroupQueues<K, T>(GroupName group, double normalizedService, long lastService,
 			SortedMap<QueuePosition, QueuedCall<K, T>> interactive,
 			SortedMap<QueuePosition, QueuedCall<K, T>> background, double backgroundCredit) {
 
-		private static <K, T> GroupQueues<K, T> idle(GroupName group, double counter) {
-			return new GroupQueues<>(group, counter, 0, TreeMap.empty(), TreeMap.empty(), 0);
+		private static <K, T> GroupQueues<K, T> idle(GroupName group, double virtualTime) {
+			return new GroupQueues<>(group, virtualTime, 0, TreeMap.empty(), TreeMap.empty(), 0);
 		}
 
 		private int size() {
@@ -308,15 +307,15 @@
 			return new GroupRank(this.normalizedService, this.lastService, this.group);
 		}
 
-		private GroupQueues<K, T> raisedTo(double least) {
-			if (size() > 0 || this.normalizedService >= least) {
+		private GroupQueues<K, T> raisedTo(double minimum) {
+			if (size() > 0 || this.normalizedService >= minimum) {
 				return this;
 			}
-			return withNormalizedService(least);
+			return withNormalizedService(minimum);
 		}
 
-		private GroupQueues<K, T> charged(double weightedCost) {
-			return withNormalizedService(this.normalizedService + weightedCost);
+		private GroupQueues<K, T> charged(double normalizedCost) {
+			return withNormalizedService(this.normalizedService + normalizedCost);
 		}
 
 		private GroupQueues<K, T> withNormalizedService(double changed) {
@@ -324,9 +323,9 @@
 					this.backgroundCredit);
 		}
 
-		private GroupQueues<K, T> servedAt(long service) {
-			return new GroupQueues<>(this.group, this.normalizedService, service, this.interactive, this.background,
-					this.backgroundCredit);
+		private GroupQueues<K, T> servedAt(long serviceNumber) {
+			return new GroupQueues<>(this.group, this.normalizedService, serviceNumber, this.interactive,
+					this.background, this.backgroundCredit);
 		}
 
 		private GroupQueues<K, T> with(QueuedCall<K, T> call) {
@@ -343,13 +342,12 @@
 			return withQueues(this.interactive, this.background.remove(call.position()));
 		}
 
-		// Background calls are due nothing while none of them waits: they save up no
-		// credit either.
+		// Background calls accumulate no credit while none is waiting.
 		private GroupQueues<K, T> withQueues(SortedMap<QueuePosition, QueuedCall<K, T>> changedInteractive,
 				SortedMap<QueuePosition, QueuedCall<K, T>> changedBackground) {
-			double due = changedBackground.isEmpty() ? 0 : this.backgroundCredit;
+			double credit = changedBackground.isEmpty() ? 0 : this.backgroundCredit;
 			return new GroupQueues<>(this.group, this.normalizedService, this.lastService, changedInteractive,
-					changedBackground, due);
+					changedBackground, credit);
 		}
 
 		private GroupQueues<K, T> served(QueuedCall<K, T> call, Ordering.FairShare ordering) {
@@ -364,48 +362,49 @@
 			return Math.max(0, this.backgroundCredit - cost);
 		}
 
-		private GroupQueues<K, T> withBackgroundCredit(double due) {
+		private GroupQueues<K, T> withBackgroundCredit(double credit) {
 			return new GroupQueues<>(this.group, this.normalizedService, this.lastService, this.interactive,
-					this.background, due);
+					this.background, credit);
 		}
 
 		private Optional<QueuedCall<K, T>> next() {
-			Optional<QueuedCall<K, T>> urgent = head(this.interactive);
-			Optional<QueuedCall<K, T>> patient = head(this.background);
-			if (urgent.isEmpty()
-					|| patient.filter((call) -> call.entry().estimatedCost() <= this.backgroundCredit).isPresent()) {
-				return patient;
+			Optional<QueuedCall<K, T>> interactiveCall = head(this.interactive);
+			Optional<QueuedCall<K, T>> backgroundCall = head(this.background);
+			if (interactiveCall.isEmpty()
+					|| backgroundCall.filter((call) -> call.entry().estimatedCost() <= this.backgroundCredit)
+						.isPresent()) {
+				return backgroundCall;
 			}
-			return urgent;
+			return interactiveCall;
 		}
 
 		private Optional<QueuedCall<K, T>> last() {
-			SortedMap<QueuePosition, QueuedCall<K, T>> line = this.background.isEmpty() ? this.interactive
+			SortedMap<QueuePosition, QueuedCall<K, T>> queue = this.background.isEmpty() ? this.interactive
 					: this.background;
-			return line.lastOption().map(Tuple2::_2).toJavaOptional();
+			return queue.lastOption().map(Tuple2::_2).toJavaOptional();
 		}
 
-		private static <K, T> Optional<QueuedCall<K, T>> head(SortedMap<QueuePosition, QueuedCall<K, T>> line) {
-			return line.headOption().map(Tuple2::_2).toJavaOptional();
+		private static <K, T> Optional<QueuedCall<K, T>> head(SortedMap<QueuePosition, QueuedCall<K, T>> queue) {
+			return queue.headOption().map(Tuple2::_2).toJavaOptional();
 		}
 
 	}
 
 	/**
-	 * The place of a group in the order of service. Of two groups with one counter, the
-	 * one that was served longer ago goes first.
+	 * Position of a group in the order of service. Of two groups with equal normalized
+	 * service, the least recently served one precedes.
 	 *
-	 * @param counter the service the group got, divided by its share
-	 * @param lastService the number of its last call that was served
+	 * @param normalizedService the service the group received, divided by its share
+	 * @param lastService the number of its call that was served last
 	 * @param group the group
 	 */
 	record GroupRank(double normalizedService, long lastService, GroupName group) implements Comparable<GroupRank> {
 
 		@Override
 		public int compareTo(GroupRank other) {
-			int byCounter = Double.compare(this.normalizedService, other.normalizedService);
-			if (byCounter != 0) {
-				return byCounter;
+			int byNormalizedService = Double.compare(this.normalizedService, other.normalizedService);
+			if (byNormalizedService != 0) {
+				return byNormalizedService;
 			}
 			int byService = Long.compare(this.lastService, other.lastService);
 			return (byService != 0) ? byService : this.group.compareTo(other.group);
@@ -414,15 +413,15 @@
 	}
 
 	/**
-	 * The place of a group in the order of load.
+	 * Position of a group in the order of load.
 	 *
-	 * @param callsForShare its waiting calls, divided by its share
+	 * @param callsPerShare its waiting calls, divided by its share
 	 * @param group the group
 	 */
 	record GroupLoad(double callsPerShare, GroupName group) implements Comparable<GroupLoad> {
 
-		private static GroupLoad of(GroupQueues<?, ?> lines, Shares shares) {
-			return new GroupLoad(callsPerShare(lines.group(), lines.size(), shares), lines.group());
+		private static GroupLoad of(GroupQueues<?, ?> queues, Shares shares) {
+			return new GroupLoad(callsPerShare(queues.group(), queues.size(), shares), queues.group());
 		}
 
 		private static double callsPerShare(GroupName group, int calls, Shares shares) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/FairQueue.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/FairQueue.java
@@ -15,11 +15,10 @@
 import io.vavr.collection.TreeMap;
 
 /**
- * A queue of the calls that wait for one upstream. It never holds more calls than its
- * bounds allow, and {@link #poll} finds a call as long as one waits whose deadline has
- * not passed. Each operation takes time logarithmic in the number of calls and groups; a
- * change of shares takes time linear in the groups. Immutable and safe for use by several
- * threads if the payloads are.
+ * Immutable queue of the calls waiting for one upstream. It never accepts more calls than
+ * its bounds allow, and {@link #poll} returns a call whenever a waiting one has not
+ * expired. Each operation takes time logarithmic in the number of calls and groups; a
+ * change of shares takes time linear in the groups. Thread-safe if the payloads are.
  *
  * @param <K> the type of the calls' identities
  * @param <T> the type of the calls' payloads
@@ -61,8 +60,8 @@
 	 * @param <T> the type of the calls' payloads
 	 * @param ordering the order of service
 	 * @param shares the shares of groups
-	 * @param bounds what the queue may hold at most
-	 * @return a queue in which no call waits
+	 * @param bounds the bounds of the queue
+	 * @return an empty queue
 	 */
 	public static <K, T> FairQueue<K, T> create(Ordering ordering, Shares shares, QueueBounds bounds) {
 		return new FairQueue<>(ordering, bounds, HashMap.empty(), TreeMap.empty(), HashMap.empty(),
@@ -70,16 +69,15 @@
 	}
 
 	/**
-	 * Offers a call. When the queue holds as many calls as it may in all, a call of a
-	 * group that has fewer waiting for its share than another displaces the last call of
-	 * that other group.
+	 * Offers a call. If the queue is full, a call of a group with fewer waiting calls per
+	 * share than another evicts the last call of the group with the most.
 	 * @param entry the call
-	 * @return whether it was queued, and which call it displaced
-	 * @throws IllegalArgumentException if a call with this identity waits already
+	 * @return whether it was queued, and which call it evicted
+	 * @throws IllegalArgumentException if a call with this identity is already queued
 	 */
 	public OfferResult<K, T> offer(Entry<K, T> entry) {
 		if (this.callsById.containsKey(entry.id())) {
-			throw new IllegalArgumentException("waits already: " + entry.id());
+			throw new IllegalArgumentException("call is already queued: " + entry.id());
 		}
 		if (size(entry.group()) >= this.bounds.of(entry.group())) {
 			return new OfferResult.Rejected<>(Bound.GROUP_CALLS);
@@ -88,16 +86,16 @@
 			return new OfferResult.Queued<>(with(entry), Optional.empty());
 		}
 		return this.backlog.findEviction(entry.group())
-			.<OfferResult<K, T>>map((displaced) -> new OfferResult.Queued<>(without(displaced).with(entry),
-					Optional.of(displaced.entry())))
+			.<OfferResult<K, T>>map(
+					(evicted) -> new OfferResult.Queued<>(without(evicted).with(entry), Optional.of(evicted.entry())))
 			.orElseGet(() -> new OfferResult.Rejected<>(Bound.TOTAL_CALLS));
 	}
 
 	/**
-	 * Takes out the call to be served next and charges its estimated cost. Calls whose
-	 * deadline has passed are taken out first: they are never served.
+	 * Removes the call to be served next and charges its estimated cost. Expired calls
+	 * are removed first and never served.
 	 * @param now the time
-	 * @return the call, if one waits, and those whose deadline has passed
+	 * @return the call, if one is waiting, and the expired calls
 	 */
 	public PollResult<K, T> poll(Instant now) {
 		ExpiryResult<K, T> expired = removeExpired(now);
@@ -107,17 +105,16 @@
 	}
 
 	/**
-	 * Takes out a call that nobody wants any more.
+	 * Removes a cancelled call.
 	 * @param id the identity of the call
-	 * @return the call, or an empty result if it does not wait
+	 * @return the call, or an empty result if it is not queued
 	 */
 	public Optional<RemoveResult<K, T>> remove(K id) {
 		return this.callsById.get(id).toJavaOptional().map((call) -> new RemoveResult<>(without(call), call.entry()));
 	}
 
 	/**
-	 * Takes out the calls whose deadline has passed: those whose deadline is not after
-	 * the time.
+	 * Removes the expired calls: those whose deadline is not after the given time.
 	 * @param now the time
 	 * @return the calls in the order of their deadlines
 	 */
@@ -134,35 +131,35 @@
 
 	/**
 	 * Returns the earliest deadline of the waiting calls.
-	 * @return the deadline, or an empty result if no call waits
+	 * @return the deadline, or an empty result if the queue is empty
 	 */
 	public Optional<Instant> nextDeadline() {
 		return this.byDeadline.headOption().map((first) -> first._1().time()).toJavaOptional();
 	}
 
 	/**
-	 * Corrects the charge of a call that was polled, once its cost is known.
+	 * Replaces the estimated charge of a polled call by its actual cost.
 	 * @param entry the call
-	 * @param actualCost the cost of the service that it got, zero if it got none
-	 * @return a queue that counts the actual cost in place of the estimate
+	 * @param actualCost the cost of the service received, zero if none was
+	 * @return a queue charged with the actual cost
 	 */
 	public FairQueue<K, T> settle(Entry<K, T> entry, long actualCost) {
 		return charge(entry.group(), entry.program(), actualCost - entry.estimatedCost());
 	}
 
 	/**
-	 * Charges service beyond that which {@link #poll} charged, or takes some back.
-	 * @param group the group that got the service
-	 * @param program the program that got the service, if it belongs to one
-	 * @param cost the cost to add, negative to take some back
-	 * @return a queue that counts the service
+	 * Adjusts the service charged to a group and a program.
+	 * @param group the group that received the service
+	 * @param program the program that received the service, if the call belongs to one
+	 * @param cost the cost to add, negative for a refund
+	 * @return the charged queue
 	 */
 	public FairQueue<K, T> charge(GroupName group, Optional<ProgramId> program, long cost) {
 		return with(this.backlog.charged(group, cost), charged(program, cost));
 	}
 
 	/**
-	 * Forgets the service of a program that has ended.
+	 * Removes the account of a program that has ended.
 	 * @param program the program
 	 * @return a queue without an account of the program
 	 */
@@ -171,7 +168,7 @@
 	}
 
 	/**
-	 * Returns this queue with other shares, which count for service from now on.
+	 * Returns this queue with other shares, which apply to service from now on.
 	 * @param shares the shares of groups
 	 * @return a queue with the shares
 	 */
@@ -180,9 +177,9 @@
 	}
 
 	/**
-	 * Returns this queue with other bounds. Calls that wait already stay, also when they
-	 * are more than the bounds allow.
-	 * @param changed what the queue may hold at most
+	 * Returns this queue with other bounds. Waiting calls stay queued even if they exceed
+	 * the new bounds.
+	 * @param changed the bounds of the queue
 	 * @return a queue with the bounds
 	 */
 	public FairQueue<K, T> withBounds(QueueBounds changed) {
@@ -191,17 +188,17 @@
 	}
 
 	/**
-	 * Returns whether a call waits.
+	 * Returns whether a call is queued.
 	 * @param id the identity of the call
-	 * @return whether it waits
+	 * @return whether it is queued
 	 */
 	public boolean contains(K id) {
 		return this.callsById.containsKey(id);
 	}
 
 	/**
-	 * Returns whether no call waits.
-	 * @return whether no call waits
+	 * Returns whether the queue is empty.
+	 * @return whether it has no waiting call
 	 */
 	public boolean isEmpty() {
 		return this.callsById.isEmpty();
@@ -226,25 +223,25 @@
 
 	/**
 	 * Estimates how many of the waiting calls are served before a new one of a group.
-	 * With fair shares that is far fewer than all, if others flood the queue.
 	 * @param group the group of the new call
-	 * @return the number of calls, if they all cost the same
+	 * @return the number of calls, assuming equal costs
 	 */
 	public int callsAheadOf(GroupName group) {
 		return (int) Math.min(size(), this.backlog.callsAheadOf(group));
 	}
 
 	/**
-	 * Returns the service that a program has attained, what is estimated included.
+	 * Returns the service that a program has attained, including the estimates of its
+	 * waiting and running calls.
 	 * @param program the program
-	 * @return the cost charged to it, 0 for a program that is not remembered
+	 * @return the cost charged to it, 0 for a program without an account
 	 */
 	public long attainedService(ProgramId program) {
 		return this.programs.find(program).map(ProgramAccounts.Account::attained).orElse(0L);
 	}
 
 	/**
-	 * Returns the number of programs whose service is remembered.
+	 * Returns the number of programs with an account.
 	 * @return the number of programs
 	 */
 	public int trackedPrograms() {
@@ -252,17 +249,17 @@
 	}
 
 	private FairQueue<K, T> with(Entry<K, T> entry) {
-		long number = this.lastSequence + 1;
+		long sequence = this.lastSequence + 1;
 		Optional<ProgramAccounts.Account> account = entry.program().flatMap(this.programs::find);
 		Instant programArrived = account.map(ProgramAccounts.Account::arrived).orElse(entry.arrived());
 		long attained = account.map(ProgramAccounts.Account::attained).orElse(0L);
 		Instant rank = this.ordering.rank(entry.arrived(), programArrived, attained);
-		QueuedCall<K, T> call = new QueuedCall<>(entry, new QueuePosition(rank, number),
-				new QueuePosition(entry.deadline(), number));
+		QueuedCall<K, T> call = new QueuedCall<>(entry, new QueuePosition(rank, sequence),
+				new QueuePosition(entry.deadline(), sequence));
 		return new FairQueue<>(this.ordering, this.bounds, this.callsById.put(entry.id(), call),
 				this.byDeadline.put(call.deadlinePosition(), call),
-				this.callCounts.put(entry.group(), size(entry.group()) + 1), promised(entry), this.backlog.with(call),
-				number);
+				this.callCounts.put(entry.group(), size(entry.group()) + 1), reserved(entry), this.backlog.with(call),
+				sequence);
 	}
 
 	private FairQueue<K, T> without(QueuedCall<K, T> call) {
@@ -276,10 +273,10 @@
 
 	private FairQueue<K, T> withoutCall(QueuedCall<K, T> call) {
 		GroupName group = call.group();
-		int left = size(group) - 1;
+		int remaining = size(group) - 1;
 		return new FairQueue<>(this.ordering, this.bounds, this.callsById.remove(call.entry().id()),
 				this.byDeadline.remove(call.deadlinePosition()),
-				(left > 0) ? this.callCounts.put(group, left) : this.callCounts.remove(group), this.programs,
+				(remaining > 0) ? this.callCounts.put(group, remaining) : this.callCounts.remove(group), this.programs,
 				this.backlog, this.lastSequence);
 	}
 
@@ -288,7 +285,7 @@
 				changedPrograms, changedBacklog, this.lastSequence);
 	}
 
-	private ProgramAccounts promised(Entry<K, T> entry) {
+	private ProgramAccounts reserved(Entry<K, T> entry) {
 		return entry.program()
 			.map((program) -> this.programs.reserve(program, entry.arrived(), entry.estimatedCost()))
 			.orElse(this.programs);
@@ -299,50 +296,49 @@
 	}
 
 	/**
-	 * A bound that keeps a call out.
+	 * Bound for which a call is rejected.
 	 */
 	public enum Bound {
 
 		/**
-		 * The bound of the calls of one group.
+		 * The bound on the waiting calls of one group.
 		 */
 		GROUP_CALLS,
 
 		/**
-		 * The bound of the calls of all groups together.
+		 * The bound on the waiting calls of all groups together.
 		 */
 		TOTAL_CALLS
 
 	}
 
 	/**
-	 * A call that waits.
+	 * A queued call.
 	 *
 	 * @param <K> the type of the identity
 	 * @param <T> the type of the payload
-	 * @param id the identity, which no other waiting call has
+	 * @param id the identity, unique among the queued calls
 	 * @param group the group the call is charged to
-	 * @param program the program of the call, if it belongs to one; a call without one
-	 * counts as a program of its own
+	 * @param program the program of the call, if it belongs to one
 	 * @param serviceClass how urgent the call is within its group
 	 * @param arrived when the call arrived
-	 * @param deadline when the call must have been served
-	 * @param cost the estimated cost of serving it
-	 * @param payload what the caller of the queue keeps with the call
+	 * @param deadline the time at which the call expires
+	 * @param estimatedCost the estimated cost of serving it
+	 * @param payload an opaque value attached by the user of the queue
 	 */
 	public record Entry<K, T>(K id, GroupName group, Optional<ProgramId> program, ServiceClass serviceClass,
 			Instant arrived, Instant deadline, long estimatedCost, T payload) {
 
 		/**
 		 * Creates a call.
-		 * @param id the identity, which no other waiting call has
+		 * @param id the identity, unique among the queued calls
 		 * @param group the group the call is charged to
 		 * @param program the program of the call, if it belongs to one
 		 * @param serviceClass how urgent the call is within its group
 		 * @param arrived when the call arrived
-		 * @param deadline when the call must have been served
-		 * @param cost the estimated cost of serving it
-		 * @param payload what the caller of the queue keeps with the call
+		 * @param deadline the time at which the call expires
+		 * @param estimatedCost the estimated cost of serving it
+		 * @param payload an opaque value attached by the user of the queue
 		 * @throws IllegalArgumentException if the cost is not positive
 		 */
 		public Entry {
@@ -353,15 +349,15 @@
 			Objects.requireNonNull(arrived, "arrived");
 			Objects.requireNonNull(deadline, "deadline");
 			if (estimatedCost < 1) {
-				throw new IllegalArgumentException("a cost must be positive, not " + estimatedCost);
+				throw new IllegalArgumentException("estimated cost must be positive: " + estimatedCost);
 			}
 		}
 
 	}
 
 	/**
-	 * What became of a call that was offered. Implementations are immutable and safe for
-	 * use by several threads if the payloads are.
+	 * Result of offering a call. Implementations are immutable, and thread-safe if the
+	 * payloads are.
 	 *
 	 * @param <K> the type of the calls' identities
 	 * @param <T> the type of the calls' payloads
@@ -369,23 +365,23 @@
 	public sealed interface OfferResult<K, T> {
 
 		/**
-		 * A call that waits now.
+		 * The call was queued.
 		 *
 		 * @param <K> the type of the calls' identities
 		 * @param <T> the type of the calls' payloads
 		 * @param queue the queue with the call
-		 * @param displaced the call that had to leave for it: it did not run and will not
+		 * @param evicted the call evicted for it, which will never be served
 		 */
 		record Queued<K, T>(FairQueue<K, T> queue, Optional<Entry<K, T>> evicted) implements OfferResult<K, T> {
 
 		}
 
 		/**
-		 * A call that was not taken.
+		 * The call was rejected.
 		 *
 		 * @param <K> the type of the calls' identities
 		 * @param <T> the type of the calls' payloads
-		 * @param bound the bound that keeps it out
+		 * @param bound the bound that was reached
 		 */
 		record Rejected<K, T>(Bound bound) implements OfferResult<K, T> {
 
@@ -394,23 +390,21 @@
 	}
 
 	/**
-	 * The call to be served next. Immutable and safe for use by several threads if the
-	 * payloads are.
+	 * The call to be served next. Immutable, and thread-safe if the payloads are.
 	 *
 	 * @param <K> the type of the calls' identities
 	 * @param <T> the type of the calls' payloads
-	 * @param queue the queue without the calls taken out
-	 * @param entry the call, empty only if no call waits any more
-	 * @param removeExpired the calls whose deadline has passed: they did not run and will
-	 * not
+	 * @param queue the queue without the removed calls
+	 * @param entry the call, or an empty result if no call is left
+	 * @param expired the expired calls, which will never be served
 	 */
 	public record PollResult<K, T>(FairQueue<K, T> queue, Optional<Entry<K, T>> entry, List<Entry<K, T>> expired) {
 
 		/**
 		 * Creates a result.
-		 * @param queue the queue without the calls taken out
-		 * @param entry the call, empty only if no call waits any more
-		 * @param removeExpired the calls whose deadline has passed
+		 * @param queue the queue without the removed calls
+		 * @param entry the call, or an empty result if no call is left
+		 * @param expired the expired calls
 		 */
 		public PollResult {
 			expired = List.copyOf(expired);
@@ -419,33 +413,31 @@
 	}
 
 	/**
-	 * A call that was taken out. Immutable and safe for use by several threads if the
-	 * payloads are.
+	 * A removed call. Immutable, and thread-safe if the payloads are.
 	 *
 	 * @param <K> the type of the calls' identities
 	 * @param <T> the type of the calls' payloads
 	 * @param queue the queue without the call
-	 * @param entry the call: it did not run and will not
+	 * @param entry the call, which will never be served
 	 */
 	public record RemoveResult<K, T>(FairQueue<K, T> queue, Entry<K, T> entry) {
 
 	}
 
 	/**
-	 * Calls whose deadline has passed. Immutable and safe for use by several threads if
-	 * the payloads are.
+	 * Expired calls. Immutable, and thread-safe if the payloads are.
 	 *
 	 * @param <K> the type of the calls' identities
 	 * @param <T> the type of the calls' payloads
 	 * @param queue the queue without the calls
-	 * @param entries the calls: they did not run and will not
+	 * @param entries the calls, which will never be served
 	 */
 	public record ExpiryResult<K, T>(FairQueue<K, T> queue, List<Entry<K, T>> entries) {
 
 		/**
 		 * Creates a result.
 		 * @param queue the queue without the calls
-		 * @param entries the calls: they did not run and will not
+		 * @param entries the calls, which will never be served
 		 */
 		public ExpiryResult {
 			entries = List.copyOf(entries);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/Ordering.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/Ordering.java
@@ -4,39 +4,40 @@
 import java.time.Instant;
 
 /**
- * A strategy that orders the calls that wait for one upstream. Implementations are
- * immutable and safe for use by several threads.
+ * Strategy for ordering the calls waiting for one upstream. Implementations are immutable
+ * and thread-safe.
  */
 public sealed interface Ordering {
 
 	/**
-	 * Returns the rank of a call in its line: lower ranks go first. It depends on nothing
-	 * that changes while the call waits, so that lines need no reordering.
+	 * Returns the rank of a call in its queue; lower ranks are served first. The rank
+	 * stays constant while the call is waiting, so queues need no reordering.
 	 * @param arrived when the call arrived
 	 * @param programArrived when the first call of its program arrived
-	 * @param attained the service its program got so far, with that promised to its calls
-	 * that already wait or run
+	 * @param attained the service of its program so far, including the estimates of its
+	 * waiting and running calls
 	 * @return the rank
 	 */
 	Instant rank(Instant arrived, Instant programArrived, long attained);
 
 	/**
-	 * An order by the weighted service of groups. The group that got the least for its
-	 * share goes first. Within a group, interactive calls go before background calls, but
-	 * for a part that background calls always get. Within a class, a call is put back by
-	 * the service that its program has attained, up to a bound: no call waits behind one
-	 * that came later than that bound.
+	 * Weighted fair queueing over groups. The group with the least service per share is
+	 * served first. Within a group, interactive calls precede background calls, except
+	 * for a minimum percentage reserved for background calls. Within a class, calls are
+	 * ordered by arrival time plus a penalty proportional to the service their program
+	 * has attained. The penalty is bounded, so a call is never overtaken by calls that
+	 * arrive later than the bound.
 	 *
-	 * @param backgroundPercent the part of a group's service that its background calls
-	 * get at least while both classes wait
-	 * @param costPerSecond the attained service that puts a call back by one second
-	 * @param maximumSetback the longest a call is put back
+	 * @param backgroundPercent the minimum percentage of a group's service for its
+	 * background calls while both classes have waiting calls
+	 * @param costPerPenaltySecond the attained service that delays a call by one second
+	 * @param maxPenalty the longest delay of a call
 	 */
 	record FairShare(int backgroundPercent, long costPerPenaltySecond, Duration maxPenalty) implements Ordering {
 
 		/**
-		 * The defaults: a tenth for background calls; one second for 250 generated tokens
-		 * at the standard cost, and no more than half a minute.
+		 * The default order. At the default token cost, 250 generated tokens add a
+		 * penalty of one second.
 		 */
 		public static final FairShare DEFAULT = new FairShare(10, 10_000, Duration.ofSeconds(30));
 
@@ -46,19 +47,22 @@
 
 		/**
 		 * Creates an order.
-		 * @param backgroundPercent the part of a group's service that its background
-		 * calls get at least while both classes wait
-		 * @param costPerSecond the attained service that puts a call back by one second
-		 * @param maximumSetback the longest a call is put back
-		 * @throws IllegalArgumentException if the part is not from 1 to 99, the cost is
-		 * not positive or the setback negative
+		 * @param backgroundPercent the minimum percentage of a group's service for its
+		 * background calls while both classes have waiting calls
+		 * @param costPerPenaltySecond the attained service that delays a call by one
+		 * second
+		 * @param maxPenalty the longest delay of a call
+		 * @throws IllegalArgumentException if the percentage is not from 1 to 99, the
+		 * cost is not positive or the penalty is negative
 		 */
 		public FairShare {
 			if (backgroundPercent < 1 || backgroundPercent >= PERCENT_TOTAL) {
-				throw new IllegalArgumentException("no percentage from 1 to 99: " + backgroundPercent);
+				throw new IllegalArgumentException("background percentage must be from 1 to 99: " + backgroundPercent);
 			}
 			if (costPerPenaltySecond < 1 || maxPenalty.isNegative()) {
-				throw new IllegalArgumentException("the cost must be positive, the setback not negative");
+				throw new IllegalArgumentException(
+						"cost per penalty second must be positive and maximum penalty not negative: "
+								+ costPerPenaltySecond + ", " + maxPenalty);
 			}
 		}
 
@@ -75,10 +79,9 @@
 		}
 
 		/**
-		 * Returns the service that background calls are due for service that interactive
-		 * calls got.
+		 * Returns the credit of background calls for service of interactive calls.
 		 * @param interactive the service of interactive calls
-		 * @return the service due to background calls
+		 * @return the credit of background calls
 		 */
 		double backgroundCredit(long interactive) {
 			return (double) interactive * this.backgroundPercent / (PERCENT_TOTAL - this.backgroundPercent);
@@ -87,7 +90,7 @@
 	}
 
 	/**
-	 * An order by the arrival of calls, whatever their group.
+	 * Order by the arrival of calls, independent of their group.
 	 */
 	record FirstComeFirstServed() implements Ordering {
 
@@ -99,8 +102,8 @@
 	}
 
 	/**
-	 * An order by the arrival of programs, whatever their group: calls of a program that
-	 * began earlier go first.
+	 * Order by the arrival of programs, independent of their group: calls of a program
+	 * that started earlier are served first.
 	 */
 	record ProgramFirstCome() implements Ordering {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/ProgramAccounts.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/ProgramAccounts.java
@@ -10,9 +10,9 @@
 import io.vavr.collection.TreeMap;
 
 /**
- * The service that programs attained. Holds at most a bound of programs: when one more
- * comes, the one that was used the longest ago is forgotten, which costs it no more than
- * being treated like a new program. Immutable and safe for use by several threads.
+ * Immutable accounts of the service attained by programs. Holds a bounded number of
+ * accounts and evicts the least recently used; a program whose account was evicted is
+ * treated like a new one. Thread-safe.
  */
 final class ProgramAccounts {
 
@@ -24,27 +24,27 @@
 
 	private final SortedMap<Long, ProgramId> byLastUse;
 
-	private ProgramAccounts(int bound, long uses, Map<ProgramId, Account> accounts,
+	private ProgramAccounts(int capacity, long lastUse, Map<ProgramId, Account> accounts,
 			SortedMap<Long, ProgramId> byLastUse) {
-		this.capacity = bound;
-		this.lastUse = uses;
+		this.capacity = capacity;
+		this.lastUse = lastUse;
 		this.accounts = accounts;
 		this.byLastUse = byLastUse;
 	}
 
 	/**
-	 * Returns accounts of no program.
-	 * @param capacity the most programs to hold
+	 * Returns empty accounts.
+	 * @param capacity the maximum number of accounts
 	 * @return empty accounts
 	 */
-	static ProgramAccounts withCapacity(int bound) {
-		return new ProgramAccounts(bound, 0, HashMap.empty(), TreeMap.empty());
+	static ProgramAccounts withCapacity(int capacity) {
+		return new ProgramAccounts(capacity, 0, HashMap.empty(), TreeMap.empty());
 	}
 
 	/**
-	 * Returns these accounts with another bound.
-	 * @param changed the most programs to hold
-	 * @return accounts that keep the bound
+	 * Returns these accounts with another capacity.
+	 * @param changed the maximum number of accounts
+	 * @return the accounts that remain
 	 */
 	ProgramAccounts resizedTo(int changed) {
 		return new ProgramAccounts(changed, this.lastUse, this.accounts, this.byLastUse).evictOldest();
@@ -53,18 +53,18 @@
 	/**
 	 * Returns the account of a program.
 	 * @param program the program
-	 * @return the account, or an empty result if the program is not known
+	 * @return the account, or an empty result if the program has none
 	 */
 	Optional<Account> find(ProgramId program) {
 		return this.accounts.get(program).toJavaOptional();
 	}
 
 	/**
-	 * Returns the accounts after a call was promised service.
+	 * Returns the accounts after charging the estimated cost of a queued call.
 	 * @param program the program of the call
 	 * @param arrived when the call arrived
-	 * @param cost the service promised
-	 * @return the accounts, with that of the program opened if need be
+	 * @param cost the estimated cost
+	 * @return the accounts, with one for the program
 	 */
 	ProgramAccounts reserve(ProgramId program, Instant arrived, long cost) {
 		Account account = find(program).orElseGet(() -> new Account(arrived, 0, 0));
@@ -72,11 +72,11 @@
 	}
 
 	/**
-	 * Returns the accounts after a change of the service that a program got. The account
-	 * of a program that is not known stays closed, so that a late charge does not bring
-	 * back a program that has ended.
+	 * Returns the accounts after adjusting the service of a program. Programs without an
+	 * account are ignored, so that a late charge does not recreate the account of a
+	 * program that has ended.
 	 * @param program the program
-	 * @param cost the service to add, negative to take some back
+	 * @param cost the cost to add, negative for a refund
 	 * @return the accounts
 	 */
 	ProgramAccounts charged(ProgramId program, long cost) {
@@ -84,17 +84,17 @@
 	}
 
 	/**
-	 * Returns the accounts without a program.
+	 * Returns the accounts without that of a program.
 	 * @param program the program
-	 * @return accounts without it
+	 * @return the other accounts
 	 */
 	ProgramAccounts without(ProgramId program) {
 		return find(program).map((account) -> remove(program, account)).orElse(this);
 	}
 
 	/**
-	 * Returns the number of programs held.
-	 * @return the number of programs
+	 * Returns the number of accounts.
+	 * @return the number of accounts
 	 */
 	int size() {
 		return this.accounts.size();
@@ -113,19 +113,20 @@
 	}
 
 	private ProgramAccounts evictOldest() {
-		ProgramAccounts trimmed = this;
-		while (trimmed.size() > this.capacity) {
-			trimmed = trimmed.without(trimmed.byLastUse.head()._2());
+		ProgramAccounts remaining = this;
+		while (remaining.size() > this.capacity) {
+			remaining = remaining.without(remaining.byLastUse.head()._2());
 		}
-		return trimmed;
+		return remaining;
 	}
 
 	/**
-	 * The account of one program. Immutable and safe for use by several threads.
+	 * Immutable account of one program. Thread-safe.
 	 *
 	 * @param arrived when its first call arrived
-	 * @param attained the service it got or was promised
-	 * @param lastUse the number of the last use of this account
+	 * @param attained the service it received, including the estimates of waiting and
+	 * running calls
+	 * @param lastUse the sequence number of the last use of this account
 	 */
 	record Account(Instant arrived, long attained, long lastUse) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/QueuePosition.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/QueuePosition.java
@@ -3,11 +3,11 @@
 import java.time.Instant;
 
 /**
- * A place in a sorted line. The number keeps two places with one time apart, the one that
- * came earlier first. Immutable and safe for use by several threads.
+ * Immutable position in a sorted queue. The sequence number breaks ties between equal
+ * times in the order of insertion. Thread-safe.
  *
- * @param time the time that orders the line
- * @param sequence a number that the queue uses once
+ * @param time the time by which the queue is sorted
+ * @param sequence a number that is unique within the queue
  */
 record QueuePosition(Instant time, long sequence) implements Comparable<QueuePosition> {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/QueuedCall.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/QueuedCall.java
@@ -4,14 +4,13 @@
 import io.lentilslip.core.identity.GroupName;
 
 /**
- * A waiting call and its places in the lines of a queue. Immutable and safe for use by
- * several threads if the call is.
+ * Immutable waiting call with its positions in a queue. Thread-safe if the call is.
  *
  * @param <K> the type of the call's identity
  * @param <T> the type of the call
  * @param entry the call
- * @param position its place in the order of service
- * @param deadlinePosition its place in the order of deadlines
+ * @param position its position in the order of service
+ * @param deadlinePosition its position in the order of deadlines
  */
 record QueuedCall<K, T>(FairQueue.Entry<K, T> entry, QueuePosition position, QueuePosition deadlinePosition) {
 
@@ -25,7 +24,7 @@
 
 	/**
 	 * Returns whether the call is interactive.
-	 * @return whether somebody waits for it
+	 * @return whether it has the interactive service class
 	 */
 	boolean isInteractive() {
 		return this.entry.serviceClass() == ServiceClass.INTERACTIVE;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/Shares.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/Shares.java
@@ -8,15 +8,15 @@
 import io.lentilslip.core.identity.GroupName;
 
 /**
- * The weights of groups against each other. A group that is not listed has the weight of
- * one. Immutable and safe for use by several threads.
+ * Immutable relative weights of groups. A group that is not listed has weight one.
+ * Thread-safe.
  *
  * @param weights the weight of each listed group
  */
 public record Shares(Map<GroupName, Long> weights) {
 
 	/**
-	 * Shares by which all groups are due the same.
+	 * Equal shares for all groups.
 	 */
 	public static final Shares EQUAL = new Shares(Map.of());
 
@@ -30,12 +30,12 @@
 	public Shares {
 		weights = Map.copyOf(weights);
 		if (weights.values().stream().anyMatch((weight) -> weight <= 0)) {
-			throw new IllegalArgumentException("a share must be positive");
+			throw new IllegalArgumentException("share must be positive");
 		}
 	}
 
 	/**
-	 * Returns the shares that a configuration gives.
+	 * Returns the shares of a configuration.
 	 * @param configuration the configuration
 	 * @return the shares of its groups
 	 */
@@ -47,7 +47,7 @@
 	/**
 	 * Returns the weight of a group.
 	 * @param group the group
-	 * @return its weight, one if it is not listed
+	 * @return its weight, or one if it is not listed
 	 */
 	public long of(GroupName group) {
 		return this.weights.getOrDefault(group, DEFAULT_WEIGHT);
@@ -56,7 +56,7 @@
 	/**
 	 * Returns whether a group is listed.
 	 * @param group the group
-	 * @return whether its weight is given
+	 * @return whether it is listed
 	 */
 	public boolean contains(GroupName group) {
 		return this.weights.containsKey(group);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The order in which waiting calls get an upstream: shares of groups, classes within a
- * group, programs within a class.
+ * Scheduling of waiting calls: fair shares among groups, service classes within a group,
+ * attained service of programs within a class.
  */
 package io.lentilslip.core.share;
--- a/lentilslip-core/src/test/java/io/lentilslip/core/share/FairQueueTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/share/FairQueueTests.java
@@ -57,25 +57,25 @@
 		}
 		double buyers = 0;
 		double sellers = 0;
-		double least = 0;
-		double most = 0;
+		double minimum = 0;
+		double maximum = 0;
 		while (queue.size(BUYERS) > 0 && queue.size(SELLERS) > 0) {
 			PollResult<Integer, String> polled = queue.poll(START);
 			Entry<Integer, String> served = polled.entry().orElseThrow();
 			buyers += served.group().equals(BUYERS) ? (double) served.estimatedCost() / buyersShare : 0;
 			sellers += served.group().equals(SELLERS) ? (double) served.estimatedCost() / sellersShare : 0;
-			least = Math.min(least, buyers - sellers);
-			most = Math.max(most, buyers - sellers);
+			minimum = Math.min(minimum, buyers - sellers);
+			maximum = Math.max(maximum, buyers - sellers);
 			queue = polled.queue();
 		}
 		double buyersLargest = costs.stream().mapToInt(Integer::intValue).max().orElseThrow();
 		double sellersLargest = costs.stream().mapToInt((cost) -> 1001 - cost).max().orElseThrow();
-		assertThat(most - least)
+		assertThat(maximum - minimum)
 			.isLessThanOrEqualTo(buyersLargest / buyersShare + sellersLargest / sellersShare + 1e-6);
 	}
 
 	@Property(tries = 500, seed = "2")
-	void takesOutEachCallOnceAndServesAsLongAsOneWaits(@ForAll @IntRange(max = 2) int ordering,
+	void removesEachCallOnceAndPollsUntilEmpty(@ForAll @IntRange(max = 2) int ordering,
 			@ForAll("operations") List<Operation> operations) {
 		FairQueue<Integer, String> queue = FairQueue.create(ORDERINGS.get(ordering), Shares.EQUAL,
 				new QueueBounds(12, 6, Map.of(), 4));
@@ -98,16 +98,13 @@
 		}
 	}
 
-	// One group offers ten thousand calls at once, another one now and then. The caller
-	// of
-	// the small group must not see the flood: whenever its call comes, no call of the
-	// flood
-	// goes before it, since the small group was served longer ago.
+	// A group that floods the queue must not delay the occasional calls of another
+	// group.
 	@Property(tries = 50, seed = "3")
-	void aFloodDoesNotDelayALightGroup(@ForAll @Size(20) List<@IntRange(min = 1, max = 30) Integer> pauses) {
+	void floodDoesNotDelayALightGroup(@ForAll @Size(20) List<@IntRange(min = 1, max = 30) Integer> gaps) {
 		FairQueue<Integer, String> queue = backlog(fair(Shares.EQUAL), BUYERS, 10_000);
-		for (int pause : pauses) {
-			queue = served(queue, pause);
+		for (int gap : gaps) {
+			queue = served(queue, gap);
 			assertThat(queue.callsAheadOf(SELLERS)).isEqualTo(1);
 			Entry<Integer, String> light = entry(SELLERS, 100);
 			queue = with(queue, light);
@@ -116,13 +113,10 @@
 		}
 	}
 
-	// A group is idle while another one uses all of the engine. When it comes back, it
-	// gets
-	// its half from the first call on, and no more than its half for the time it was
-	// away:
-	// else the other group would stand still until the credit is used up.
+	// A group that becomes backlogged after idling receives its share at once but no
+	// credit for the idle time, which would starve the other group.
 	@Test
-	void idleShareIsLentAndComesBackAtOnceWithoutCredit() {
+	void idleGroupRegainsItsShareWithoutCredit() {
 		FairQueue<Integer, String> queue = backlog(backlog(fair(Shares.EQUAL), SELLERS, 200), BUYERS, 1);
 		queue = backlog(served(queue, 100), BUYERS, 50);
 		List<Entry<Integer, String>> next = nextEntries(queue, 20);
@@ -130,10 +124,10 @@
 		assertThat(next).filteredOn((entry) -> entry.group().equals(BUYERS)).hasSize(10);
 	}
 
-	// The same, but the queue runs empty between the calls of the group that is alone, so
-	// that no waiting group has a counter to lift the other one to.
+	// The queue runs empty between calls, so virtual time must be kept while no group
+	// is backlogged.
 	@Test
-	void aGroupThatComesToAnEmptyQueueHasNoCredit() {
+	void idleGroupHasNoCreditAfterTheQueueWasEmpty() {
 		FairQueue<Integer, String> queue = fair(Shares.EQUAL);
 		for (int i = 0; i < 100; i++) {
 			queue = served(backlog(queue, SELLERS, 1), 1);
@@ -143,7 +137,7 @@
 	}
 
 	@Test
-	void serviceBeyondTheEstimateCountsAgainstTheGroup() {
+	void actualCostIsChargedToTheGroup() {
 		FairQueue<Integer, String> queue = backlog(backlog(fair(Shares.EQUAL), BUYERS, 20), SELLERS, 20);
 		PollResult<Integer, String> first = queue.poll(START);
 		Entry<Integer, String> served = first.entry().orElseThrow();
@@ -153,7 +147,7 @@
 	}
 
 	@Test
-	void changedSharesCountAtOnce() {
+	void changedSharesApplyAtOnce() {
 		FairQueue<Integer, String> queue = backlog(backlog(fair(Shares.EQUAL), BUYERS, 60), SELLERS, 60);
 		queue = queue.withShares(new Shares(Map.of(BUYERS, 3L, SELLERS, 1L)));
 		assertThat(queue.callsAheadOf(new GroupName("owners"))).isEqualTo(4);
@@ -161,15 +155,15 @@
 		assertThat(nextEntries(queue, 40)).filteredOn((entry) -> entry.group().equals(BUYERS)).hasSize(30);
 	}
 
-	// Interactive calls never stop coming. Without a part of their own, the drafts of the
-	// same group would wait for ever, and their callers would see only passed deadlines.
+	// Without a minimum share, a steady stream of interactive calls would starve
+	// background calls.
 	@Property(tries = 50, seed = "4")
-	void backgroundCallsKeepTheirPart(@ForAll @IntRange(min = 1, max = 99) int percent) {
+	void backgroundCallsReceiveTheirMinimumShare(@ForAll @IntRange(min = 1, max = 99) int percent) {
 		Ordering ordering = new Ordering.FairShare(percent, 10_000, Duration.ofSeconds(30));
 		FairQueue<Integer, String> queue = FairQueue.create(ordering, Shares.EQUAL, WIDE);
 		for (int i = 0; i < 300; i++) {
 			queue = with(queue, entry(BUYERS, 10));
-			queue = with(queue, classed(BUYERS, ServiceClass.BACKGROUND));
+			queue = with(queue, withClass(BUYERS, ServiceClass.BACKGROUND));
 		}
 		long background = nextEntries(queue, 200).stream()
 			.filter((entry) -> entry.serviceClass() == ServiceClass.BACKGROUND)
@@ -178,24 +172,24 @@
 	}
 
 	@Test
-	void backgroundCallsSaveUpNothingWhileNoneWaits() {
-		FairQueue<Integer, String> queue = with(fair(Shares.EQUAL), classed(BUYERS, ServiceClass.BACKGROUND));
+	void backgroundCallsAccumulateNoCreditWhileNoneIsWaiting() {
+		FairQueue<Integer, String> queue = with(fair(Shares.EQUAL), withClass(BUYERS, ServiceClass.BACKGROUND));
 		queue = served(backlog(queue, BUYERS, 200), 100);
 		for (int i = 0; i < 10; i++) {
-			queue = with(queue, classed(BUYERS, ServiceClass.BACKGROUND));
+			queue = with(queue, withClass(BUYERS, ServiceClass.BACKGROUND));
 		}
 		assertThat(nextEntries(queue, 1)).extracting(Entry::serviceClass).containsExactly(ServiceClass.INTERACTIVE);
 	}
 
 	@Test
-	void interactiveCallsGoFirst() {
-		FairQueue<Integer, String> queue = with(fair(Shares.EQUAL), classed(BUYERS, ServiceClass.BACKGROUND));
+	void interactiveCallsAreServedFirst() {
+		FairQueue<Integer, String> queue = with(fair(Shares.EQUAL), withClass(BUYERS, ServiceClass.BACKGROUND));
 		Entry<Integer, String> interactive = entry(BUYERS, 10);
 		assertThat(nextEntries(with(queue, interactive), 1)).containsExactly(interactive);
 	}
 
 	@Test
-	void theProgramWithTheLeastServiceGoesFirst() {
+	void programWithTheLeastServiceIsServedFirst() {
 		FairQueue<Integer, String> queue = fair(Shares.EQUAL);
 		queue = with(queue, of("long", START, 10)).poll(START).queue();
 		queue = queue.charge(BUYERS, Optional.of(program("long")), 40_000);
@@ -208,7 +202,7 @@
 	}
 
 	@Test
-	void aCallThatWasTakenOutCostsItsProgramNothing() {
+	void removedCallIsNotChargedToItsProgram() {
 		FairQueue<Integer, String> queue = fair(Shares.EQUAL);
 		Entry<Integer, String> cancelled = of("cancelled", START, 1_000_000);
 		queue = with(queue, cancelled).remove(cancelled.id()).orElseThrow().queue();
@@ -217,26 +211,26 @@
 		assertThat(nextEntries(with(with(queue, again), fresh), 2)).containsExactly(again, fresh);
 	}
 
-	// A program has attained more service than any other, and new programs arrive without
-	// end. Its call still goes before all that arrive later than the longest setback.
+	// The penalty for attained service is bounded, so a steady stream of new programs
+	// cannot starve a long one.
 	@Property(tries = 50, seed = "5")
-	void aLongProgramIsNotStarvedByNewOnes(@ForAll @IntRange(min = 1, max = 1_000_000) int attained) {
+	void newProgramsDoNotStarveALongOne(@ForAll @IntRange(min = 1, max = 1_000_000) int attained) {
 		FairQueue<Integer, String> queue = with(fair(Shares.EQUAL), of("long", START, attained)).poll(START).queue();
 		Entry<Integer, String> call = of("long", START, 10);
 		queue = with(queue, call);
-		Duration setback = Ordering.FairShare.DEFAULT.maxPenalty();
+		Duration maxPenalty = Ordering.FairShare.DEFAULT.maxPenalty();
 		for (int second = 0; second < 100; second++) {
 			queue = with(queue, of("new-" + second, START.plusSeconds(second), 10));
 		}
 		List<Entry<Integer, String>> order = nextEntries(queue, 101);
 		assertThat(order.subList(0, order.indexOf(call)))
-			.allSatisfy((before) -> assertThat(before.arrived()).isBeforeOrEqualTo(START.plus(setback)));
+			.allSatisfy((before) -> assertThat(before.arrived()).isBeforeOrEqualTo(START.plus(maxPenalty)));
 	}
 
-	// The caller's deadline passes while its call waits. It is told that the call was not
-	// run, so the call must never be served afterwards.
+	// The caller of an expired call is notified that it did not run, so it must never
+	// be served.
 	@Test
-	void aCallWhoseDeadlineHasPassedIsNeverServed() {
+	void expiredCallIsNeverServed() {
 		Entry<Integer, String> late = new Entry<>(1, BUYERS, Optional.empty(), ServiceClass.INTERACTIVE, START,
 				START.plusSeconds(1), 10, "late");
 		Entry<Integer, String> other = new Entry<>(2, BUYERS, Optional.empty(), ServiceClass.INTERACTIVE, START, FAR,
@@ -250,7 +244,7 @@
 	}
 
 	@Test
-	void aFullQueueTurnsAwayTheGroupThatIsOverItsShare() {
+	void fullQueueRejectsTheGroupWithTheMostCallsPerShare() {
 		FairQueue<Integer, String> queue = FairQueue.create(Ordering.FairShare.DEFAULT, Shares.EQUAL,
 				QueueBounds.of(4, 4));
 		queue = with(backlog(queue, SELLERS, 3), entry(BUYERS, 10));
@@ -264,7 +258,7 @@
 	}
 
 	@Test
-	void aGroupKeepsItsOwnBound() {
+	void groupOverrideAppliesToItsGroup() {
 		QueueBounds bounds = new QueueBounds(10, 5, Map.of(SELLERS, 1), 10);
 		FairQueue<Integer, String> queue = FairQueue.create(new Ordering.FirstComeFirstServed(), Shares.EQUAL, bounds);
 		queue = with(queue, entry(SELLERS, 10));
@@ -273,7 +267,7 @@
 	}
 
 	@Test
-	void theBaselinesOrderByArrival() {
+	void baselineOrderingsSortByArrival() {
 		Entry<Integer, String> first = of("a", START, 10);
 		Entry<Integer, String> second = of("b", START.plusSeconds(1), 10);
 		Entry<Integer, String> third = of("a", START.plusSeconds(2), 10);
@@ -283,7 +277,7 @@
 	}
 
 	@Test
-	void refusesACallThatWaitsAlready() {
+	void rejectsACallThatIsAlreadyQueued() {
 		Entry<Integer, String> entry = entry(BUYERS, 10);
 		FairQueue<Integer, String> queue = with(fair(Shares.EQUAL), entry);
 		assertThatIllegalArgumentException().isThrownBy(() -> queue.offer(entry));
@@ -319,7 +313,7 @@
 				model.put(entry.id(), entry);
 				yield queued.queue();
 			}
-			case OfferResult.Rejected<Integer, String> full -> {
+			case OfferResult.Rejected<Integer, String> rejected -> {
 				assertThat(model.size() == 12 || queue.size(entry.group()) == 6).isTrue();
 				yield queue;
 			}
@@ -329,12 +323,12 @@
 	private static FairQueue<Integer, String> poll(FairQueue<Integer, String> queue,
 			Map<Integer, Entry<Integer, String>> model, Instant now) {
 		PollResult<Integer, String> polled = queue.poll(now);
-		List<Entry<Integer, String>> due = model.values()
+		List<Entry<Integer, String>> expired = model.values()
 			.stream()
 			.filter((entry) -> !entry.deadline().isAfter(now))
 			.toList();
-		assertThat(polled.expired()).containsExactlyInAnyOrderElementsOf(due);
-		due.forEach((entry) -> model.remove(entry.id()));
+		assertThat(polled.expired()).containsExactlyInAnyOrderElementsOf(expired);
+		expired.forEach((entry) -> model.remove(entry.id()));
 		assertThat(polled.entry().isPresent()).isEqualTo(!model.isEmpty());
 		polled.entry().ifPresent((entry) -> assertThat(model.remove(entry.id())).isEqualTo(entry));
 		return polled.queue();
@@ -382,18 +376,18 @@
 	}
 
 	private static FairQueue<Integer, String> served(FairQueue<Integer, String> queue, int calls) {
-		FairQueue<Integer, String> left = queue;
+		FairQueue<Integer, String> remaining = queue;
 		for (int i = 0; i < calls; i++) {
-			left = left.poll(START).queue();
+			remaining = remaining.poll(START).queue();
 		}
-		return left;
+		return remaining;
 	}
 
 	private Entry<Integer, String> entry(GroupName group, int cost) {
 		return new Entry<>(this.lastId++, group, Optional.empty(), ServiceClass.INTERACTIVE, START, FAR, cost, "call");
 	}
 
-	private Entry<Integer, String> classed(GroupName group, ServiceClass serviceClass) {
+	private Entry<Integer, String> withClass(GroupName group, ServiceClass serviceClass) {
 		return new Entry<>(this.lastId++, group, Optional.empty(), serviceClass, START, FAR, 10, "call");
 	}
 
