--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/Body.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/Body.java
@@ -6,12 +6,12 @@
 import io.lentilslip.core.identity.Digest;
 
 /**
- * A body of bytes that never changes. Safe for use by several threads.
+ * Immutable bytes of a message body. Thread-safe.
  */
 public final class Body {
 
 	/**
-	 * The body without bytes.
+	 * An empty body.
 	 */
 	public static final Body EMPTY = new Body(new byte[0]);
 
@@ -22,7 +22,7 @@
 	}
 
 	/**
-	 * Returns a body of a copy of some bytes.
+	 * Returns a body with a copy of the given bytes.
 	 * @param bytes the bytes to copy
 	 * @return the body
 	 */
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	 * Returns a body of a text in UTF-8.
+	 * Returns a body with a text encoded in UTF-8.
 	 * @param text the text
 	 * @return the body
 	 */
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * Returns the bytes read as UTF-8.
+	 * Returns the bytes decoded as UTF-8.
 	 * @return the text
 	 */
 	public String toText() {
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * Returns the number of bytes.
+	 * Returns the length of the body.
 	 * @return the number of bytes
 	 */
 	public int length() {
@@ -65,7 +65,7 @@
 
 	/**
 	 * Returns the digest of the bytes.
-	 * @return the digest of the bytes
+	 * @return the digest
 	 */
 	public Digest digest() {
 		return Digest.of(this.bytes);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/CallOutcome.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/CallOutcome.java
@@ -3,22 +3,22 @@
 import io.lentilslip.core.verdict.Verdict;
 
 /**
- * How a call ended. Implementations are immutable and safe for use by several threads.
+ * Outcome of a call. Implementations are immutable and thread-safe.
  */
 public sealed interface CallOutcome {
 
 	/**
-	 * Returns what is known of the execution.
+	 * Returns what is known of the execution of the call.
 	 * @return the verdict
 	 */
 	Verdict verdict();
 
 	/**
-	 * A call that has its whole answer.
+	 * The call returned a complete response.
 	 *
-	 * @param answer the answer
-	 * @param durability whether the turn is in the log
-	 * @param number the number of the call in its program, or 0 without a program
+	 * @param response the response
+	 * @param durability whether the turn is committed to the log
+	 * @param number the number of the call in its program, or 0 if it belongs to none
 	 */
 	record Completed(CallResponse response, Durability durability, int number) implements CallOutcome {
 
@@ -30,9 +30,9 @@
 	}
 
 	/**
-	 * A call that has no answer.
+	 * The call failed.
 	 *
-	 * @param failure why, and whether it may have run
+	 * @param failure the failure
 	 */
 	record Failed(CallFailure failure) implements CallOutcome {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/CallRequest.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/CallRequest.java
@@ -10,8 +10,7 @@
 import io.lentilslip.core.identity.ServiceName;
 
 /**
- * A call of a caller whose group is known. Implementations are immutable and safe for use
- * by several threads.
+ * Call of an authenticated caller. Implementations are immutable and thread-safe.
  */
 public sealed interface CallRequest {
 
@@ -22,37 +21,37 @@
 	GroupName group();
 
 	/**
-	 * Returns the place of the call in a program, if it belongs to one.
-	 * @return the place in a program, or an empty result
+	 * Returns the program and number of the call, if it belongs to a program.
+	 * @return the program call, or an empty result
 	 */
 	Optional<ProgramCall> programCall();
 
 	/**
-	 * Returns the key that marks resends of this call.
-	 * @return the key, or an empty result
+	 * Returns the key that identifies retries of this call.
+	 * @return the idempotency key, or an empty result
 	 */
 	Optional<IdempotencyKey> idempotencyKey();
 
 	/**
-	 * Returns the digest of what is asked, by which a resend is told from another request
-	 * with the same key or number.
+	 * Returns the digest of the request content, which distinguishes a retry from another
+	 * request with the same key or number.
 	 * @return the digest of the content
 	 */
 	Digest contentDigest();
 
 	/**
-	 * A call of a model.
+	 * Call of a model.
 	 *
 	 * @param group the group the call is charged to
-	 * @param programCall the place in a program, if it belongs to one
-	 * @param idempotencyKey the key that marks resends, if the caller gave one
-	 * @param contentDigest the digest of what is asked
+	 * @param programCall the program and number of the call, if it belongs to a program
+	 * @param idempotencyKey the key that identifies retries, if the caller sent one
+	 * @param contentDigest the digest of the request content
 	 * @param model the model
 	 * @param mode how the messages relate to the history
-	 * @param messages the messages, each a JSON object in canonical text
-	 * @param maximumTokens the most tokens to generate
-	 * @param parameters the further fields of the request, a JSON object
-	 * @param streamed whether the caller wants the answer as it is generated
+	 * @param messages the messages, each a JSON object in canonical form
+	 * @param maxTokens the maximum number of tokens to generate
+	 * @param parameters the other fields of the request as a JSON object
+	 * @param streamed whether the response is streamed to the caller
 	 */
 	record ForModel(GroupName group, Optional<ProgramCall> programCall, Optional<IdempotencyKey> idempotencyKey,
 			Digest contentDigest, ModelName model, HistoryMode mode, List<String> messages, int maxTokens,
@@ -61,15 +60,16 @@
 		/**
 		 * Creates a call of a model.
 		 * @param group the group the call is charged to
-		 * @param programCall the place in a program, if it belongs to one
-		 * @param idempotencyKey the key that marks resends, if the caller gave one
-		 * @param contentDigest the digest of what is asked
+		 * @param programCall the program and number of the call, if it belongs to a
+		 * program
+		 * @param idempotencyKey the key that identifies retries, if the caller sent one
+		 * @param contentDigest the digest of the request content
 		 * @param model the model
 		 * @param mode how the messages relate to the history
-		 * @param messages the messages, each a JSON object in canonical text
-		 * @param maximumTokens the most tokens to generate
-		 * @param parameters the further fields of the request, a JSON object
-		 * @param streamed whether the caller wants the answer as it is generated
+		 * @param messages the messages, each a JSON object in canonical form
+		 * @param maxTokens the maximum number of tokens to generate
+		 * @param parameters the other fields of the request as a JSON object
+		 * @param streamed whether the response is streamed to the caller
 		 */
 		public ForModel {
 			messages = List.copyOf(messages);
@@ -78,15 +78,15 @@
 	}
 
 	/**
-	 * A call of a plain service.
+	 * Call of a plain service.
 	 *
 	 * @param group the group the call is charged to
-	 * @param programCall the place in a program, if it belongs to one
-	 * @param idempotencyKey the key that marks resends, if the caller gave one
-	 * @param contentDigest the digest of what is asked
+	 * @param programCall the program and number of the call, if it belongs to a program
+	 * @param idempotencyKey the key that identifies retries, if the caller sent one
+	 * @param contentDigest the digest of the request content
 	 * @param service the service
-	 * @param message the HTTP request to pass on
-	 * @param repeatable whether the configuration allows running the call again
+	 * @param request the HTTP request to forward
+	 * @param repeatable whether the configuration allows repeating the call
 	 */
 	record ForService(GroupName group, Optional<ProgramCall> programCall, Optional<IdempotencyKey> idempotencyKey,
 			Digest contentDigest, ServiceName service, ServiceRequest request,
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/CallResponse.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/CallResponse.java
@@ -3,36 +3,35 @@
 import java.util.List;
 
 /**
- * The answer of an upstream. Implementations are immutable and safe for use by several
- * threads.
+ * Response of an upstream. Implementations are immutable and thread-safe.
  */
 public sealed interface CallResponse {
 
 	/**
-	 * The answer of a model.
+	 * Response of a model.
 	 *
-	 * @param message the assistant's message, a JSON object
-	 * @param finishReason why the generation ended, in the words of the callers'
-	 * interface
-	 * @param usage the tokens taken
+	 * @param message the assistant's message as a JSON object
+	 * @param finishReason the reason why the generation ended, as defined by the callers'
+	 * API
+	 * @param usage the tokens used
 	 */
 	record FromModel(String message, String finishReason, Usage usage) implements CallResponse {
 
 	}
 
 	/**
-	 * The answer of a plain service.
+	 * Response of a plain service.
 	 *
 	 * @param status the HTTP status
-	 * @param headers the headers to pass back
+	 * @param headers the headers to return to the caller
 	 * @param body the body
 	 */
 	record FromService(int status, List<Header> headers, Body body) implements CallResponse {
 
 		/**
-		 * Creates an answer.
+		 * Creates a response.
 		 * @param status the HTTP status
-		 * @param headers the headers to pass back
+		 * @param headers the headers to return to the caller
 		 * @param body the body
 		 */
 		public FromService {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/Durability.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/Durability.java
@@ -1,22 +1,23 @@
 package io.lentilslip.core.call;
 
 /**
- * Whether the turn of an answer is in the log. Safe for use by several threads.
+ * Durability of the turn of a response. Thread-safe.
  */
 public enum Durability {
 
 	/**
-	 * The log holds the turn: it outlives every process.
+	 * The turn is committed to the log.
 	 */
 	COMMITTED,
 
 	/**
-	 * The log could not be reached in time: the turn is held in memory until it can.
+	 * The log was not reachable in time. The turn is held in memory until it can be
+	 * committed.
 	 */
 	PENDING,
 
 	/**
-	 * The call belongs to no program and leaves nothing to keep.
+	 * The call belongs to no program, so its turn is not stored.
 	 */
 	NOT_KEPT
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/FailureCause.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/FailureCause.java
@@ -1,17 +1,17 @@
 package io.lentilslip.core.call;
 
 /**
- * Why a call had no answer. Safe for use by several threads.
+ * Cause of a failed call. Thread-safe.
  */
 public enum FailureCause {
 
 	/**
-	 * The request is malformed or names what does not exist.
+	 * The request is malformed or refers to an unknown name.
 	 */
 	INVALID(400, false),
 
 	/**
-	 * The caller is unknown.
+	 * The caller is not authenticated.
 	 */
 	UNAUTHORIZED(401, false),
 
@@ -26,17 +26,17 @@
 	NOT_FOUND(404, false),
 
 	/**
-	 * The messages do not begin with the history held.
+	 * The messages do not start with the stored history.
 	 */
 	HISTORY_MISMATCH(409, false),
 
 	/**
-	 * A call before this one has not run.
+	 * A preceding call of the program has not run.
 	 */
 	OUT_OF_ORDER(409, true),
 
 	/**
-	 * The key or number belongs to a request with other content.
+	 * The key or number was already used for a request with different content.
 	 */
 	KEY_REUSED(409, false),
 
@@ -46,7 +46,7 @@
 	PROGRAM_ENDED(410, false),
 
 	/**
-	 * A body, history or answer is larger than allowed.
+	 * A body, history or response exceeds its size limit.
 	 */
 	TOO_LARGE(413, false),
 
@@ -56,12 +56,12 @@
 	LIMIT_REACHED(422, false),
 
 	/**
-	 * The request crashed as many upstreams as are allowed to it.
+	 * The request reached the limit of upstream crashes.
 	 */
 	CRASHES_UPSTREAMS(422, false),
 
 	/**
-	 * The group's budget of this period is spent.
+	 * The group's budget for this period is exhausted.
 	 */
 	BUDGET_EXHAUSTED(429, true),
 
@@ -71,32 +71,32 @@
 	QUEUE_FULL(429, true),
 
 	/**
-	 * The deadline passed while the request waited.
+	 * The deadline passed while the request was queued.
 	 */
 	DEADLINE_PASSED(504, false),
 
 	/**
-	 * The process is stopping: another one takes the request.
+	 * The process is shutting down; another process can serve the request.
 	 */
 	STOPPING(503, true),
 
 	/**
-	 * The process waits for its configuration or for the log.
+	 * The process is waiting for its configuration or for the log.
 	 */
 	NOT_READY(503, true),
 
 	/**
-	 * No upstream for this request can be reached.
+	 * No upstream for this request is reachable.
 	 */
 	NO_UPSTREAM(503, true),
 
 	/**
-	 * The log service cannot be reached and the request needs it.
+	 * The request requires the log service, which is unreachable.
 	 */
 	LOG_UNAVAILABLE(503, true),
 
 	/**
-	 * The program has another home than the one asked.
+	 * The receiving sidecar is not the home of the program.
 	 */
 	MOVED(503, true),
 
@@ -106,17 +106,17 @@
 	UPSTREAM_FAILED(502, true),
 
 	/**
-	 * An attempt may have run and its outcome cannot be learned.
+	 * An attempt may have run and its outcome cannot be determined.
 	 */
 	OUTCOME_UNKNOWN(502, false),
 
 	/**
-	 * The caller gave the request up.
+	 * The caller cancelled the request.
 	 */
 	CANCELLED(499, false),
 
 	/**
-	 * A fault of this system.
+	 * An internal error.
 	 */
 	INTERNAL(500, false);
 
@@ -130,7 +130,7 @@
 	}
 
 	/**
-	 * Returns the HTTP status by which callers see this cause.
+	 * Returns the HTTP status returned to callers for this cause.
 	 * @return the HTTP status
 	 */
 	public int status() {
@@ -139,7 +139,7 @@
 
 	/**
 	 * Returns whether the same request may succeed later.
-	 * @return {@code true} if asking again later makes sense
+	 * @return {@code true} if the request may be retried
 	 */
 	public boolean isTransient() {
 		return this.transientCause;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/Header.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/Header.java
@@ -1,7 +1,7 @@
 package io.lentilslip.core.call;
 
 /**
- * A header of an HTTP message. Immutable and safe for use by several threads.
+ * Immutable header of an HTTP message. Thread-safe.
  *
  * @param name the name
  * @param value the value
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/HistoryMode.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/HistoryMode.java
@@ -1,19 +1,18 @@
 package io.lentilslip.core.call;
 
 /**
- * How the messages of a call relate to the history of its program. Safe for use by
- * several threads.
+ * Relation of the messages of a call to the history of its program. Thread-safe.
  */
 public enum HistoryMode {
 
 	/**
-	 * The caller sends the whole conversation, which must begin with the history held.
+	 * The caller sends the whole conversation, which must start with the stored history.
 	 */
 	WHOLE,
 
 	/**
-	 * The caller sends only what is new and leaves the history to the system. Such a call
-	 * bears a number, so that a turn missing from the history is noticed.
+	 * The caller sends only new messages, which are appended to the stored history. Such
+	 * a call carries a number, so that a turn missing from the history is detected.
 	 */
 	NEW
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/ServiceRequest.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/ServiceRequest.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * An HTTP request for a plain service. Immutable and safe for use by several threads.
+ * Immutable HTTP request to a plain service. Thread-safe.
  *
  * @param method the method
- * @param path the path with its query, beginning with a slash
- * @param headers the headers to pass on
+ * @param path the path and query, starting with a slash
+ * @param headers the headers to forward
  * @param body the body
  */
 public record ServiceRequest(String method, String path, List<Header> headers, Body body) {
@@ -15,8 +15,8 @@
 	/**
 	 * Creates a request.
 	 * @param method the method
-	 * @param path the path with its query, beginning with a slash
-	 * @param headers the headers to pass on
+	 * @param path the path and query, starting with a slash
+	 * @param headers the headers to forward
 	 * @param body the body
 	 */
 	public ServiceRequest {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/Usage.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/Usage.java
@@ -1,22 +1,22 @@
 package io.lentilslip.core.call;
 
 /**
- * The tokens that a call took. Immutable and safe for use by several threads.
+ * Immutable token usage of a call. Thread-safe.
  *
  * @param promptTokens the tokens of the prompt
- * @param cachedTokens those of them that the engine had cached
- * @param generatedTokens the tokens generated
+ * @param cachedTokens the prompt tokens found in the engine's cache
+ * @param generatedTokens the generated tokens
  */
 public record Usage(int promptTokens, int cachedTokens, int generatedTokens) {
 
 	/**
-	 * The usage of a call that took no tokens.
+	 * The usage of a call without tokens.
 	 */
 	public static final Usage NONE = new Usage(0, 0, 0);
 
 	/**
 	 * Returns the tokens that count against a budget.
-	 * @return prompt and generated tokens
+	 * @return the sum of prompt and generated tokens
 	 */
 	public long total() {
 		return (long) this.promptTokens + this.generatedTokens;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Calls of callers, their answers and the ways in which they end.
+ * Requests of callers, their responses and outcomes.
  */
 package io.lentilslip.core.call;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/link/AttemptId.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/link/AttemptId.java
@@ -3,12 +3,12 @@
 import io.lentilslip.core.identity.Incarnation;
 
 /**
- * One attempt of an entry to have a call run. The entry's incarnation is part of it, so
- * that an answer for an attempt of an earlier life never meets a call of this one.
- * Immutable and safe for use by several threads.
+ * Immutable identifier of an attempt of an entry to run a call. It includes the entry's
+ * incarnation, so that a response to an attempt of an earlier incarnation is never
+ * matched to a call of the current one. Thread-safe.
  *
- * @param entry the life of the entry that makes the attempt
- * @param number a number that this life of the entry uses once
+ * @param entry the incarnation of the entry that makes the attempt
+ * @param number a number that is unique within the incarnation
  */
 public record AttemptId(Incarnation entry, long number) implements Comparable<AttemptId> {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/link/LinkMessage.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/link/LinkMessage.java
@@ -15,9 +15,9 @@
 import io.lentilslip.core.ledger.Epoch;
 
 /**
- * A message on a link between two processes. Messages of one link arrive in the order in
- * which they were sent, or the link ends. Implementations are immutable and safe for use
- * by several threads.
+ * Message on a link between two processes. The messages of a link arrive in the order in
+ * which they were sent until the link is closed. Implementations are immutable and
+ * thread-safe.
  */
 public sealed interface LinkMessage {
 
@@ -36,25 +36,26 @@
 	}
 
 	/**
-	 * The first message of each side, once the shared secret is proved.
+	 * The first message of each side after authentication by the shared secret.
 	 *
-	 * @param process the process that speaks
-	 * @param zone the availability zone it is in
-	 * @param configurationVersion the newest configuration it has, or -1 for none
+	 * @param process the sending process
+	 * @param zone its availability zone
+	 * @param configurationVersion the version of its newest configuration, or -1 without
+	 * one
 	 */
 	record Hello(ProcessId process, ZoneName zone, long configurationVersion) implements ToSidecar, FromSidecar {
 
 	}
 
 	/**
-	 * A sign of life, sent when nothing else is.
+	 * A heartbeat, sent while the link is idle.
 	 */
 	record Heartbeat() implements ToSidecar, FromSidecar {
 
 	}
 
 	/**
-	 * A published configuration, for a peer that has an older one or none.
+	 * A published configuration, for a peer with an older one or none.
 	 *
 	 * @param version the offset of its record in the log
 	 * @param source the bytes of its record
@@ -68,10 +69,10 @@
 	 *
 	 * @param attempt the attempt
 	 * @param call the call
-	 * @param standing by what right the sidecar may run it
-	 * @param timeLeft the time left until the caller's deadline
-	 * @param delivered the text of the answer that the caller already has, from an
-	 * attempt at an earlier home; the answer must go on after it
+	 * @param authority the claim by which the sidecar may run it
+	 * @param timeout the time until the caller's deadline
+	 * @param deliveredText the text already delivered to the caller by an attempt at an
+	 * earlier home, after which the response must continue
 	 */
 	record Dispatch(AttemptId attempt, CallRequest call, ExecutionAuthority authority, Duration timeout,
 			String deliveredText) implements ToSidecar {
@@ -79,7 +80,7 @@
 	}
 
 	/**
-	 * A wish to end an attempt, since the caller has gone.
+	 * A request to cancel an attempt, since the caller has disconnected.
 	 *
 	 * @param attempt the attempt
 	 */
@@ -88,9 +89,9 @@
 	}
 
 	/**
-	 * A question for the state and history of a program.
+	 * A request for the state and history of a program.
 	 *
-	 * @param attempt the number under which the answer is reported
+	 * @param attempt the identifier of the response
 	 * @param program the program
 	 */
 	record ProgramRequest(AttemptId attempt, ProgramId program) implements ToSidecar {
@@ -98,7 +99,7 @@
 	}
 
 	/**
-	 * A call that the sidecar took into its queue.
+	 * A call was queued by the sidecar.
 	 *
 	 * @param attempt the attempt
 	 */
@@ -107,41 +108,41 @@
 	}
 
 	/**
-	 * A call that began to run at the upstream.
+	 * A call was started at the upstream.
 	 *
 	 * @param attempt the attempt
-	 * @param queued the time it waited beside the upstream
+	 * @param queueTime the time it was queued at the sidecar
 	 */
 	record Started(AttemptId attempt, Duration queueTime) implements FromSidecar {
 
 	}
 
 	/**
-	 * A part of an answer.
+	 * A part of a response.
 	 *
 	 * @param attempt the attempt
 	 * @param sequence the number of this part, from 0
-	 * @param text the text that follows what came before
+	 * @param text the text that follows the previous parts
 	 */
 	record Delta(AttemptId attempt, int sequence, String text) implements FromSidecar {
 
 	}
 
 	/**
-	 * The end of an attempt.
+	 * An attempt has ended.
 	 *
 	 * @param attempt the attempt
-	 * @param outcome how it ended
+	 * @param outcome the outcome
 	 */
 	record Finished(AttemptId attempt, CallOutcome outcome) implements FromSidecar {
 
 	}
 
 	/**
-	 * The state of a program, or its absence.
+	 * The response to a {@link ProgramRequest}.
 	 *
-	 * @param attempt the number under which it was asked
-	 * @param view the state, if the sidecar knows the program
+	 * @param attempt the identifier of the request
+	 * @param view the state, if the program is known to the sidecar
 	 */
 	record ProgramResponse(AttemptId attempt, Optional<ProgramView> view) implements FromSidecar {
 
@@ -150,23 +151,23 @@
 	/**
 	 * The load of a sidecar.
 	 *
-	 * @param queued the calls waiting
-	 * @param running the calls at the upstream
-	 * @param limit the most calls at the upstream at once
+	 * @param queued the number of queued calls
+	 * @param running the number of running calls at the upstream
+	 * @param limit the maximum number of concurrent calls at the upstream
 	 * @param heldTokens the tokens of engine memory held for programs
-	 * @param warmPrefixes the digests of histories that are warm, newest first, bounded
+	 * @param warmPrefixes the digests of the most recent cached histories, newest first
 	 */
 	record LoadReport(int queued, int running, int limit, long heldTokens,
 			List<Digest> warmPrefixes) implements FromSidecar {
 
 		/**
 		 * Creates a report.
-		 * @param queued the calls waiting
-		 * @param running the calls at the upstream
-		 * @param limit the most calls at the upstream at once
+		 * @param queued the number of queued calls
+		 * @param running the number of running calls at the upstream
+		 * @param limit the maximum number of concurrent calls at the upstream
 		 * @param heldTokens the tokens of engine memory held for programs
-		 * @param warmPrefixes the digests of histories that are warm, newest first,
-		 * bounded
+		 * @param warmPrefixes the digests of the most recent cached histories, newest
+		 * first
 		 */
 		public LoadReport {
 			warmPrefixes = List.copyOf(warmPrefixes);
@@ -175,7 +176,7 @@
 	}
 
 	/**
-	 * The announcement that a sidecar leaves: it takes no new work.
+	 * A sidecar is draining and accepts no new calls.
 	 */
 	record Draining() implements FromSidecar {
 
@@ -187,9 +188,9 @@
 	 * @param program the program
 	 * @param epoch the epoch of its home
 	 * @param lastCall the number of its last turn, or 0
-	 * @param pendingTurns the turns not yet in the log
-	 * @param ended why it ended, if it has
-	 * @param messages its history, each message a JSON object
+	 * @param pendingTurns the number of turns not yet committed to the log
+	 * @param endReason the reason why it ended, if it has ended
+	 * @param messages its history as JSON objects
 	 */
 	record ProgramView(ProgramId program, Epoch epoch, int lastCall, int pendingTurns, Optional<EndReason> endReason,
 			List<String> messages) {
@@ -199,9 +200,9 @@
 		 * @param program the program
 		 * @param epoch the epoch of its home
 		 * @param lastCall the number of its last turn, or 0
-		 * @param pendingTurns the turns not yet in the log
-		 * @param ended why it ended, if it has
-		 * @param messages its history, each message a JSON object
+		 * @param pendingTurns the number of turns not yet committed to the log
+		 * @param endReason the reason why it ended, if it has ended
+		 * @param messages its history as JSON objects
 		 */
 		public ProgramView {
 			messages = List.copyOf(messages);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/verdict/Verdict.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/verdict/Verdict.java
@@ -1,14 +1,14 @@
 package io.lentilslip.core.verdict;
 
 /**
- * What is known of a request's execution by an upstream. Each layer returns the verdict
- * it got from the layer below it, or a weaker one; no layer may turn
- * {@link #MAY_HAVE_RUN} into {@link #NOT_RUN}. Safe for use by several threads.
+ * What is known of the execution of a request by an upstream. Each layer returns the
+ * verdict of the layer below it or a weaker one; no layer may change
+ * {@link #MAY_HAVE_RUN} to {@link #NOT_RUN}. Thread-safe.
  */
 public enum Verdict {
 
 	/**
-	 * The request did not run and will not run by this attempt or an earlier one.
+	 * The request has not run and will not run in this attempt or an earlier one.
 	 */
 	NOT_RUN("not_run"),
 
@@ -18,7 +18,7 @@
 	MAY_HAVE_RUN("may_have_run"),
 
 	/**
-	 * The request ran to its end.
+	 * The request ran to completion.
 	 */
 	RAN("ran");
 
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * Returns the text by which callers see this verdict.
+	 * Returns the representation of this verdict in responses.
 	 * @return the text of the field {@code verdict}
 	 */
 	public String label() {
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Returns the verdict over two attempts of one request.
+	 * Returns the combined verdict of two attempts of one request.
 	 * @param other the verdict of the other attempt
 	 * @return {@link #RAN} if one ran, {@link #NOT_RUN} only if neither may have run
 	 */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/verdict/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/verdict/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What is known of a request's execution.
+ * Verdicts on the execution of requests.
  */
 package io.lentilslip.core.verdict;
