--- a/lentilslip-core/src/main/java/io/lentilslip/core/reducer/Reducer.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/reducer/Reducer.java
@@ -1,10 +1,9 @@
 package io.lentilslip.core.reducer;
 
 /**
- * A function that holds all decisions of a role. It reads no clock, draws no random
- * numbers and does no I/O: time and seeds arrive in events, and what is to be done leaves
- * as effects. The same state and event give the same step. Implementations are safe for
- * use by several threads.
+ * State machine that makes all decisions of a role. It is deterministic: it reads no
+ * clock, generates no random numbers and performs no I/O. Time and seeds are passed in
+ * events, and actions are returned as effects. Implementations are thread-safe.
  *
  * @param <S> the type of the state, which is immutable
  * @param <E> the type of the events
@@ -13,7 +12,7 @@
 public interface Reducer<S, E, F> {
 
 	/**
-	 * Returns what follows from an event.
+	 * Applies an event to a state.
 	 * @param state the state before the event
 	 * @param event the event
 	 * @return the state after the event and the effects to run
--- a/lentilslip-core/src/main/java/io/lentilslip/core/reducer/Step.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/reducer/Step.java
@@ -4,20 +4,20 @@
 import java.util.Objects;
 
 /**
- * What a reducer made of one event: the state that follows and the effects to run, in
- * their order. Immutable and safe for use by several threads if the state is.
+ * Immutable result of applying one event: the new state and the effects to run in order.
+ * Thread-safe if the state is.
  *
  * @param <S> the type of the state
  * @param <F> the type of the effects
  * @param state the state after the event
- * @param effects the effects to run, in their order
+ * @param effects the effects to run in order
  */
 public record Step<S, F>(S state, List<F> effects) {
 
 	/**
 	 * Creates a step.
 	 * @param state the state after the event
-	 * @param effects the effects to run, in their order
+	 * @param effects the effects to run in order
 	 */
 	public Step {
 		Objects.requireNonNull(state, "state");
@@ -25,7 +25,7 @@
 	}
 
 	/**
-	 * Returns a step that runs no effects.
+	 * Returns a step without effects.
 	 * @param <S> the type of the state
 	 * @param <F> the type of the effects
 	 * @param state the state after the event
--- a/lentilslip-core/src/main/java/io/lentilslip/core/reducer/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/reducer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The shape of all decisions: a state and an event give a state and effects.
+ * Deterministic state machines that map a state and an event to a new state and effects.
  */
 package io.lentilslip.core.reducer;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/AppendId.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/AppendId.java
@@ -1,10 +1,9 @@
 package io.lentilslip.core.role;
 
 /**
- * The number by which a process knows one of its appends. Immutable and safe for use by
- * several threads.
+ * Immutable identifier of an append. Thread-safe.
  *
- * @param value a number that this process uses once
+ * @param value a number that is unique within the process
  */
 public record AppendId(long value) {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/AppendResult.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/AppendResult.java
@@ -1,22 +1,22 @@
 package io.lentilslip.core.role;
 
 /**
- * How an append to the log ended. Safe for use by several threads.
+ * Result of an append to the log. Thread-safe.
  */
 public enum AppendResult {
 
 	/**
-	 * The log holds the record.
+	 * The record is stored in the log.
 	 */
 	APPENDED,
 
 	/**
-	 * The log surely does not hold the record and will not.
+	 * The record is not stored in the log and will not be.
 	 */
 	NOT_APPENDED,
 
 	/**
-	 * The log may hold the record, or may yet: its answer was lost.
+	 * The response of the log was lost: the record may be stored, or may be stored later.
 	 */
 	UNKNOWN
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/LogEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/LogEvent.java
@@ -6,8 +6,7 @@
 import io.lentilslip.core.ledger.LedgerRecord;
 
 /**
- * What a process learns of the log service. Implementations are immutable and safe for
- * use by several threads.
+ * Event of the log service. Implementations are immutable and thread-safe.
  */
 public sealed interface LogEvent {
 
@@ -18,22 +17,21 @@
 	Instant now();
 
 	/**
-	 * A log record was read: the next one of the stream.
+	 * The next log record was read.
 	 *
 	 * @param offset the offset of the log record
-	 * @param time the log's time of the record
-	 * @param batch the ledger records in it, in their order
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param logTime the log's timestamp of the record
+	 * @param batch the ledger records that it contains, in order
+	 * @param now the time of the event by the local monotonic clock
 	 */
 	record BatchRead(long offset, Instant logTime, List<LedgerRecord> batch, Instant now) implements LogEvent {
 
 		/**
-		 * Creates a value.
+		 * Creates an event.
 		 * @param offset the offset of the log record
-		 * @param time the log's time of the record
-		 * @param batch the ledger records in it, in their order
-		 * @param now the time of the event, by a clock of this process that never goes
-		 * back
+		 * @param logTime the log's timestamp of the record
+		 * @param batch the ledger records that it contains, in order
+		 * @param now the time of the event by the local monotonic clock
 		 */
 		public BatchRead {
 			batch = List.copyOf(batch);
@@ -42,10 +40,10 @@
 	}
 
 	/**
-	 * All records that the log held when it was asked have been read.
+	 * All records up to the end of the log at the time of the request have been read.
 	 *
-	 * @param next the offset of the next append
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param nextOffset the offset of the next append
+	 * @param now the time of the event by the local monotonic clock
 	 */
 	record CaughtUp(long nextOffset, Instant now) implements LogEvent {
 
@@ -54,29 +52,29 @@
 	/**
 	 * The log could not be read.
 	 *
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event by the local monotonic clock
 	 */
 	record Unreachable(Instant now) implements LogEvent {
 
 	}
 
 	/**
-	 * Records passed the retention of the log before they were read.
+	 * Records were deleted by the log's retention before they were read.
 	 *
-	 * @param from the offset that was to be read
-	 * @param first the oldest offset that is left
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param expectedOffset the offset to be read next
+	 * @param firstOffset the first offset still in the log
+	 * @param now the time of the event by the local monotonic clock
 	 */
 	record GapDetected(long expectedOffset, long firstOffset, Instant now) implements LogEvent {
 
 	}
 
 	/**
-	 * An append ended.
+	 * An append has ended.
 	 *
 	 * @param append the append
-	 * @param result how it ended
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param result the result
+	 * @param now the time of the event by the local monotonic clock
 	 */
 	record AppendEnded(AppendId append, AppendResult result, Instant now) implements LogEvent {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/LogView.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/LogView.java
@@ -6,19 +6,19 @@
 import io.lentilslip.core.ledger.Ledger;
 
 /**
- * What a process has read of the log. Immutable and safe for use by several threads.
+ * Immutable view of the log as read by a process. Thread-safe.
  *
- * @param ledger the reading of the records
+ * @param ledger the ledger built from the records
  * @param nextOffset the offset of the next record to read
- * @param lastRecordTime the log's time of the last record read
- * @param unreachableSince since when the log cannot be read, if it cannot
- * @param catchUpCount how often all records that the log held had been read
+ * @param lastRecordTime the log's timestamp of the last record read
+ * @param unreachableSince the time since which the log has been unreachable, if it is
+ * @param catchUpCount how often the process has caught up with the end of the log
  */
 public record LogView(Ledger ledger, long nextOffset, Instant lastRecordTime, Optional<Instant> unreachableSince,
 		long catchUpCount) {
 
 	/**
-	 * Returns the view of a process that has read nothing.
+	 * Returns the view before any record has been read.
 	 * @return a view without records
 	 */
 	public static LogView empty() {
@@ -36,26 +36,26 @@
 
 	/**
 	 * Returns this view with another ledger.
-	 * @param read the ledger
+	 * @param replacement the ledger
 	 * @return the view
 	 */
-	public LogView withLedger(Ledger read) {
-		return new LogView(read, this.nextOffset, this.lastRecordTime, this.unreachableSince, this.catchUpCount);
+	public LogView withLedger(Ledger replacement) {
+		return new LogView(replacement, this.nextOffset, this.lastRecordTime, this.unreachableSince, this.catchUpCount);
 	}
 
 	/**
-	 * Returns this view after a record was read to its end.
+	 * Returns this view after a record was processed.
 	 * @param offset the offset of the next record
-	 * @param at the log's time of the record
+	 * @param logTime the log's timestamp of the record
 	 * @return the view
 	 */
-	public LogView advanceTo(long offset, Instant at) {
-		return new LogView(this.ledger, offset, at, Optional.empty(), this.catchUpCount);
+	public LogView advanceTo(long offset, Instant logTime) {
+		return new LogView(this.ledger, offset, logTime, Optional.empty(), this.catchUpCount);
 	}
 
 	/**
-	 * Returns this view after the log could not be read.
-	 * @param now the time of this process
+	 * Returns this view after a read of the log failed.
+	 * @param now the local time
 	 * @return the view
 	 */
 	public LogView unreachable(Instant now) {
@@ -64,7 +64,7 @@
 	}
 
 	/**
-	 * Returns this view after all records were read that the log held.
+	 * Returns this view after catching up with the end of the log.
 	 * @return the view
 	 */
 	public LogView caughtUp() {
@@ -72,8 +72,8 @@
 	}
 
 	/**
-	 * Returns whether the log can be read, as far as is known.
-	 * @return whether it can be read
+	 * Returns whether the log is reachable, as last observed.
+	 * @return whether it is reachable
 	 */
 	public boolean isReachable() {
 		return this.unreachableSince.isEmpty();
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/NodeEffect.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/NodeEffect.java
@@ -5,14 +5,13 @@
 import io.lentilslip.core.notice.Notice;
 
 /**
- * What a process of either role does. Implementations are immutable and safe for use by
- * several threads.
+ * Effect of a process of either role. Implementations are immutable and thread-safe.
  */
 public sealed interface NodeEffect {
 
 	/**
-	 * Append a ledger record to the log, in the order of these effects, together with
-	 * others if that saves appends. Reported by {@link LogEvent.AppendEnded}.
+	 * Appends a ledger record to the log. Records are appended in the order of their
+	 * effects and may be batched. Reported by {@link LogEvent.AppendEnded}.
 	 *
 	 * @param append the append
 	 * @param record the record
@@ -22,7 +21,7 @@
 	}
 
 	/**
-	 * Write a numbered event to the log of the process.
+	 * Writes a numbered event to the process log.
 	 *
 	 * @param notice the event
 	 */
@@ -31,16 +30,16 @@
 	}
 
 	/**
-	 * Count something.
+	 * Records a measurement.
 	 *
-	 * @param measurement what to count
+	 * @param measurement the measurement
 	 */
 	record RecordMeasurement(Measurement measurement) implements NodeEffect {
 
 	}
 
 	/**
-	 * All work is done and the process may end.
+	 * All work is done and the process may exit.
 	 */
 	record Stopped() implements NodeEffect {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/NodeEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/NodeEvent.java
@@ -7,8 +7,7 @@
 import io.lentilslip.core.identity.VmName;
 
 /**
- * What happens to a process of either role. Implementations are immutable and safe for
- * use by several threads.
+ * Event of a process of either role. Implementations are immutable and thread-safe.
  */
 public sealed interface NodeEvent {
 
@@ -19,42 +18,42 @@
 	Instant now();
 
 	/**
-	 * A configuration came into force.
+	 * A configuration was accepted.
 	 *
-	 * @param version its version: the offset of its record
+	 * @param version its version, which is the offset of its record
 	 * @param configuration the configuration
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event by the local monotonic clock
 	 */
 	record ConfigurationAccepted(long version, Configuration configuration, Instant now) implements NodeEvent {
 
 	}
 
 	/**
-	 * The list of VMs was read. It lags: a VM missing from it may run, and one on it may
-	 * be gone.
+	 * The list of VMs was read. The list may be stale: a VM missing from it may be
+	 * running, and a listed one may have stopped.
 	 *
-	 * @param live the VMs said to be live
-	 * @param leaving the VMs said to be leaving
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param live the VMs listed as live
+	 * @param draining the VMs listed as draining
+	 * @param now the time of the event by the local monotonic clock
 	 */
 	record VmListRead(Set<VmName> live, Set<VmName> draining, Instant now) implements NodeEvent {
 
 	}
 
 	/**
-	 * Some time passed.
+	 * A periodic tick.
 	 *
-	 * @param now the time of the event, by a clock of this process that never goes back
-	 * @param seed a random number for the decisions that follow
+	 * @param now the time of the event by the local monotonic clock
+	 * @param seed a seed for random decisions
 	 */
 	record Ticked(Instant now, long seed) implements NodeEvent {
 
 	}
 
 	/**
-	 * The process was asked to stop.
+	 * A shutdown was requested.
 	 *
-	 * @param now the time of the event, by a clock of this process that never goes back
+	 * @param now the time of the event by the local monotonic clock
 	 */
 	record StopRequested(Instant now) implements NodeEvent {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/TimerQueue.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/TimerQueue.java
@@ -10,13 +10,13 @@
 import io.vavr.collection.TreeMap;
 
 /**
- * Things to do at a time. An item that no longer matters may be taken out, which keeps
- * the agenda small where items are due late; otherwise whoever gets it looks whether it
- * still does. The same item at the same time stands once. Adding and taking cost a
- * logarithm of the number of times. Immutable and safe for use by several threads if the
- * items are.
+ * Immutable queue of items ordered by due time. An obsolete item may be removed early,
+ * which keeps the queue small if due times are far in the future; otherwise its consumer
+ * must check whether it still applies. An item is held at most once per due time. Adding
+ * and removing an item takes time logarithmic in the number of due times. Thread-safe if
+ * the items are.
  *
- * @param <T> the type of the items, which are equal by their values
+ * @param <T> the type of the items, which must define equality by value
  */
 public final class TimerQueue<T> {
 
@@ -30,58 +30,58 @@
 	}
 
 	/**
-	 * Returns an agenda without items.
+	 * Returns an empty queue.
 	 * @param <T> the type of the items
-	 * @return an empty agenda
+	 * @return an empty queue
 	 */
 	public static <T> TimerQueue<T> empty() {
 		return new TimerQueue<>(TreeMap.empty(), 0);
 	}
 
 	/**
-	 * Returns an agenda with one more item.
-	 * @param time when the item is due
+	 * Returns this queue with an item added.
+	 * @param time the due time of the item
 	 * @param item the item
-	 * @return the longer agenda
+	 * @return the queue with the item
 	 */
 	public TimerQueue<T> with(Instant time, T item) {
-		Set<T> others = this.items.getOrElse(time, LinkedHashSet.empty());
-		if (others.contains(item)) {
+		Set<T> otherItems = this.items.getOrElse(time, LinkedHashSet.empty());
+		if (otherItems.contains(item)) {
 			return this;
 		}
-		return new TimerQueue<>(this.items.put(time, others.add(item)), this.size + 1);
+		return new TimerQueue<>(this.items.put(time, otherItems.add(item)), this.size + 1);
 	}
 
 	/**
-	 * Returns an agenda without an item.
-	 * @param time when the item was due
+	 * Returns this queue without an item.
+	 * @param time the due time of the item
 	 * @param item the item
-	 * @return the shorter agenda, or this one if the item does not stand at that time
+	 * @return the queue without the item, or this one if the item has no such due time
 	 */
 	public TimerQueue<T> without(Instant time, T item) {
-		Set<T> there = this.items.getOrElse(time, LinkedHashSet.empty());
-		if (!there.contains(item)) {
+		Set<T> itemsAtTime = this.items.getOrElse(time, LinkedHashSet.empty());
+		if (!itemsAtTime.contains(item)) {
 			return this;
 		}
-		Set<T> others = there.remove(item);
-		SortedMap<Instant, Set<T>> left = (others.isEmpty()) ? this.items.remove(time) : this.items.put(time, others);
-		return new TimerQueue<>(left, this.size - 1);
+		Set<T> otherItems = itemsAtTime.remove(item);
+		SortedMap<Instant, Set<T>> remaining = (otherItems.isEmpty()) ? this.items.remove(time)
+				: this.items.put(time, otherItems);
+		return new TimerQueue<>(remaining, this.size - 1);
 	}
 
 	/**
-	 * Returns the items that are due, in the order of their times, and the agenda without
-	 * them.
-	 * @param now the time up to which items are due
-	 * @return the items due
+	 * Returns the due items in the order of their due times, and the queue without them.
+	 * @param now the current time
+	 * @return the due items
 	 */
 	public DueItems<T> pollDue(Instant now) {
-		SortedMap<Instant, Set<T>> left = this.items;
+		SortedMap<Instant, Set<T>> remaining = this.items;
 		List<T> due = new ArrayList<>();
-		while (!left.isEmpty() && !left.head()._1().isAfter(now)) {
-			left.head()._2().forEach(due::add);
-			left = left.tail();
+		while (!remaining.isEmpty() && !remaining.head()._1().isAfter(now)) {
+			remaining.head()._2().forEach(due::add);
+			remaining = remaining.tail();
 		}
-		return new DueItems<>(new TimerQueue<>(left, this.size - due.size()), due);
+		return new DueItems<>(new TimerQueue<>(remaining, this.size - due.size()), due);
 	}
 
 	/**
@@ -93,18 +93,18 @@
 	}
 
 	/**
-	 * The items that are due and the agenda that is left.
+	 * Due items and the remaining queue.
 	 *
 	 * @param <T> the type of the items
-	 * @param agenda the agenda that is left
-	 * @param items the items due, in the order of their times
+	 * @param remaining the remaining queue
+	 * @param items the due items in the order of their due times
 	 */
 	public record DueItems<T>(TimerQueue<T> remaining, List<T> items) {
 
 		/**
-		 * Creates a value.
-		 * @param agenda the agenda that is left
-		 * @param items the items due, in the order of their times
+		 * Creates a result.
+		 * @param remaining the remaining queue
+		 * @param items the due items in the order of their due times
 		 */
 		public DueItems {
 			items = List.copyOf(items);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/Transcript.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/Transcript.java
@@ -5,17 +5,17 @@
 import io.vavr.collection.Vector;
 
 /**
- * The text of an answer as far as it is known, kept in pieces so that a long answer is
- * not copied for each of them. Immutable and safe for use by several threads.
+ * Immutable text of a response received so far, stored in chunks to avoid copying it for
+ * each chunk. Thread-safe.
  *
- * @param chunks the pieces in their order
- * @param length the number of characters in all
+ * @param chunks the chunks in order
+ * @param length the total number of characters
  */
 public record Transcript(Vector<String> chunks, int length) {
 
 	/**
-	 * Returns a transcript that begins with a text.
-	 * @param text the text that is there already, which may be empty
+	 * Returns a transcript with an initial text.
+	 * @param text the initial text, which may be empty
 	 * @return the transcript
 	 */
 	public static Transcript of(String text) {
@@ -23,19 +23,19 @@
 	}
 
 	/**
-	 * Returns this transcript with one more piece.
-	 * @param piece the text that follows
-	 * @return the longer transcript
+	 * Returns this transcript with a chunk appended.
+	 * @param chunk the text to append
+	 * @return the transcript with the chunk
 	 */
-	public Transcript with(String piece) {
-		return new Transcript(this.chunks.append(piece), this.length + piece.length());
+	public Transcript with(String chunk) {
+		return new Transcript(this.chunks.append(chunk), this.length + chunk.length());
 	}
 
 	/**
-	 * Returns the text after the part that a listener has.
-	 * @param delivered the part that the listener has
-	 * @return the rest, or an empty result if this transcript does not begin with the
-	 * part
+	 * Returns the text after a prefix that has already been delivered.
+	 * @param delivered the delivered prefix
+	 * @return the remaining text, or an empty result if this transcript does not start
+	 * with the prefix
 	 */
 	public Optional<String> suffixAfter(String delivered) {
 		String text = text();
@@ -44,7 +44,7 @@
 
 	/**
 	 * Returns the whole text.
-	 * @return the whole text
+	 * @return the text
 	 */
 	public String text() {
 		return this.chunks.mkString();
--- a/lentilslip-core/src/main/java/io/lentilslip/core/role/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/role/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Events and effects that entries and sidecars have in common.
+ * Events, effects and values shared by entries and sidecars.
  */
 package io.lentilslip.core.role;
--- a/lentilslip-core/src/test/java/io/lentilslip/core/role/TimerQueueTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/role/TimerQueueTests.java
@@ -13,25 +13,25 @@
 	private static final Instant LATE = Instant.EPOCH.plusSeconds(2);
 
 	@Test
-	void givesWhatIsDueInTheOrderOfTimes() {
-		TimerQueue<String> agenda = TimerQueue.<String>empty().with(LATE, "c").with(EARLY, "a").with(EARLY, "b");
-		TimerQueue.DueItems<String> due = agenda.pollDue(EARLY);
+	void returnsDueItemsInTheOrderOfTheirTimes() {
+		TimerQueue<String> timers = TimerQueue.<String>empty().with(LATE, "c").with(EARLY, "a").with(EARLY, "b");
+		TimerQueue.DueItems<String> due = timers.pollDue(EARLY);
 		assertThat(due.items()).containsExactly("a", "b");
 		assertThat(due.remaining().size()).isEqualTo(1);
 		assertThat(due.remaining().pollDue(LATE).items()).containsExactly("c");
 	}
 
 	@Test
-	void givesNothingThatWasTakenOut() {
-		TimerQueue<String> agenda = TimerQueue.<String>empty().with(EARLY, "a").with(EARLY, "b").without(EARLY, "a");
-		assertThat(agenda.size()).isEqualTo(1);
-		assertThat(agenda.pollDue(LATE).items()).containsExactly("b");
+	void doesNotReturnRemovedItems() {
+		TimerQueue<String> timers = TimerQueue.<String>empty().with(EARLY, "a").with(EARLY, "b").without(EARLY, "a");
+		assertThat(timers.size()).isEqualTo(1);
+		assertThat(timers.pollDue(LATE).items()).containsExactly("b");
 	}
 
 	@Test
-	void takesNothingOutThatStandsAtAnotherTime() {
-		TimerQueue<String> agenda = TimerQueue.<String>empty().with(EARLY, "a").without(LATE, "a");
-		assertThat(agenda.pollDue(EARLY).items()).containsExactly("a");
+	void doesNotRemoveAnItemWithAnotherDueTime() {
+		TimerQueue<String> timers = TimerQueue.<String>empty().with(EARLY, "a").without(LATE, "a");
+		assertThat(timers.pollDue(EARLY).items()).containsExactly("a");
 	}
 
 }
