--- a/lentilslip-core/src/main/java/io/lentilslip/core/identity/Digest.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/identity/Digest.java
@@ -7,8 +7,7 @@
 import java.util.Objects;
 
 /**
- * A SHA-256 digest in lower-case hexadecimal digits. Immutable and safe for use by
- * several threads.
+ * Immutable SHA-256 digest in lower-case hexadecimal digits. Thread-safe.
  *
  * @param hex 64 hexadecimal digits
  */
@@ -19,43 +18,43 @@
 	private static final HexFormat FORMAT = HexFormat.of();
 
 	/**
-	 * The digest of no bytes, where a chain of digests begins.
+	 * The digest of an empty byte array, with which a chain of digests starts.
 	 */
 	public static final Digest EMPTY = of(new byte[0]);
 
 	/**
 	 * Creates a digest.
 	 * @param hex 64 hexadecimal digits
-	 * @throws IllegalArgumentException if the text has another length
+	 * @throws IllegalArgumentException if the text has a different length
 	 */
 	public Digest {
 		Objects.requireNonNull(hex, "hex");
 		if (hex.length() != DIGITS) {
-			throw new IllegalArgumentException("a digest has " + DIGITS + " digits, not " + hex.length());
+			throw new IllegalArgumentException("digest must have " + DIGITS + " digits: " + hex.length());
 		}
 	}
 
 	/**
-	 * Returns the digest of some bytes.
+	 * Returns the digest of a byte array.
 	 * @param bytes the bytes to digest
-	 * @return the digest of the bytes
+	 * @return the digest
 	 */
 	public static Digest of(byte[] bytes) {
 		return new Digest(FORMAT.formatHex(sha256().digest(bytes)));
 	}
 
 	/**
-	 * Returns the digest of a text in UTF-8.
+	 * Returns the digest of a text encoded in UTF-8.
 	 * @param text the text to digest
-	 * @return the digest of the text
+	 * @return the digest
 	 */
 	public static Digest of(String text) {
 		return of(text.getBytes(StandardCharsets.UTF_8));
 	}
 
 	/**
-	 * Returns the digest of this digest followed by another item. The digests of two
-	 * different lists of items differ, since each step has a fixed length.
+	 * Returns the digest of this digest followed by another one. The operands have a
+	 * fixed length, so chains over different lists of items have different digests.
 	 * @param item the digest of the item that follows
 	 * @return the digest of the longer list
 	 */
@@ -68,7 +67,7 @@
 			return MessageDigest.getInstance("SHA-256");
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("every Java platform has SHA-256", ex);
+			throw new IllegalStateException("SHA-256 is not available", ex);
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/identity/Incarnation.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/identity/Incarnation.java
@@ -1,22 +1,22 @@
 package io.lentilslip.core.identity;
 
 /**
- * One life of a process on a VM. A process draws a new random value at every start, so
- * that a process that came back at the same address is never taken for the one before it.
- * Immutable and safe for use by several threads.
+ * Immutable identifier of one run of a process. It is generated randomly at every start,
+ * so that a restarted process is never mistaken for an earlier one at the same address.
+ * Thread-safe.
  *
- * @param value a random number other than zero
+ * @param value a random number, not zero
  */
 public record Incarnation(long value) {
 
 	/**
 	 * Creates an incarnation.
-	 * @param value a random number other than zero
-	 * @throws IllegalArgumentException if the value is zero, which an unset field has
+	 * @param value a random number, not zero
+	 * @throws IllegalArgumentException if the value is zero, the value of an unset field
 	 */
 	public Incarnation {
 		if (value == 0) {
-			throw new IllegalArgumentException("an incarnation is not zero");
+			throw new IllegalArgumentException("incarnation must not be zero");
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/identity/ProcessId.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/identity/ProcessId.java
@@ -3,18 +3,17 @@
 import java.util.Objects;
 
 /**
- * One process of the system in one of its lives. Immutable and safe for use by several
- * threads.
+ * Immutable identity of one incarnation of a process. Thread-safe.
  *
  * @param vm the VM the process runs on
- * @param incarnation the life of the process
+ * @param incarnation the incarnation of the process
  */
 public record ProcessId(VmName vm, Incarnation incarnation) {
 
 	/**
-	 * Creates the identity of a process.
+	 * Creates an identity.
 	 * @param vm the VM the process runs on
-	 * @param incarnation the life of the process
+	 * @param incarnation the incarnation of the process
 	 */
 	public ProcessId {
 		Objects.requireNonNull(vm, "vm");
--- a/lentilslip-core/src/main/java/io/lentilslip/core/identity/ProgramId.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/identity/ProgramId.java
@@ -3,19 +3,18 @@
 import java.util.Objects;
 
 /**
- * The identity of a program. Group and name are kept apart, never joined to one text, so
- * that no separator in a name can make programs of two groups the same. Immutable and
- * safe for use by several threads.
+ * Immutable identity of a program. Group and name are separate components, so that a
+ * separator in a name cannot cause collisions between groups. Thread-safe.
  *
  * @param group the group the program is charged to
- * @param name the name within that group
+ * @param name the name within the group
  */
 public record ProgramId(GroupName group, ProgramName name) implements Comparable<ProgramId> {
 
 	/**
 	 * Creates an identity.
 	 * @param group the group the program is charged to
-	 * @param name the name within that group
+	 * @param name the name within the group
 	 */
 	public ProgramId {
 		Objects.requireNonNull(group, "group");
--- a/lentilslip-core/src/main/java/io/lentilslip/core/identity/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/identity/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Names and numbers by which processes, groups, programs and calls are told apart.
+ * Identifiers of processes, groups, programs and calls.
  */
 package io.lentilslip.core.identity;
