--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Budget.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Budget.java
@@ -4,17 +4,16 @@
 import java.util.Objects;
 
 /**
- * The tokens a group may use in each period. Immutable and safe for use by several
- * threads.
+ * Immutable number of tokens that a group may use per period. Thread-safe.
  *
- * @param tokens the tokens of one period; none at all stops the group
+ * @param tokens the tokens per period; zero blocks the group
  * @param period the length of a period
  */
 public record Budget(long tokens, Duration period) {
 
 	/**
 	 * Creates a budget.
-	 * @param tokens the tokens of one period
+	 * @param tokens the tokens per period
 	 * @param period the length of a period
 	 * @throws IllegalArgumentException if the tokens are negative or the period is not
 	 * positive
@@ -26,16 +25,16 @@
 	}
 
 	/**
-	 * Returns this budget, or an equal part of it for an equal part of a period that is
-	 * longer than another time. A fraction of a token is left out.
-	 * @param longest the longest period
-	 * @return a budget whose periods are not longer
+	 * Returns this budget divided into equal shorter periods if its period exceeds a
+	 * maximum. The tokens per period are rounded down.
+	 * @param maxPeriod the maximum length of a period
+	 * @return a budget with a period of at most the maximum
 	 */
-	public Budget splitTo(Duration longest) {
-		if (this.period.compareTo(longest) <= 0) {
+	public Budget splitTo(Duration maxPeriod) {
+		if (this.period.compareTo(maxPeriod) <= 0) {
 			return this;
 		}
-		long parts = Math.ceilDiv(this.period.toMillis(), longest.toMillis());
+		long parts = Math.ceilDiv(this.period.toMillis(), maxPeriod.toMillis());
 		return new Budget(this.tokens / parts, this.period.dividedBy(parts));
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/CallerPolicy.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/CallerPolicy.java
@@ -6,9 +6,8 @@
 import io.lentilslip.core.identity.GroupName;
 
 /**
- * A caller and the group it belongs to. Only the digest of the caller's key is held, so
- * that a published configuration lets nobody call in its place. Immutable and safe for
- * use by several threads.
+ * Immutable policy of a caller and its group. Only the digest of the caller's key is
+ * stored, so that a published configuration does not disclose the key. Thread-safe.
  *
  * @param name the caller
  * @param group the group the caller belongs to
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Configuration.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Configuration.java
@@ -23,11 +23,10 @@
 import io.lentilslip.core.identity.ZoneName;
 
 /**
- * The configuration of a site. Every name that a part refers to exists: the groups of
- * callers and rules, the callers of rules, the zones, models and services of upstreams.
- * No two callers have one key. Look-ups cost no more as the site grows, but for rules,
- * which are searched among those of one group or caller. Immutable and safe for use by
- * several threads.
+ * Immutable configuration of a site. All references are resolved: the groups of callers
+ * and rules, the callers of rules, the zones, models and services of upstreams. Each
+ * caller has a distinct key. Lookups take constant time, except that rules are searched
+ * among those of one group or caller. Thread-safe.
  */
 public final class Configuration {
 
@@ -88,7 +87,7 @@
 	}
 
 	/**
-	 * Returns a builder of a configuration with default limits and nothing else.
+	 * Returns a builder of an empty configuration with default limits.
 	 * @param site the name of the site
 	 * @return the builder
 	 */
@@ -227,7 +226,7 @@
 
 	/**
 	 * Returns the sum of all groups' shares.
-	 * @return the sum
+	 * @return the sum of the shares
 	 */
 	public long totalShare() {
 		return this.totalShare;
@@ -236,7 +235,7 @@
 	/**
 	 * Returns the caller that has a key.
 	 * @param keyDigest the digest of the key
-	 * @return the caller, or an empty result if nobody has the key
+	 * @return the caller, or an empty result if no caller has the key
 	 */
 	public Optional<CallerPolicy> caller(Digest keyDigest) {
 		return Optional.ofNullable(this.callersByKey.get(keyDigest));
@@ -245,15 +244,16 @@
 	/**
 	 * Returns the group of the caller that has a key.
 	 * @param keyDigest the digest of the key
-	 * @return the group, or an empty result if nobody has the key
+	 * @return the group, or an empty result if no caller has the key
 	 */
 	public Optional<GroupPolicy> groupOf(Digest keyDigest) {
 		return caller(keyDigest).flatMap((caller) -> group(caller.group()));
 	}
 
 	/**
-	 * Returns the group that a program of a caller belongs to: that of the rule with the
-	 * longest prefix among those that list the caller, else the caller's own.
+	 * Returns the group that a program of a caller is charged to: that of the rule with
+	 * the longest matching prefix among those that list the caller, or else the caller's
+	 * own group.
 	 * @param caller the caller
 	 * @param program the name of the program
 	 * @return the group the program is charged to
@@ -263,11 +263,11 @@
 	}
 
 	/**
-	 * Returns the rule over a program: the one with the longest prefix among those of the
+	 * Returns the rule of a program: the one with the longest matching prefix in the
 	 * program's group.
 	 * @param group the group the program is charged to
 	 * @param program the name of the program
-	 * @return the rule, or an empty result if none covers the program
+	 * @return the rule, or an empty result if no rule matches the program
 	 */
 	public Optional<ProgramRule> ruleFor(GroupName group, ProgramName program) {
 		return longest(this.rulesByGroup.get(group), program);
@@ -284,7 +284,7 @@
 	 * Returns the service class of a program.
 	 * @param group the group the program is charged to
 	 * @param program the name of the program
-	 * @return the class that the program's rule gives, else interactive
+	 * @return the class set by the program's rule, or else interactive
 	 */
 	public ServiceClass classOf(GroupName group, ProgramName program) {
 		return ruleFor(group, program).map(ProgramRule::serviceClass).orElse(ServiceClass.INTERACTIVE);
@@ -293,7 +293,7 @@
 	/**
 	 * Returns a group.
 	 * @param name the name of the group
-	 * @return the group, or an empty result if there is none of this name
+	 * @return the group, or an empty result if the name is unknown
 	 */
 	public Optional<GroupPolicy> group(GroupName name) {
 		return Optional.ofNullable(this.groups.get(name));
@@ -302,7 +302,7 @@
 	/**
 	 * Returns a model.
 	 * @param name the name of the model
-	 * @return the model, or an empty result if there is none of this name
+	 * @return the model, or an empty result if the name is unknown
 	 */
 	public Optional<ModelPolicy> model(ModelName name) {
 		return Optional.ofNullable(this.models.get(name));
@@ -311,7 +311,7 @@
 	/**
 	 * Returns a service.
 	 * @param name the name of the service
-	 * @return the service, or an empty result if there is none of this name
+	 * @return the service, or an empty result if the name is unknown
 	 */
 	public Optional<ServicePolicy> service(ServiceName name) {
 		return Optional.ofNullable(this.services.get(name));
@@ -336,7 +336,7 @@
 	}
 
 	/**
-	 * Returns the upstreams that run a service, in the order of their VMs' names.
+	 * Returns the upstreams that provide a service, in the order of their VMs' names.
 	 * @param service the service
 	 * @return the upstreams, none if the service is unknown
 	 */
@@ -474,8 +474,8 @@
 		/**
 		 * Returns the configuration.
 		 * @return the configuration
-		 * @throws IllegalArgumentException if a name stands twice or is unknown, or two
-		 * callers have one key
+		 * @throws IllegalArgumentException if a name is duplicate or unknown, or two
+		 * callers have the same key
 		 */
 		public Configuration build() {
 			return new Configuration(this);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ConfigurationFile.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ConfigurationFile.java
@@ -6,8 +6,8 @@
 import io.lentilslip.core.identity.Digest;
 
 /**
- * One file of a configuration folder, byte for byte. Immutable and safe for use by
- * several threads, since bytes are copied on their way in and out.
+ * Immutable file of a configuration folder. Thread-safe, since its content is copied on
+ * construction and access.
  */
 public final class ConfigurationFile {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ConfigurationSource.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ConfigurationSource.java
@@ -10,10 +10,9 @@
 import io.lentilslip.core.identity.Digest;
 
 /**
- * What operators publish: the files of a configuration folder in the order in which they
- * are merged, which is that of their names' bytes in UTF-8, the same on every machine and
- * in every locale. Each process reads and checks these bytes itself. Immutable and safe
- * for use by several threads.
+ * Immutable files of a published configuration folder in the order in which they are
+ * merged. Files are ordered by the UTF-8 bytes of their names, independent of the locale.
+ * Each process parses and validates the files itself. Thread-safe.
  *
  * @param files the files in the order of their names
  */
@@ -25,14 +24,14 @@
 	/**
 	 * Creates a source.
 	 * @param files the files in any order
-	 * @throws IllegalArgumentException if two files have one name
+	 * @throws IllegalArgumentException if two files have the same name
 	 */
 	public ConfigurationSource {
 		files = files.stream().sorted(BY_NAME_BYTES).toList();
 		Set<String> names = new HashSet<>();
 		for (ConfigurationFile file : files) {
 			if (!names.add(file.name())) {
-				throw new IllegalArgumentException("two files have one name: " + file.name());
+				throw new IllegalArgumentException("duplicate file name: " + file.name());
 			}
 		}
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Endpoint.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Endpoint.java
@@ -7,28 +7,27 @@
 import java.util.regex.Pattern;
 
 /**
- * A numeric IP address and a port. Host names are no endpoints: a name service that is
- * slow or wrong would stall every connection, and processes know each other by number.
- * Immutable and safe for use by several threads.
+ * Immutable numeric IP address and port. Host names are not supported, so that
+ * connections do not depend on name resolution. Thread-safe.
  *
  * @param ip an IPv4 address, or an IPv6 address in lower case without brackets
- * @param port a port from 0 to 65535, where 0 lets a listening process choose a free one
+ * @param port a port from 0 to 65535, where 0 binds to an ephemeral port
  */
 public record Endpoint(String ip, int port) implements Comparable<Endpoint> {
 
-	private static final int MAXIMUM_PORT = 65535;
+	private static final int MAX_PORT = 65535;
 
-	private static final int IPV6_PARTS = 8;
+	private static final int IPV6_GROUP_COUNT = 8;
 
 	private static final String OCTET = "(?:25[0-5]|2[0-4]\\d|1\\d\\d|[1-9]?\\d)";
 
 	private static final Pattern IPV4 = Pattern.compile(OCTET + "(?:\\." + OCTET + "){3}");
 
-	private static final String IPV6_RUN = "(?:[0-9a-f]{1,4}(?::[0-9a-f]{1,4})*)";
+	private static final String IPV6_GROUPS = "(?:[0-9a-f]{1,4}(?::[0-9a-f]{1,4})*)";
 
 	private static final Pattern IPV6_FULL = Pattern.compile("[0-9a-f]{1,4}(?::[0-9a-f]{1,4}){7}");
 
-	private static final Pattern IPV6_SHORTENED = Pattern.compile(IPV6_RUN + "?::" + IPV6_RUN + "?");
+	private static final Pattern IPV6_COMPRESSED = Pattern.compile(IPV6_GROUPS + "?::" + IPV6_GROUPS + "?");
 
 	private static final Pattern TEXT = Pattern
 		.compile("(?:\\[(?<six>[0-9a-f:]+)]|(?<four>[0-9.]+)):(?<port>\\d{1,5})");
@@ -42,16 +41,15 @@
 	 */
 	public Endpoint {
 		Objects.requireNonNull(ip, "ip");
-		if (!isNumeric(ip) || port < 0 || port > MAXIMUM_PORT) {
-			throw new IllegalArgumentException("not a numeric address and port: " + ip + " " + port);
+		if (!isNumeric(ip) || port < 0 || port > MAX_PORT) {
+			throw new IllegalArgumentException("invalid numeric address or port: " + ip + " " + port);
 		}
 	}
 
 	/**
-	 * Returns an endpoint from a text such as {@code 10.0.0.7:8080} or
-	 * {@code [::1]:8080}.
-	 * @param text the text to read
-	 * @return the endpoint, or an empty result if the text is none
+	 * Parses an endpoint such as {@code 10.0.0.7:8080} or {@code [::1]:8080}.
+	 * @param text the text to parse
+	 * @return the endpoint, or an empty result if the text is not valid
 	 */
 	public static Optional<Endpoint> parse(String text) {
 		Matcher matcher = TEXT.matcher(text);
@@ -61,7 +59,7 @@
 		String ip = (matcher.group("four") != null) ? matcher.group("four") : matcher.group("six");
 		int port = Integer.parseInt(matcher.group("port"));
 		boolean bracketed = matcher.group("six") != null;
-		if (port > MAXIMUM_PORT || !isNumeric(ip) || bracketed != ip.contains(":")) {
+		if (port > MAX_PORT || !isNumeric(ip) || bracketed != ip.contains(":")) {
 			return Optional.empty();
 		}
 		return Optional.of(new Endpoint(ip, port));
@@ -72,7 +70,7 @@
 			return true;
 		}
 		long parts = Arrays.stream(ip.split(":")).filter((part) -> !part.isEmpty()).count();
-		return parts < IPV6_PARTS && IPV6_SHORTENED.matcher(ip).matches();
+		return parts < IPV6_GROUP_COUNT && IPV6_COMPRESSED.matcher(ip).matches();
 	}
 
 	@Override
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/GroupPolicy.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/GroupPolicy.java
@@ -6,23 +6,23 @@
 import io.lentilslip.core.identity.GroupName;
 
 /**
- * What a group is due. Immutable and safe for use by several threads.
+ * Immutable share, budget and queue bound of a group. Thread-safe.
  *
  * @param name the group
- * @param share the group's weight against the other groups' weights
- * @param budget the tokens the group may use, or nothing for no limit
- * @param queueBound the most calls of the group that may wait in one process, or nothing
- * for the site's limit
+ * @param share the group's weight relative to other groups
+ * @param budget the budget, or an empty value for no limit
+ * @param queueBound the maximum number of calls of the group queued in one process, or an
+ * empty value for the site's limit
  */
 public record GroupPolicy(GroupName name, long share, Optional<Budget> budget, Optional<Integer> queueBound) {
 
 	/**
 	 * Creates the policy of a group.
 	 * @param name the group
-	 * @param share the group's weight against the other groups' weights
-	 * @param budget the tokens the group may use, or nothing for no limit
-	 * @param queueBound the most calls of the group that may wait in one process, or
-	 * nothing for the site's limit
+	 * @param share the group's weight relative to other groups
+	 * @param budget the budget, or an empty value for no limit
+	 * @param queueBound the maximum number of calls of the group queued in one process,
+	 * or an empty value for the site's limit
 	 * @throws IllegalArgumentException if the share or the bound is not positive
 	 */
 	public GroupPolicy {
@@ -35,7 +35,7 @@
 	/**
 	 * Returns the policy of a group without a budget and with the site's queue bound.
 	 * @param name the group
-	 * @param share the group's weight against the other groups' weights
+	 * @param share the group's weight relative to other groups
 	 * @return the policy
 	 */
 	public static GroupPolicy withShare(GroupName name, long share) {
@@ -44,7 +44,7 @@
 
 	/**
 	 * Returns this policy with a budget.
-	 * @param limit the tokens the group may use
+	 * @param limit the budget
 	 * @return the policy
 	 */
 	public GroupPolicy within(Budget limit) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Limits.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Limits.java
@@ -4,35 +4,34 @@
 import java.util.Objects;
 
 /**
- * The bounds that keep one caller, program or fault from taking a site down while nobody
- * watches it. Each has a default; operators change single ones. The drain time is never
- * shorter than the longest deadline, so a graceful shutdown outlasts every request.
- * Immutable and safe for use by several threads.
+ * Immutable limits that protect a site from overload by a single caller, program or
+ * fault. Each has a default that operators may override. The drain time is at least the
+ * longest deadline, so that a graceful shutdown completes all requests. Thread-safe.
  *
- * @param requests bounds of one request
- * @param programs bounds of one program and of a group's programs
- * @param deadlines times within which calls have to end
- * @param queues bounds of waiting calls
- * @param faults bounds of repeated work after faults
- * @param drainTime the longest a process that shuts down waits for its requests
+ * @param requests limits of a request
+ * @param programs limits of a program and of a group's programs
+ * @param deadlines deadlines of calls
+ * @param queues limits of waiting calls
+ * @param faults limits of retries and crashes
+ * @param drainTime the maximum time that a shutdown waits for requests
  */
 public record Limits(RequestLimits requests, ProgramLimits programs, DeadlineLimits deadlines, QueueLimits queues,
 		FaultLimits faults, Duration drainTime) {
 
 	/**
-	 * The limits of a site whose operators change none.
+	 * The default limits.
 	 */
 	public static final Limits DEFAULT = new Limits(RequestLimits.DEFAULT, ProgramLimits.DEFAULT,
 			DeadlineLimits.DEFAULT, QueueLimits.DEFAULT, FaultLimits.DEFAULT, Duration.ofMinutes(15));
 
 	/**
 	 * Creates limits.
-	 * @param requests bounds of one request
-	 * @param programs bounds of one program and of a group's programs
-	 * @param deadlines times within which calls have to end
-	 * @param queues bounds of waiting calls
-	 * @param faults bounds of repeated work after faults
-	 * @param drainTime the longest a process that shuts down waits for its requests
+	 * @param requests limits of a request
+	 * @param programs limits of a program and of a group's programs
+	 * @param deadlines deadlines of calls
+	 * @param queues limits of waiting calls
+	 * @param faults limits of retries and crashes
+	 * @param drainTime the maximum time that a shutdown waits for requests
 	 * @throws IllegalArgumentException if the drain time is shorter than the longest
 	 * deadline
 	 */
@@ -43,33 +42,34 @@
 		Objects.requireNonNull(queues, "queues");
 		Objects.requireNonNull(faults, "faults");
 		if (drainTime.compareTo(deadlines.maximum()) < 0) {
-			throw new IllegalArgumentException("the drain time is shorter than the longest deadline");
+			throw new IllegalArgumentException("drain time must not be shorter than the maximum deadline: " + drainTime
+					+ ", " + deadlines.maximum());
 		}
 	}
 
 	/**
-	 * Bounds of one request.
+	 * Limits of a request.
 	 *
-	 * @param bodyBytes the most bytes of a request's body
-	 * @param headerBytes the most bytes of a request's headers
-	 * @param openStreams the most streams that one entry keeps open at once
-	 * @param streamIdleTime the longest a stream may stay without a token
+	 * @param bodyBytes the maximum size of a request's body in bytes
+	 * @param headerBytes the maximum size of a request's headers in bytes
+	 * @param openStreams the maximum number of open streams of an entry
+	 * @param streamIdleTime the maximum time between tokens of a stream
 	 */
 	public record RequestLimits(long bodyBytes, int headerBytes, int openStreams, Duration streamIdleTime) {
 
 		/**
-		 * The defaults. A history of 990,000 tokens sent whole takes some four bytes a
+		 * The defaults. The body size allows for a full history at about four bytes per
 		 * token.
 		 */
 		public static final RequestLimits DEFAULT = new RequestLimits(8L << 20, 16 << 10, 4096, Duration.ofMinutes(1));
 
 		/**
-		 * Creates bounds.
-		 * @param bodyBytes the most bytes of a request's body
-		 * @param headerBytes the most bytes of a request's headers
-		 * @param openStreams the most streams that one entry keeps open at once
-		 * @param streamIdleTime the longest a stream may stay without a token
-		 * @throws IllegalArgumentException if a bound is not positive
+		 * Creates limits.
+		 * @param bodyBytes the maximum size of a request's body in bytes
+		 * @param headerBytes the maximum size of a request's headers in bytes
+		 * @param openStreams the maximum number of open streams of an entry
+		 * @param streamIdleTime the maximum time between tokens of a stream
+		 * @throws IllegalArgumentException if a limit is not positive
 		 */
 		public RequestLimits {
 			Requirement.positive("body bytes", bodyBytes);
@@ -81,16 +81,16 @@
 	}
 
 	/**
-	 * Bounds of one program, so that a loop without end or a caller that went silent
-	 * comes to an end, and of the programs that a group may have under way.
+	 * Limits of a program, which end infinite loops and abandoned programs, and of the
+	 * open programs of a group.
 	 *
-	 * @param messages the most messages of a program's history
-	 * @param turns the most turns of a program
-	 * @param historyTokens the most tokens of a program's history
-	 * @param idleTime the longest a program may stay without a call
-	 * @param lifetime the longest a program may last
-	 * @param openPerGroup the most programs of a group that may be under way
-	 * @param childrenPerProgram the most sub-agents that a program may have under way
+	 * @param messages the maximum number of messages in a program's history
+	 * @param turns the maximum number of turns of a program
+	 * @param historyTokens the maximum number of tokens in a program's history
+	 * @param idleTime the maximum time between calls of a program
+	 * @param lifetime the maximum lifetime of a program
+	 * @param openPerGroup the maximum number of open programs of a group
+	 * @param childrenPerProgram the maximum number of open sub-agents of a program
 	 */
 	public record ProgramLimits(int messages, int turns, long historyTokens, Duration idleTime, Duration lifetime,
 			int openPerGroup, int childrenPerProgram) {
@@ -102,15 +102,15 @@
 				Duration.ofDays(1), 2000, 64);
 
 		/**
-		 * Creates bounds.
-		 * @param messages the most messages of a program's history
-		 * @param turns the most turns of a program
-		 * @param historyTokens the most tokens of a program's history
-		 * @param idleTime the longest a program may stay without a call
-		 * @param lifetime the longest a program may last
-		 * @param openPerGroup the most programs of a group that may be under way
-		 * @param childrenPerProgram the most sub-agents that a program may have under way
-		 * @throws IllegalArgumentException if a bound is not positive
+		 * Creates limits.
+		 * @param messages the maximum number of messages in a program's history
+		 * @param turns the maximum number of turns of a program
+		 * @param historyTokens the maximum number of tokens in a program's history
+		 * @param idleTime the maximum time between calls of a program
+		 * @param lifetime the maximum lifetime of a program
+		 * @param openPerGroup the maximum number of open programs of a group
+		 * @param childrenPerProgram the maximum number of open sub-agents of a program
+		 * @throws IllegalArgumentException if a limit is not positive
 		 */
 		public ProgramLimits {
 			Requirement.positive("messages", messages);
@@ -125,10 +125,10 @@
 	}
 
 	/**
-	 * Times within which calls have to end.
+	 * Deadlines of calls.
 	 *
-	 * @param standard the deadline of a call whose caller gives none
-	 * @param maximum the longest deadline a caller may give
+	 * @param standard the deadline if the caller sends none
+	 * @param maximum the maximum deadline that a caller may send
 	 */
 	public record DeadlineLimits(Duration standard, Duration maximum) {
 
@@ -138,27 +138,28 @@
 		public static final DeadlineLimits DEFAULT = new DeadlineLimits(Duration.ofMinutes(2), Duration.ofMinutes(15));
 
 		/**
-		 * Creates bounds.
-		 * @param standard the deadline of a call whose caller gives none
-		 * @param maximum the longest deadline a caller may give
-		 * @throws IllegalArgumentException if a time is not positive or the standard is
-		 * above the maximum
+		 * Creates limits.
+		 * @param standard the deadline if the caller sends none
+		 * @param maximum the maximum deadline that a caller may send
+		 * @throws IllegalArgumentException if a deadline is not positive or the standard
+		 * one exceeds the maximum
 		 */
 		public DeadlineLimits {
 			Requirement.positive("standard deadline", standard);
 			Requirement.positive("maximum deadline", maximum);
 			if (standard.compareTo(maximum) > 0) {
-				throw new IllegalArgumentException("the standard deadline is above the maximum");
+				throw new IllegalArgumentException(
+						"standard deadline must not exceed the maximum: " + standard + ", " + maximum);
 			}
 		}
 
 	}
 
 	/**
-	 * Bounds of the calls that wait in one process.
+	 * Limits of the calls queued in one process.
 	 *
-	 * @param callsPerGroup the most waiting calls of one group
-	 * @param callsInAll the most waiting calls of all groups together
+	 * @param callsPerGroup the maximum number of waiting calls of one group
+	 * @param callsInAll the maximum number of waiting calls of all groups
 	 */
 	public record QueueLimits(int callsPerGroup, int callsInAll) {
 
@@ -168,27 +169,29 @@
 		public static final QueueLimits DEFAULT = new QueueLimits(1000, 10_000);
 
 		/**
-		 * Creates bounds.
-		 * @param callsPerGroup the most waiting calls of one group
-		 * @param callsInAll the most waiting calls of all groups together
-		 * @throws IllegalArgumentException if a bound is not positive or that of one
-		 * group is above that of all
+		 * Creates limits.
+		 * @param callsPerGroup the maximum number of waiting calls of one group
+		 * @param callsInAll the maximum number of waiting calls of all groups
+		 * @throws IllegalArgumentException if a limit is not positive or that of one
+		 * group exceeds that of all groups
 		 */
 		public QueueLimits {
 			Requirement.positive("waiting calls of a group", callsPerGroup);
 			Requirement.positive("waiting calls", callsInAll);
 			if (callsPerGroup > callsInAll) {
-				throw new IllegalArgumentException("one group may have more waiting calls than all groups");
+				throw new IllegalArgumentException("waiting calls of a group must not exceed those of all groups: "
+						+ callsPerGroup + ", " + callsInAll);
 			}
 		}
 
 	}
 
 	/**
-	 * Bounds of repeated work after faults.
+	 * Limits of retries and crashes.
 	 *
-	 * @param retryPercent the most retries for every hundred first attempts
-	 * @param crashesBeforeStop the upstreams a request may crash before it is refused
+	 * @param retryPercent the maximum number of retries per hundred first attempts
+	 * @param crashesBeforeStop the number of upstream crashes after which a request is
+	 * rejected
 	 */
 	public record FaultLimits(int retryPercent, int crashesBeforeStop) {
 
@@ -197,20 +200,22 @@
 		 */
 		public static final FaultLimits DEFAULT = new FaultLimits(10, 2);
 
-		private static final int ALL = 100;
+		private static final int MAX_PERCENT = 100;
 
 		/**
-		 * Creates bounds.
-		 * @param retryPercent the most retries for every hundred first attempts
-		 * @param crashesBeforeStop the upstreams a request may crash before it is refused
-		 * @throws IllegalArgumentException if the retries are not from 0 to 100, or no
-		 * crash is allowed
+		 * Creates limits.
+		 * @param retryPercent the maximum number of retries per hundred first attempts
+		 * @param crashesBeforeStop the number of upstream crashes after which a request
+		 * is rejected
+		 * @throws IllegalArgumentException if the retry percentage is not from 0 to 100
+		 * or the number of crashes is not positive
 		 */
 		public FaultLimits {
 			Requirement.notNegative("retry percentage", retryPercent);
 			Requirement.positive("crashes before a request is stopped", crashesBeforeStop);
-			if (retryPercent > ALL) {
-				throw new IllegalArgumentException("more than " + ALL + " retries in a hundred");
+			if (retryPercent > MAX_PERCENT) {
+				throw new IllegalArgumentException(
+						"retry percentage must be at most " + MAX_PERCENT + ": " + retryPercent);
 			}
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/PolicyName.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/PolicyName.java
@@ -5,47 +5,46 @@
 import java.util.regex.Pattern;
 
 /**
- * The name by which the configuration itself tells sites, callers and program rules
- * apart. Two values are the same only when they agree in every character; letters keep
- * their case. Immutable and safe for use by several threads.
+ * Immutable name of a site, caller or program rule in the configuration. Comparison is
+ * case-sensitive. Thread-safe.
  *
- * @param value the text of this name
+ * @param value the text of the name
  */
 public record PolicyName(String value) implements Comparable<PolicyName> {
 
 	/**
-	 * The most characters a name of this kind may have.
+	 * The maximum number of characters.
 	 */
 	public static final int MAXIMUM_LENGTH = 64;
 
-	private static final Pattern ALLOWED = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]*");
+	private static final Pattern PATTERN = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]*");
 
 	/**
 	 * Creates a name.
-	 * @param value the text of this name
-	 * @throws IllegalArgumentException if the text is not an allowed name
+	 * @param value the text of the name
+	 * @throws IllegalArgumentException if the text is not a valid name
 	 */
 	public PolicyName {
 		Objects.requireNonNull(value, "value");
-		if (!isAllowed(value)) {
-			throw new IllegalArgumentException("not a valid PolicyName: " + value);
+		if (!isValid(value)) {
+			throw new IllegalArgumentException("invalid PolicyName: " + value);
 		}
 	}
 
 	/**
-	 * Returns a name, or nothing if the text is not an allowed name.
-	 * @param text the text to read
-	 * @return the name, or an empty result
+	 * Parses a name.
+	 * @param text the text to parse, or {@code null}
+	 * @return the name, or an empty result if the text is not valid
 	 */
 	public static Optional<PolicyName> parse(String text) {
-		if (text == null || !isAllowed(text)) {
+		if (text == null || !isValid(text)) {
 			return Optional.empty();
 		}
 		return Optional.of(new PolicyName(text));
 	}
 
-	private static boolean isAllowed(String text) {
-		return text.length() <= MAXIMUM_LENGTH && ALLOWED.matcher(text).matches();
+	private static boolean isValid(String text) {
+		return text.length() <= MAXIMUM_LENGTH && PATTERN.matcher(text).matches();
 	}
 
 	@Override
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ProgramRule.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ProgramRule.java
@@ -8,15 +8,15 @@
 import io.lentilslip.core.identity.ProgramName;
 
 /**
- * A rule over the programs of a group whose names begin with a prefix. The rule gives
- * their service class. It also assigns to its group such programs of the callers it
- * lists, who may belong to other groups; it never touches programs of a caller it does
- * not list. Immutable and safe for use by several threads.
+ * Immutable rule for the programs of a group whose names start with a prefix. It sets
+ * their service class. It also assigns matching programs of the listed callers, which may
+ * belong to other groups, to its group; programs of other callers are not reassigned.
+ * Thread-safe.
  *
  * @param name the rule
  * @param group the group the programs belong to
- * @param prefix what the names of the programs begin with
- * @param serviceClass how urgent the programs are
+ * @param prefix the prefix of the programs' names
+ * @param serviceClass the service class of the programs
  * @param callers the callers whose programs are assigned to the group
  */
 public record ProgramRule(PolicyName name, GroupName group, String prefix, ServiceClass serviceClass,
@@ -26,25 +26,25 @@
 	 * Creates a rule.
 	 * @param name the rule
 	 * @param group the group the programs belong to
-	 * @param prefix what the names of the programs begin with
-	 * @param serviceClass how urgent the programs are
+	 * @param prefix the prefix of the programs' names
+	 * @param serviceClass the service class of the programs
 	 * @param callers the callers whose programs are assigned to the group
-	 * @throws IllegalArgumentException if no program name can begin with the prefix
+	 * @throws IllegalArgumentException if no program name can start with the prefix
 	 */
 	public ProgramRule {
 		Objects.requireNonNull(name, "name");
 		Objects.requireNonNull(group, "group");
 		Objects.requireNonNull(serviceClass, "serviceClass");
 		if (ProgramName.parse(prefix).isEmpty()) {
-			throw new IllegalArgumentException("no program name begins with: " + prefix);
+			throw new IllegalArgumentException("invalid program name prefix: " + prefix);
 		}
 		callers = Set.copyOf(callers);
 	}
 
 	/**
-	 * Returns whether the name of a program begins with this rule's prefix.
+	 * Returns whether the name of a program starts with this rule's prefix.
 	 * @param program the name of the program
-	 * @return whether it begins with the prefix
+	 * @return whether it starts with the prefix
 	 */
 	public boolean matches(ProgramName program) {
 		return program.value().startsWith(this.prefix);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/RepeatableCall.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/RepeatableCall.java
@@ -5,11 +5,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Calls of a service that may be repeated: those of one method below a path. Immutable
- * and safe for use by several threads.
+ * Immutable pattern of service calls that may be repeated: those with one method below a
+ * path. Thread-safe.
  *
  * @param method the HTTP method in upper case
- * @param pathPrefix the path that the calls' paths are equal to or lie below
+ * @param pathPrefix the path at or below which the calls' paths are
  */
 public record RepeatableCall(String method, String pathPrefix) {
 
@@ -20,52 +20,52 @@
 	private static final Pattern AMBIGUOUS = Pattern.compile("[%;\\\\]|//|/\\.{1,2}(?:/|$)");
 
 	/**
-	 * Creates a description of calls.
+	 * Creates a pattern.
 	 * @param method the HTTP method in upper case
-	 * @param pathPrefix the path that the calls' paths are equal to or lie below
+	 * @param pathPrefix the path at or below which the calls' paths are
 	 * @throws IllegalArgumentException if the method is not in upper case or the path is
-	 * not plain
+	 * ambiguous
 	 */
 	public RepeatableCall {
 		Objects.requireNonNull(method, "method");
 		Objects.requireNonNull(pathPrefix, "pathPrefix");
-		if (!isAllowed(method, pathPrefix)) {
-			throw new IllegalArgumentException("not a method and a plain path: " + method + " " + pathPrefix);
+		if (!isValid(method, pathPrefix)) {
+			throw new IllegalArgumentException("invalid method or path: " + method + " " + pathPrefix);
 		}
 	}
 
 	/**
-	 * Returns the calls that a text such as {@code GET /prices} describes.
-	 * @param text the text to read
-	 * @return the calls, or an empty result if the text describes none
+	 * Parses a pattern such as {@code GET /prices}.
+	 * @param text the text to parse
+	 * @return the pattern, or an empty result if the text is not valid
 	 */
 	public static Optional<RepeatableCall> parse(String text) {
 		int space = text.indexOf(' ');
-		if (space < 0 || !isAllowed(text.substring(0, space), text.substring(space + 1).strip())) {
+		if (space < 0 || !isValid(text.substring(0, space), text.substring(space + 1).strip())) {
 			return Optional.empty();
 		}
 		return Optional.of(new RepeatableCall(text.substring(0, space), text.substring(space + 1).strip()));
 	}
 
-	private static boolean isAllowed(String method, String path) {
+	private static boolean isValid(String method, String path) {
 		return METHOD.matcher(method).matches() && PATH.matcher(path).matches() && !AMBIGUOUS.matcher(path).find();
 	}
 
 	/**
-	 * Returns whether a call is one of these. A path that a service could read in two
-	 * ways (dot segments, escapes, empty segments) is none of them: were
-	 * {@code /prices/../check-in} taken for a price, a check-in could be billed twice.
+	 * Returns whether a call matches this pattern. Ambiguous paths (with dot segments,
+	 * escapes or empty segments) never match: {@code /prices/../check-in} must not match
+	 * {@code /prices}, or a check-in could be repeated.
 	 * @param otherMethod the call's method
 	 * @param path the call's path, with or without a query
 	 * @return whether the call may be repeated
 	 */
 	public boolean matches(String otherMethod, String path) {
-		String plain = withoutQuery(path);
-		if (!this.method.equals(otherMethod) || AMBIGUOUS.matcher(plain).find()) {
+		String pathOnly = withoutQuery(path);
+		if (!this.method.equals(otherMethod) || AMBIGUOUS.matcher(pathOnly).find()) {
 			return false;
 		}
-		String below = this.pathPrefix.endsWith("/") ? this.pathPrefix : this.pathPrefix + "/";
-		return plain.equals(this.pathPrefix) || plain.startsWith(below);
+		String directory = this.pathPrefix.endsWith("/") ? this.pathPrefix : this.pathPrefix + "/";
+		return pathOnly.equals(this.pathPrefix) || pathOnly.startsWith(directory);
 	}
 
 	private static String withoutQuery(String path) {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Requirement.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Requirement.java
@@ -3,8 +3,7 @@
 import java.time.Duration;
 
 /**
- * Checks of the numbers in this package's values. Stateless and safe for use by several
- * threads.
+ * Preconditions for numbers and durations. Stateless and thread-safe.
  */
 final class Requirement {
 
@@ -12,38 +11,38 @@
 	}
 
 	/**
-	 * Checks that a number is above zero.
-	 * @param name what the number is
+	 * Checks that a number is positive.
+	 * @param name the name of the value, used in the message
 	 * @param value the number
-	 * @throws IllegalArgumentException if it is not above zero
+	 * @throws IllegalArgumentException if it is not positive
 	 */
 	static void positive(String name, long value) {
 		if (value <= 0) {
-			throw new IllegalArgumentException(name + " must be positive, not " + value);
+			throw new IllegalArgumentException(name + " must be positive: " + value);
 		}
 	}
 
 	/**
-	 * Checks that a number is not below zero.
-	 * @param name what the number is
+	 * Checks that a number is not negative.
+	 * @param name the name of the value, used in the message
 	 * @param value the number
-	 * @throws IllegalArgumentException if it is below zero
+	 * @throws IllegalArgumentException if it is negative
 	 */
 	static void notNegative(String name, long value) {
 		if (value < 0) {
-			throw new IllegalArgumentException(name + " must not be negative, not " + value);
+			throw new IllegalArgumentException(name + " must not be negative: " + value);
 		}
 	}
 
 	/**
-	 * Checks that a time is longer than nothing.
-	 * @param name what the time is
-	 * @param value the time
-	 * @throws IllegalArgumentException if it is not longer than nothing
+	 * Checks that a duration is positive.
+	 * @param name the name of the value, used in the message
+	 * @param value the duration
+	 * @throws IllegalArgumentException if it is not positive
 	 */
 	static void positive(String name, Duration value) {
 		if (!value.isPositive()) {
-			throw new IllegalArgumentException(name + " must be positive, not " + value);
+			throw new IllegalArgumentException(name + " must be positive: " + value);
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ServiceClass.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ServiceClass.java
@@ -4,18 +4,17 @@
 import java.util.Optional;
 
 /**
- * How urgent a program is among the programs of its group. Safe for use by several
- * threads.
+ * Scheduling class of a program among the programs of its group. Thread-safe.
  */
 public enum ServiceClass {
 
 	/**
-	 * Somebody waits for the program.
+	 * A user is waiting for the program.
 	 */
 	INTERACTIVE("interactive"),
 
 	/**
-	 * Nobody waits for the program at this moment.
+	 * No user is waiting for the program.
 	 */
 	BACKGROUND("background");
 
@@ -26,17 +25,17 @@
 	}
 
 	/**
-	 * Returns the class that a text names.
-	 * @param text the text to read
-	 * @return the class, or an empty result if the text names none
+	 * Parses the label of a class.
+	 * @param text the text to parse
+	 * @return the class, or an empty result if the text is not a label
 	 */
 	public static Optional<ServiceClass> parse(String text) {
 		return Arrays.stream(values()).filter((candidate) -> candidate.label.equals(text)).findFirst();
 	}
 
 	/**
-	 * Returns the text that stands for this class in files and metrics.
-	 * @return the text
+	 * Returns the representation of this class in files and metrics.
+	 * @return the label
 	 */
 	public String label() {
 		return this.label;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ServicePolicy.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ServicePolicy.java
@@ -7,17 +7,17 @@
 import io.lentilslip.core.identity.ServiceName;
 
 /**
- * A plain service. Its calls run at most once unless they are listed as repeatable,
- * whatever their method. Immutable and safe for use by several threads.
+ * Immutable policy of a plain service. Its calls run at most once unless they are listed
+ * as repeatable, regardless of their method. Thread-safe.
  *
  * @param name the service
  * @param repeatable the calls that may be repeated
- * @param timeout the longest a call may take
+ * @param timeout the timeout of a call
  */
 public record ServicePolicy(ServiceName name, List<RepeatableCall> repeatable, Duration timeout) {
 
 	/**
-	 * The longest a call may take where operators give no time.
+	 * The default timeout of a call.
 	 */
 	public static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(30);
 
@@ -25,7 +25,7 @@
 	 * Creates the policy of a service.
 	 * @param name the service
 	 * @param repeatable the calls that may be repeated
-	 * @param timeout the longest a call may take
+	 * @param timeout the timeout of a call
 	 * @throws IllegalArgumentException if the timeout is not positive
 	 */
 	public ServicePolicy {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/UpstreamKind.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/UpstreamKind.java
@@ -7,27 +7,28 @@
 import io.lentilslip.core.identity.ServiceName;
 
 /**
- * What an upstream is: a model engine or plain services. Immutable and safe for use by
- * several threads.
+ * Immutable kind of an upstream: a model engine or plain services. Thread-safe.
  */
 public sealed interface UpstreamKind {
 
 	/**
-	 * An upstream that is a model engine.
+	 * A model engine.
 	 *
 	 * @param models the models the engine serves
-	 * @param checksFencingNumbers whether the engine refuses an order that carries an old
-	 * fencing number; where it does not, the sidecar has to
-	 * @param kvTokens the tokens whose KV cache fits in the engine's memory
+	 * @param checksFencingNumbers whether the engine rejects requests with an outdated
+	 * fencing number; otherwise the sidecar does
+	 * @param kvTokens the capacity of the engine's KV cache in tokens
 	 */
 	record ForEngine(Set<ModelName> models, boolean checksFencingNumbers, long kvTokens) implements UpstreamKind {
 
 		/**
 		 * Creates a description of an engine.
 		 * @param models the models the engine serves
-		 * @param checksFencingNumbers whether the engine refuses old fencing numbers
-		 * @param kvTokens the tokens whose KV cache fits in the engine's memory
-		 * @throws IllegalArgumentException if there is no model or no memory
+		 * @param checksFencingNumbers whether the engine rejects requests with an
+		 * outdated fencing number
+		 * @param kvTokens the capacity of the engine's KV cache in tokens
+		 * @throws IllegalArgumentException if there is no model or the cache capacity is
+		 * not positive
 		 */
 		public ForEngine {
 			Requirement.positive("number of models", models.size());
@@ -46,15 +47,15 @@
 	}
 
 	/**
-	 * An upstream that runs plain services.
+	 * An upstream with plain services.
 	 *
-	 * @param services the services that run there
+	 * @param services the services of the upstream
 	 */
 	record ForService(Set<ServiceName> services) implements UpstreamKind {
 
 		/**
 		 * Creates a description of services.
-		 * @param services the services that run there
+		 * @param services the services of the upstream
 		 * @throws IllegalArgumentException if there is no service
 		 */
 		public ForService {
@@ -64,7 +65,7 @@
 
 		/**
 		 * Returns the services in the order of their names.
-		 * @return the services that run there
+		 * @return the services of the upstream
 		 */
 		public Set<ServiceName> sortedServices() {
 			return new TreeSet<>(this.services);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/UpstreamPolicy.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/UpstreamPolicy.java
@@ -6,15 +6,15 @@
 import io.lentilslip.core.identity.ZoneName;
 
 /**
- * An upstream and the sidecar that stands before it. Immutable and safe for use by
- * several threads.
+ * Immutable policy of an upstream and its sidecar. Thread-safe.
  *
  * @param vm the VM that the upstream and its sidecar run on
  * @param zone the availability zone of the VM
- * @param sidecar where the sidecar takes calls from entries and other sidecars
- * @param address where the sidecar finds the upstream itself
- * @param kind what the upstream is
- * @param maximumCalls the most calls the upstream may be given at once
+ * @param sidecar the address at which the sidecar accepts connections from entries and
+ * other sidecars
+ * @param address the address of the upstream
+ * @param kind the kind of the upstream
+ * @param maximumCalls the maximum number of concurrent calls at the upstream
  */
 public record UpstreamPolicy(VmName vm, ZoneName zone, Endpoint sidecar, Endpoint address, UpstreamKind kind,
 		int maximumCalls) {
@@ -23,11 +23,12 @@
 	 * Creates the policy of an upstream.
 	 * @param vm the VM that the upstream and its sidecar run on
 	 * @param zone the availability zone of the VM
-	 * @param sidecar where the sidecar takes calls from entries and other sidecars
-	 * @param address where the sidecar finds the upstream itself
-	 * @param kind what the upstream is
-	 * @param maximumCalls the most calls the upstream may be given at once
-	 * @throws IllegalArgumentException if the upstream may be given no call
+	 * @param sidecar the address at which the sidecar accepts connections from entries
+	 * and other sidecars
+	 * @param address the address of the upstream
+	 * @param kind the kind of the upstream
+	 * @param maximumCalls the maximum number of concurrent calls at the upstream
+	 * @throws IllegalArgumentException if the maximum number of calls is not positive
 	 */
 	public UpstreamPolicy {
 		Objects.requireNonNull(vm, "vm");
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/package-info.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The configuration that operators publish, as values: groups with shares and budgets,
- * callers, program rules, models, services, upstreams and limits.
+ * Configuration published by operators: groups with shares and budgets, callers, program
+ * rules, models, services, upstreams and limits.
  */
 package io.lentilslip.core.configuration;
--- a/lentilslip-core/src/test/java/io/lentilslip/core/configuration/ConfigurationSourceTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/configuration/ConfigurationSourceTests.java
@@ -19,7 +19,7 @@
 	}
 
 	@Test
-	void digestsNamesAndContentsApart() {
+	void digestSeparatesNamesFromContents() {
 		ConfigurationSource source = new ConfigurationSource(List.of(file("a", "b"), file("c", "")));
 		ConfigurationSource reordered = new ConfigurationSource(List.of(file("c", ""), file("a", "b")));
 		ConfigurationSource shifted = new ConfigurationSource(List.of(file("a", ""), file("c", "b")));
@@ -28,7 +28,7 @@
 	}
 
 	@Test
-	void refusesTwoFilesOfOneName() {
+	void rejectsDuplicateFileNames() {
 		assertThatIllegalArgumentException()
 			.isThrownBy(() -> new ConfigurationSource(List.of(file("a", ""), file("a", "b"))));
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/configuration/ConfigurationTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/configuration/ConfigurationTests.java
@@ -35,7 +35,7 @@
 	}
 
 	@Test
-	void takesTheRuleWithTheLongestPrefixOfTheGroup() {
+	void selectsTheRuleWithTheLongestPrefixInTheGroup() {
 		Configuration configuration = twoGroups().with(rule("all", SELLERS, "d", ServiceClass.INTERACTIVE))
 			.with(rule("drafts", SELLERS, "draft-", ServiceClass.BACKGROUND))
 			.with(rule("other", BUYERS, "draft-7", ServiceClass.INTERACTIVE))
@@ -58,7 +58,7 @@
 	}
 
 	@Test
-	void findsUpstreamsByWhatTheyServe() {
+	void findsUpstreamsByModelAndService() {
 		Configuration configuration = twoGroups().with(new ModelPolicy(MODEL, 100, 10, TokenCost.DEFAULT))
 			.with(engine("vm-2"))
 			.with(engine("vm-1"))
@@ -70,7 +70,7 @@
 	}
 
 	@Test
-	void refusesUnknownNamesAndSharedKeys() {
+	void rejectsUnknownNamesAndSharedKeys() {
 		assertThatIllegalArgumentException().isThrownBy(() -> twoGroups().with(engine("vm-1")).build())
 			.withMessageContaining("unknown");
 		assertThatIllegalArgumentException()
@@ -82,7 +82,7 @@
 	}
 
 	@Test
-	void isEqualWhateverTheOrderOfItsParts() {
+	void equalityIgnoresTheOrderOfItsParts() {
 		Configuration other = Configuration.ofSite(new PolicyName("barca"))
 			.with(SITE)
 			.with(DESK)
--- a/lentilslip-core/src/test/java/io/lentilslip/core/configuration/ServicePolicyTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/configuration/ServicePolicyTests.java
@@ -14,16 +14,16 @@
 	@ParameterizedTest
 	@CsvSource({ "GET,/prices,true", "GET,/prices/3,true", "GET,/prices?boat=3,true", "GET,/prices-change,false",
 			"HEAD,/prices,false", "POST,/prices,false", "get,/prices,false", "GET,/,false" })
-	void repeatsOnlyWhatIsListed(String method, String path, boolean repeatable) {
+	void repeatsOnlyListedCalls(String method, String path, boolean repeatable) {
 		assertThat(policy("GET /prices").isRepeatable(method, path)).isEqualTo(repeatable);
 	}
 
-	// A caller asks for /prices/../check-in. Read by its prefix it is a price, but the
-	// service resolves the dots and checks a walker in. A retry would bill it twice.
+	// A path that the service may resolve outside the listed prefix must not be
+	// repeated.
 	@ParameterizedTest
 	@CsvSource({ "/prices/../check-in", "/prices/%2e%2e/check-in", "/prices//../check-in", "/prices/..;/check-in",
 			"/prices/.." })
-	void doesNotRepeatPathsThatCanBeReadInTwoWays(String path) {
+	void doesNotRepeatAmbiguousPaths(String path) {
 		assertThat(policy("GET /prices").isRepeatable("GET", path)).isFalse();
 		assertThat(policy("GET /").isRepeatable("GET", path)).isFalse();
 	}
