--- a/lentilslip-core/src/main/java/io/lentilslip/core/call/ProgramCall.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/call/ProgramCall.java
@@ -25,10 +25,10 @@
 	public ProgramCall {
 		Objects.requireNonNull(program, "program");
 		if (parent.isPresent() && parent.get().equals(program)) {
-			throw new IllegalArgumentException("program must not be its own parent: " + program);
+			throw new IllegalArgumentException("program must not be its own parent");
 		}
 		if (number.isPresent() && number.get() < 1) {
-			throw new IllegalArgumentException("call number must be positive: " + number.get());
+			throw new IllegalArgumentException("call number must be positive");
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Limits.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/Limits.java
@@ -42,8 +42,7 @@
 		Objects.requireNonNull(queues, "queues");
 		Objects.requireNonNull(faults, "faults");
 		if (drainTime.compareTo(deadlines.maximum()) < 0) {
-			throw new IllegalArgumentException("drain time must not be shorter than the maximum deadline: " + drainTime
-					+ ", " + deadlines.maximum());
+			throw new IllegalArgumentException("drain time must not be shorter than the maximum deadline");
 		}
 	}
 
@@ -148,8 +147,7 @@
 			Requirement.positive("standard deadline", standard);
 			Requirement.positive("maximum deadline", maximum);
 			if (standard.compareTo(maximum) > 0) {
-				throw new IllegalArgumentException(
-						"standard deadline must not exceed the maximum: " + standard + ", " + maximum);
+				throw new IllegalArgumentException("standard deadline must not exceed the maximum deadline");
 			}
 		}
 
@@ -179,8 +177,7 @@
 			Requirement.positive("waiting calls of a group", callsPerGroup);
 			Requirement.positive("waiting calls", callsInAll);
 			if (callsPerGroup > callsInAll) {
-				throw new IllegalArgumentException("waiting calls of a group must not exceed those of all groups: "
-						+ callsPerGroup + ", " + callsInAll);
+				throw new IllegalArgumentException("waiting calls of a group must not exceed those of all groups");
 			}
 		}
 
@@ -214,8 +211,7 @@
 			Requirement.notNegative("retry percentage", retryPercent);
 			Requirement.positive("crashes before a request is stopped", crashesBeforeStop);
 			if (retryPercent > MAX_PERCENT) {
-				throw new IllegalArgumentException(
-						"retry percentage must be at most " + MAX_PERCENT + ": " + retryPercent);
+				throw new IllegalArgumentException("retries must be at most " + MAX_PERCENT + " percent");
 			}
 		}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ModelPolicy.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/configuration/ModelPolicy.java
@@ -30,8 +30,7 @@
 		Requirement.positive("context tokens", contextTokens);
 		Requirement.positive("maximum output tokens", maximumOutputTokens);
 		if (maximumOutputTokens > contextTokens) {
-			throw new IllegalArgumentException("maximum output tokens must not exceed the context tokens: "
-					+ maximumOutputTokens + ", " + contextTokens);
+			throw new IllegalArgumentException("maximum output tokens must not exceed the context tokens");
 		}
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/Ordering.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/Ordering.java
@@ -61,8 +61,7 @@
 			}
 			if (costPerPenaltySecond < 1 || maxPenalty.isNegative()) {
 				throw new IllegalArgumentException(
-						"cost per penalty second must be positive and maximum penalty not negative: "
-								+ costPerPenaltySecond + ", " + maxPenalty);
+						"cost per penalty second must be positive and maximum penalty not negative");
 			}
 		}
 
