--- a/lentilslip-core/src/main/java/io/lentilslip/core/share/QueueBounds.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/share/QueueBounds.java
@@ -47,8 +47,8 @@
 	 * @param maxCallsPerGroup the maximum number of waiting calls of one group
 	 * @return the bounds
 	 */
-	public static QueueBounds of(int callsInAll, int callsPerGroup) {
-		return new QueueBounds(callsInAll, callsPerGroup, Map.of(), DEFAULT_MAX_PROGRAMS);
+	public static QueueBounds of(int maxCalls, int maxCallsPerGroup) {
+		return new QueueBounds(maxCalls, maxCallsPerGroup, Map.of(), DEFAULT_MAX_PROGRAMS);
 	}
 
 	/**
