--- a/lentilslip-core/src/main/java/io/lentilslip/core/measurement/Measurement.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/measurement/Measurement.java
@@ -599,7 +599,7 @@
 	 *
 	 * @param late the delay past its due time
 	 */
-	record TimerRan(Duration late) implements Measurement {
+	record TimerRan(Duration delay) implements Measurement {
 
 		/**
 		 * Creates a measurement.
@@ -607,7 +607,7 @@
 		 * @throws IllegalArgumentException if the duration is negative
 		 */
 		public TimerRan {
-			requireNotNegative(late, "late");
+			requireNotNegative(delay, "late");
 		}
 
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/notice/NoticeCode.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/notice/NoticeCode.java
@@ -270,7 +270,7 @@
 	 * since the previous event.
 	 */
 	RELAY_LATE(3017, Level.WARN,
-			"The timers of a relay run late, so delays that it attributes to other processes may be its own.",
+			"The timers of a relay run late, so delays that it attributes to other processes may originate in the relay.",
 			"If it repeats, find out what uses the processor of its VM, or give the relay more processor time.",
 			FieldName.MILLISECONDS),
 
@@ -344,7 +344,7 @@
 			FieldName.REASON),
 
 	/**
-	 * Written for rejections without a code of their own.
+	 * Written for rejections that have no separate code.
 	 */
 	CALL_REFUSED(4011, Level.INFO, "A call was rejected for the given reason.",
 			"Act on the reason; the metric of rejected calls shows the rate.", FieldName.GROUP, FieldName.PROGRAM,
@@ -503,7 +503,7 @@
 			FieldName.PROGRAM, FieldName.TOKENS, FieldName.REASON),
 
 	/**
-	 * Written by the sidecar, which enforces leases by its own clock.
+	 * Written by the sidecar, which enforces leases by its local clock.
 	 */
 	KV_LEASE_ENDED(6004, Level.WARN, "A lease on engine memory expired, and the memory is released.",
 			"Nothing, unless it is frequent: then check for entries that fail.", FieldName.VM, FieldName.PROGRAM,
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramReplicas.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramReplicas.java
@@ -10,9 +10,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Assignment of programs to the relays that replicate their state. Relays replicate a
- * turn to these only, so the traffic of a relay grows with its own turns and not with the
- * number of relays. The assignment is rendezvous hashing, weighted by processor share:
+ * Assignment of programs to the relays that replicate their state. A relay
+ * replicates a turn to these only, so its traffic grows with the turns that it serves and
+ * not with the number of relays. The assignment is rendezvous hashing, weighted by processor share:
  * all relays with the same member list compute the same replicas, and a member that joins
  * or leaves moves only its own programs. Used by one thread.
  */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -52,7 +52,7 @@
 
 	private final RelayState state;
 
-	private final ExchangeCompletion ends;
+	private final ExchangeCompletion completion;
 
 	private final Consumer<Exchange> admitted;
 
@@ -74,12 +74,12 @@
 	/**
 	 * Creates rules without permits.
 	 * @param state the state of the relay
-	 * @param ends ends exchanges
+	 * @param completion ends exchanges
 	 * @param admitted receives each exchange that is admitted after waiting
 	 */
-	QuotaRules(RelayState state, ExchangeCompletion ends, Consumer<Exchange> admitted) {
+	QuotaRules(RelayState state, ExchangeCompletion completion, Consumer<Exchange> admitted) {
 		this.state = state;
-		this.ends = ends;
+		this.completion = completion;
 		this.admitted = admitted;
 		this.buckets = new TeamBuckets(state.quotaTolerance);
 	}
@@ -96,7 +96,7 @@
 			return true;
 		}
 		if (!this.state.membershipKnown()) {
-			this.ends.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.RETRY_AFTER_LOG_READ));
+			this.completion.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.RETRY_AFTER_LOG_READ));
 			return false;
 		}
 		TeamQueue queue = this.queues.computeIfAbsent(team.get().name(), TeamQueue::new);
@@ -328,7 +328,7 @@
 		queue.waiting.remove(exchange.number());
 		this.state.report(RelayNotices.quotaRefused(exchange, refusal, coordinators(queue.team).getFirst(),
 				queue.waiting.size(), retryAfter, this.state));
-		this.ends.refuse(exchange, refusal, Optional.of(retryAfter));
+		this.completion.refuse(exchange, refusal, Optional.of(retryAfter));
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEvent.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelayEvent.java
@@ -576,9 +576,9 @@
 	 *
 	 * @param now the time of the event
 	 * @param id the key of the record
-	 * @param problem the reason
+	 * @param error the error in it
 	 */
-	record UpstreamInvalid(long now, String id, UpstreamRecordError problem) implements RelayEvent {
+	record UpstreamInvalid(long now, String id, UpstreamRecordError error) implements RelayEvent {
 
 	}
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseHead.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ResponseHead.java
@@ -13,7 +13,7 @@
  * @param headers the headers to pass on to the caller
  * @param notRun whether the upstream states that it has not run the request and will not
  * @param signed whether the upstream signed the response
- * @param load the upstream's own request counts, if it reports them
+ * @param load the request counts of the upstream, if it reports them
  */
 public record ResponseHead(int status, List<Header> headers, boolean notRun, boolean signed, Optional<Load> load) {
 
@@ -30,7 +30,7 @@
 	 * @param notRun whether the upstream states that it has not run the request and will
 	 * not
 	 * @param signed whether the upstream signed the response
-	 * @param load the upstream's own request counts, if it reports them
+	 * @param load the request counts of the upstream, if it reports them
 	 */
 	public ResponseHead {
 		headers = List.copyOf(headers);
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * Immutable view of an upstream's own request counts.
+	 * Immutable view of the request counts of an upstream.
 	 *
 	 * @param running the requests in execution
 	 * @param waiting the requests in its queue
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UncommittedEntries.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UncommittedEntries.java
@@ -124,14 +124,14 @@
 	/**
 	 * Removes and returns the entries whose commit timeout has expired and that this
 	 * relay has to append. The timeout of those that other relays append is restarted.
-	 * @param own the name of this relay
+	 * @param self the name of this relay
 	 * @param linkedPeers the relays connected to this one
 	 * @param replicas returns the relays that hold a copy of an entry, or an empty list
 	 * if all relays do
 	 * @param now when the log was read
 	 * @return the entries
 	 */
-	List<LedgerEntry> takeOverdue(String own, Set<String> linkedPeers, Function<LedgerEntry, List<String>> replicas,
+	List<LedgerEntry> takeOverdue(String self, Set<String> linkedPeers, Function<LedgerEntry, List<String>> replicas,
 			long now) {
 		List<PendingEntry> due = new ArrayList<>();
 		for (PendingEntry next : this.pending.values()) {
@@ -143,12 +143,12 @@
 		List<LedgerEntry> overdue = new ArrayList<>();
 		for (PendingEntry next : due) {
 			this.pending.remove(Key.of(next.entry()));
-			if (next.sender().equals(own)) {
+			if (next.sender().equals(self)) {
 				this.pending.put(Key.of(next.entry()), next.reschedule(now));
 				continue;
 			}
 			List<String> holders = replicas.apply(next.entry());
-			int rank = holders.isEmpty() ? rank(next, own, linkedPeers) : holders.indexOf(own);
+			int rank = holders.isEmpty() ? rank(next, self, linkedPeers) : holders.indexOf(self);
 			if (!linkedPeers.contains(next.sender()) || rank < next.writers()) {
 				overdue.add(next.entry());
 				continue;
@@ -159,11 +159,11 @@
 	}
 
 	// A hash of entry and relay gives all relays the same order without coordination.
-	private static int rank(PendingEntry pendingEntry, String own, Set<String> linkedPeers) {
-		int ownScore = score(pendingEntry.entry(), own);
+	private static int rank(PendingEntry pendingEntry, String self, Set<String> linkedPeers) {
+		int selfScore = score(pendingEntry.entry(), self);
 		int rank = 0;
 		for (String peer : linkedPeers) {
-			rank += (!peer.equals(pendingEntry.sender()) && score(pendingEntry.entry(), peer) < ownScore) ? 1 : 0;
+			rank += (!peer.equals(pendingEntry.sender()) && score(pendingEntry.entry(), peer) < selfScore) ? 1 : 0;
 		}
 		return rank;
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/Upstreams.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/Upstreams.java
@@ -46,7 +46,7 @@
 
 	/**
 	 * The maximum number of tracked requests, more than a site has in flight. Bounds
-	 * memory when the ends of requests are lost.
+	 * memory if requests are started but never reported as finished.
 	 */
 	private static final int MAX_RUNNING = 50_000;
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
@@ -78,12 +78,12 @@
 	/**
 	 * Makes a majority of all relays decide from now on, and discards the replies counted
 	 * so far.
-	 * @param own the name of this relay
+	 * @param self the name of this relay
 	 */
-	void waitForAllRelays(String own) {
+	void waitForAllRelays(String self) {
 		this.stage = Stage.RELAYS;
 		this.responders.clear();
-		this.replicaResponded = this.replicas.isEmpty() || this.replicas.contains(own);
+		this.replicaResponded = this.replicas.isEmpty() || this.replicas.contains(self);
 	}
 
 	/**
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
@@ -23,7 +23,7 @@
 	@Test
 	void entryOfDisconnectedRelayIsAppendedByAllReceivers() {
 		List<RelayFixture> relays = relaysWithReplicatedEntry();
-		relays.forEach((relay) -> relay.handle(new RelayEvent.PeerDisconnected(relay.now(), "teller")));
+		relays.forEach((relay) -> relay.handle(new RelayEvent.PeerDisconnected(relay.now(), "sender")));
 		assertThat(countAppended(relays, 4_500)).isEqualTo(RELAYS);
 	}
 
@@ -32,7 +32,7 @@
 		for (int seed = 0; seed < RELAYS; seed++) {
 			RelayFixture relay = RelayFixture.ready(seed);
 			relay.handle(new RelayEvent.ListenerStarted(relay.now(), "relay" + seed));
-			relay.handle(new RelayEvent.PeerConnected(relay.now(), "teller"));
+			relay.handle(new RelayEvent.PeerConnected(relay.now(), "sender"));
 			for (int peer = 0; peer < RELAYS; peer++) {
 				if (peer != seed) {
 					relay.handle(new RelayEvent.PeerConnected(relay.now(), "relay" + peer));
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaRulesTests.java
@@ -26,7 +26,7 @@
 		Team red = new Team("red", OptionalInt.empty(), Optional.of(new Quota(10, 10)));
 		this.relay.handle(new RelayEvent.RouteTableUpdated(this.relay.now(), new RouteTable(2, plain.routes(),
 				plain.services(), plain.limits(), Optional.of(new Teams(Map.of(KeyDigest.of("key"), red))))));
-		this.relay.handle(new RelayEvent.ListenerStarted(this.relay.now(), "own"));
+		this.relay.handle(new RelayEvent.ListenerStarted(this.relay.now(), "self"));
 		this.relay.handle(new RelayEvent.MembershipUpdated(this.relay.now(),
 				List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
 		this.relay.all.clear();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayFixture.java
@@ -224,7 +224,7 @@
 	}
 
 	List<RelayEffect> readFromPeer(LedgerEntry... entries) {
-		return handle(new RelayEvent.EntriesReceived(this.now, List.of(entries), Optional.of("teller")));
+		return handle(new RelayEvent.EntriesReceived(this.now, List.of(entries), Optional.of("sender")));
 	}
 
 	static LedgerEntry.Settled settledTurn(String request, String previous) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
@@ -45,10 +45,10 @@
 	@Test
 	void turnIsRefusedUntilMembershipIsKnown() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "self"));
 		RelayEffect.Refuse refused = refuse(relay.sendTurn("t1", "draft", RelayFixture.turn("p", 1000, 100, null)));
 		assertThat(refused.refusal()).isEqualTo(Refusal.NOT_READY);
-		relay.handle(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("own"))));
+		relay.handle(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("self"))));
 		assertThat(sends(relay.sendTurn("t2", "draft", RelayFixture.turn("p", 1000, 100, null)))).hasSize(1);
 		assertThat(RelayFixture.ofType(relay.all, RelayEffect.ReportReadiness.class))
 			.containsExactly(new RelayEffect.ReportReadiness(false), new RelayEffect.ReportReadiness(true));
@@ -374,7 +374,7 @@
 	@Test
 	void logTimeoutIsNotShortenedByUnavailableReplicas() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "self"));
 		relay.handle(
 				new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
 		List<RelayEffect> requested = relay.sendTurn("t1", "draft", RelayFixture.turn("p", 300, 100, null));
@@ -389,7 +389,7 @@
 	@Test
 	void majorityOfReplicasDecides() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "self"));
 		relay.handle(
 				new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 300, 100, null));
@@ -410,7 +410,7 @@
 	@Test
 	void logDecidesWhenHalfOfTheBudgetIsUncommitted() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "self"));
 		relay.handle(
 				new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"), Member.of("c"))));
 		relay.sendTurn("t1", "draft", RelayFixture.turn("p", 600, 100, null));
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
@@ -55,7 +55,7 @@
 	void relayWithoutTheLogRequestsLocationsFromReplicas() {
 		RelayFixture relay = RelayFixture.ready();
 		List<Member> members = List.of(Member.of("a"), Member.of("b"), Member.of("c"));
-		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "self"));
 		relay.handle(new RelayEvent.MembershipUpdated(relay.now(), members));
 		relay.handle(new RelayEvent.ConnectivityChanged(relay.now(), Connectivity.RELAYS));
 		List<RelayEffect> requested = relay.sendTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
@@ -77,7 +77,7 @@
 	@Test
 	void replicasAreAskedForLocationsWhileTheLogIsRead() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "own"));
+		relay.handle(new RelayEvent.ListenerStarted(relay.now(), "self"));
 		relay.handle(new RelayEvent.MembershipUpdated(relay.now(), List.of(Member.of("a"), Member.of("b"))));
 		List<RelayEffect> requested = relay.sendTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
 		assertThat(RelayFixture.ofType(requested, RelayEffect.RequestTextLocations.class)).hasSize(1);
@@ -202,11 +202,11 @@
 	@Test
 	void textIsRequestedFromItsOriginAndReadFromTheLogOnTimeout() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.handle(new RelayEvent.PeerConnected(relay.now(), "teller"));
+		relay.handle(new RelayEvent.PeerConnected(relay.now(), "sender"));
 		relay.readFromPeer(RelayFixture.settledTurn("t1", null), RelayFixture.settledTurn("t2", "t1"));
 		List<RelayEffect> effects = relay.sendTurn("t3", "chat", RelayFixture.turn("p", 10_000, 100, "t2"));
 		assertThat(RelayFixture.ofType(effects, RelayEffect.RequestTexts.class))
-			.containsExactly(new RelayEffect.RequestTexts("teller", List.of("t2", "t1")));
+			.containsExactly(new RelayEffect.RequestTexts("sender", List.of("t2", "t1")));
 		assertThat(RelayFixture.ofType(effects, RelayEffect.ReadText.class)).isEmpty();
 		relay.handle(
 				new RelayEvent.TextsReceived(relay.now(), List.of(RelayFixture.turnText("t2", "t1", "in2;", "out2;"))));
@@ -309,14 +309,14 @@
 	@Test
 	void originIsUnchangedWhenAnotherRelaySendsTheLocation() {
 		RelayFixture relay = RelayFixture.ready();
-		relay.handle(new RelayEvent.PeerConnected(relay.now(), "teller"));
+		relay.handle(new RelayEvent.PeerConnected(relay.now(), "sender"));
 		relay.handle(new RelayEvent.PeerConnected(relay.now(), "other"));
 		relay.readFromPeer(RelayFixture.settledTurn("t1", null));
 		relay.handle(new RelayEvent.EntriesReceived(relay.now(), List.of(RelayFixture.settledTurn("t1", null)),
 				Optional.of("other")));
 		List<RelayEffect> effects = relay.sendTurn("t2", "chat", RelayFixture.turn("p", 10_000, 100, "t1"));
 		assertThat(RelayFixture.ofType(effects, RelayEffect.RequestTexts.class))
-			.containsExactly(new RelayEffect.RequestTexts("teller", List.of("t1")));
+			.containsExactly(new RelayEffect.RequestTexts("sender", List.of("t1")));
 	}
 
 	private static RelayEvent.TurnWriteRequested turnWriteRequested(RelayFixture relay, String request) {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UncommittedEntriesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UncommittedEntriesTests.java
@@ -24,9 +24,9 @@
 	@Test
 	void entryIsOverdueAfterCommitTimeout() {
 		this.entries.add(this.entry, "x", 0);
-		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 1_499)).isEmpty();
-		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 1_500)).containsExactly(this.entry);
-		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 9_000)).isEmpty();
+		assertThat(this.entries.takeOverdue("self", Set.of(), ALL, 1_499)).isEmpty();
+		assertThat(this.entries.takeOverdue("self", Set.of(), ALL, 1_500)).containsExactly(this.entry);
+		assertThat(this.entries.takeOverdue("self", Set.of(), ALL, 9_000)).isEmpty();
 	}
 
 	// The entry is read from the log before it is replicated. Added then, it would be
@@ -51,8 +51,8 @@
 	void timeoutsRestartAfterLogOutage() {
 		this.entries.add(this.entry, "x", 0);
 		this.entries.restartTimeouts(5_000);
-		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 6_000)).isEmpty();
-		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 6_500)).hasSize(1);
+		assertThat(this.entries.takeOverdue("self", Set.of(), ALL, 6_000)).isEmpty();
+		assertThat(this.entries.takeOverdue("self", Set.of(), ALL, 6_500)).hasSize(1);
 	}
 
 	@Test
@@ -69,8 +69,8 @@
 	@Test
 	void ownEntryIsNeverOverdueButCounts() {
 		LedgerEntry reserved = new LedgerEntry.Reserved("r", "p", 100, "", List.of(), false);
-		this.entries.add(reserved, "own", 0);
-		assertThat(this.entries.takeOverdue("own", Set.of(), ALL, 9_000)).isEmpty();
+		this.entries.add(reserved, "self", 0);
+		assertThat(this.entries.takeOverdue("self", Set.of(), ALL, 9_000)).isEmpty();
 		assertThat(this.entries.tokensOf("p")).isEqualTo(100);
 	}
 
@@ -89,10 +89,10 @@
 	// Two replicas append an overdue entry, and the third only after another timeout.
 	@Test
 	void furtherReplicasAppendAfterFurtherTimeouts() {
-		List<String> replicas = List.of("a", "b", "own");
+		List<String> replicas = List.of("a", "b", "self");
 		this.entries.add(this.entry, "x", 0);
-		assertThat(this.entries.takeOverdue("own", Set.of("x"), (entry) -> replicas, 1_500)).isEmpty();
-		assertThat(this.entries.takeOverdue("own", Set.of("x"), (entry) -> replicas, 3_000))
+		assertThat(this.entries.takeOverdue("self", Set.of("x"), (entry) -> replicas, 1_500)).isEmpty();
+		assertThat(this.entries.takeOverdue("self", Set.of("x"), (entry) -> replicas, 3_000))
 			.containsExactly(this.entry);
 	}
 
@@ -106,15 +106,15 @@
 		Set<String> all = IntStream.range(0, relays).mapToObj((peer) -> "p" + peer).collect(Collectors.toSet());
 		Set<String> appended = new HashSet<>();
 		for (int relay = 1; relay < relays; relay++) {
-			String own = "p" + relay;
+			String self = "p" + relay;
 			Set<String> linkedPeers = new HashSet<>(all);
-			linkedPeers.remove(own);
+			linkedPeers.remove(self);
 			UncommittedEntries received = new UncommittedEntries(
 					random.nextLong(RelaySettings.ADOPTION_JITTER.toMillis()));
 			IntStream.range(0, entryCount)
 				.forEach((turn) -> received.add(RelayFixture.settledTurn("t" + turn, null), "p0", 0));
 			for (long now = 0; now <= 4_000; now += 80) {
-				received.takeOverdue(own, linkedPeers, ALL, now).forEach((entry) -> appended.add(entry.request()));
+				received.takeOverdue(self, linkedPeers, ALL, now).forEach((entry) -> appended.add(entry.request()));
 			}
 		}
 		assertThat(appended).hasSize(entryCount);
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UsagePollTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UsagePollTests.java
@@ -61,7 +61,7 @@
 	// A majority without a replica doesn't know the earlier decisions of the replicas.
 	@Test
 	void majorityOfRelaysRequiresReplica() {
-		this.poll.waitForAllRelays("own");
+		this.poll.waitForAllRelays("self");
 		this.poll.addUsage("x", 100, 0);
 		this.poll.addUsage("y", 100, 0);
 		assertThat(this.poll.hasRelayMajority(4)).isFalse();
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/SerialHttpClient.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/SerialHttpClient.java
@@ -22,9 +22,9 @@
 import io.netty.util.concurrent.ScheduledFuture;
 
 /**
- * HTTP client that sends one request at a time on a persistent connection. If a request
- * times out its connection is closed, so that a late response is not taken for that of a
- * later request. Used by the event loop's thread.
+ * HTTP client that sends one request at a time on a persistent connection. The connection
+ * is closed when a request times out, so that a late response is not matched to the next
+ * request. Used by the event loop's thread.
  */
 public final class SerialHttpClient {
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/ConnectivityMonitor.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/ConnectivityMonitor.java
@@ -13,15 +13,15 @@
 final class ConnectivityMonitor {
 
 	/**
-	 * How long the store may not respond before it counts as unreachable: longer than a
-	 * slow response, shorter than the interval between turns of a looping program.
+	 * The time without a successful call after which the store counts as unreachable.
+	 * Longer than a slow response.
 	 */
-	private static final long STORE_SILENCE_TIMEOUT_MS = 1500;
+	private static final long STORE_IDLE_TIMEOUT_MS = 1500;
 
 	/**
-	 * How many consecutive calls have to fail, over how long a period, before the store
-	 * counts as unreachable. Rejected calls fail at once and need no longer timeout; a
-	 * single failure is not an outage.
+	 * The number of consecutive failed calls, and the minimum time since the first of
+	 * them, after which the store counts as unreachable. Detects a store that rejects
+	 * calls before the idle timeout does.
 	 */
 	private static final int MIN_FAILED_CALLS = 4;
 
@@ -81,9 +81,9 @@
 
 	private boolean storeUnreachable() {
 		long now = this.timers.now();
-		boolean silent = now - this.lastStoreSuccessAt > STORE_SILENCE_TIMEOUT_MS;
+		boolean idle = now - this.lastStoreSuccessAt > STORE_IDLE_TIMEOUT_MS;
 		boolean failing = this.failures >= MIN_FAILED_CALLS && now - this.failingSince > MIN_FAILURE_DURATION_MS;
-		return silent || failing;
+		return idle || failing;
 	}
 
 	/**
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
@@ -427,7 +427,7 @@
 	 * @param settings the settings of the reducer
 	 * @param addresses the addresses to listen at
 	 * @param drainLimit the maximum duration of a drain
-	 * @param dialect the protocol of callers and upstreams
+	 * @param dialect the header names and formats of callers and upstreams
 	 * @param storeDecoder decodes operators' and upstreams' records of the store
 	 * @param store creates the store client for the event loop
 	 * @param notices receives notices
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/TimerDelayMonitor.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/TimerDelayMonitor.java
@@ -11,8 +11,8 @@
 
 /**
  * Measures how late a periodic timer of this process runs, and writes a notice about
- * delays that callers would notice. This tells CPU starvation of this process apart from
- * slow peers and upstreams. Used by one thread.
+ * delays that callers would notice. Such a notice attributes delays to CPU starvation of
+ * this process, not to slow peers and upstreams. Used by one thread.
  */
 final class TimerDelayMonitor {
 
