--- a/lentilslip-core/src/main/java/io/lentilslip/core/measurement/Measurement.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/measurement/Measurement.java
@@ -597,17 +597,17 @@
 	/**
 	 * A timer of a relay has fired.
 	 *
-	 * @param late the delay past its due time
+	 * @param delay the delay past its due time
 	 */
 	record TimerRan(Duration delay) implements Measurement {
 
 		/**
 		 * Creates a measurement.
-		 * @param late the delay past its due time
+		 * @param delay the delay past its due time
 		 * @throws IllegalArgumentException if the duration is negative
 		 */
 		public TimerRan {
-			requireNotNegative(delay, "late");
+			requireNotNegative(delay, "delay");
 		}
 
 	}
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitReply.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitReply.java
@@ -10,7 +10,8 @@
  * @param team the name of the team
  * @param requestId the id of the request
  * @param permits the permits for active programs, including prefetched ones
- * @param admissions whether each new program is admitted, which includes one permit
+ * @param admissions whether each new program is admitted; each admission includes one
+ * permit
  * @param retryAfter the time after which a rejected request can be retried
  */
 public record PermitReply(String team, long requestId, int permits, List<Boolean> admissions, Duration retryAfter) {
@@ -20,7 +21,8 @@
 	 * @param team the name of the team
 	 * @param requestId the id of the request
 	 * @param permits the permits for active programs, including prefetched ones
-	 * @param admissions whether each new program is admitted, which includes one permit
+	 * @param admissions whether each new program is admitted; each admission includes one
+	 * permit
 	 * @param retryAfter the time after which a rejected request can be retried
 	 */
 	public PermitReply {
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitRequest.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/PermitRequest.java
@@ -12,7 +12,7 @@
  * @param required the permits for waiting requests of active programs
  * @param prefetch the additional permits to prefetch
  * @param expired the permits of earlier replies that expired unused
- * @param activePrograms the active programs of the waiting requests that have one
+ * @param activePrograms the programs of the waiting requests of active programs
  * @param newPrograms the programs waiting for admission, one entry for each waiting
  * request
  */
@@ -27,7 +27,7 @@
 	 * @param required the permits for waiting requests of active programs
 	 * @param prefetch the additional permits to prefetch
 	 * @param expired the permits of earlier replies that expired unused
-	 * @param activePrograms the active programs of the waiting requests that have one
+	 * @param activePrograms the programs of the waiting requests of active programs
 	 * @param newPrograms the programs waiting for admission, one entry for each waiting
 	 * request
 	 */
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Returns a request for no permits, whose reply shows that the coordinator is alive.
+	 * Returns a liveness probe of the coordinator, which requests no permits.
 	 * @param requestId identifies the reply among those to the same relay
 	 * @return the request
 	 */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/QuotaTolerance.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/QuotaTolerance.java
@@ -29,9 +29,9 @@
 	private static final double PREFETCH_OVERSHOOT_FRACTION = 0.8;
 
 	/**
-	 * The fraction of the slack that a new coordinator has as its initial permits. One
-	 * window has room for two changes of the coordinator besides the permits of the
-	 * previous one.
+	 * The fraction of the slack that a new coordinator has as its initial permits. The
+	 * coordinator may change twice in one window within the tolerance, in addition to the
+	 * permits of the previous coordinator.
 	 */
 	private static final double INITIAL_FRACTION = 0.125;
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBucket.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBucket.java
@@ -179,10 +179,10 @@
 		}
 	}
 
-	private int grantPrefetch(int wanted, long now) {
+	private int grantPrefetch(int requested, long now) {
 		double spare = Math.min(this.level - this.tolerance.capacity(this.quota) / 2,
 				this.tolerance.maxPrefetched(this.quota) - this.outstanding);
-		int granted = (int) Math.max(0, Math.min(wanted, spare));
+		int granted = (int) Math.max(0, Math.min(requested, spare));
 		if (granted > 0) {
 			this.level -= granted;
 			this.outstanding += granted;
--- a/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBuckets.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/quota/TeamBuckets.java
@@ -7,9 +7,9 @@
 /**
  * Token buckets of the teams that one relay coordinates. Grants of other coordinators are
  * unknown here, so a new bucket has only the initial permits and those accrued since the
- * last membership change. A failover coordinator that has not yet detected the failure of
- * the primary itself grants only a small fraction of the rate. Bounded: the least
- * recently used team is evicted first. Not thread-safe.
+ * last membership change. A failover coordinator that has not yet confirmed the failure
+ * of the primary grants only a small fraction of the rate. Bounded: the least recently
+ * used team is evicted first. Not thread-safe.
  */
 public final class TeamBuckets {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/BudgetRules.java
@@ -19,9 +19,10 @@
  * relays, up to half of the budget. A relay without a member list admits turns alone as
  * long as the budget covers concurrent turns on other relays.
  * <p>
- * The half that is granted without the log is forgotten if all relays are lost before the
- * log is available. A relay whose ledger may be incomplete therefore counts that half as
- * used, less one turn, because a budget may be exceeded by one turn. Used by one thread.
+ * Usage that was granted without the log is lost if all relays are lost before the log is
+ * available. A relay whose ledger may be incomplete therefore counts half of the budget
+ * as used, less one turn, because a budget may be exceeded by one turn. Used by one
+ * thread.
  */
 final class BudgetRules {
 
@@ -155,7 +156,7 @@
 		// Uncommitted usage is lost if all relays are lost. It is limited even if the log
 		// seems reachable, because an outage of the log is detected with a delay.
 		long limited = logReachable ? poll.uncommitted() : poll.used();
-		long unseen = poll.maxUnseen(turn.maxTokens());
+		long unseen = poll.maxUncounted(turn.maxTokens());
 		boolean withinBudget = !logReachable || unseen == 0 || poll.used() + unseen <= budget + turn.maxTokens();
 		if (withinBudget && limited + unseen <= limit) {
 			finishDecision(exchange, Decider.KEEPERS, true);
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramReplicas.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/ProgramReplicas.java
@@ -10,11 +10,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Assignment of programs to the relays that replicate their state. A relay
- * replicates a turn to these only, so its traffic grows with the turns that it serves and
- * not with the number of relays. The assignment is rendezvous hashing, weighted by processor share:
- * all relays with the same member list compute the same replicas, and a member that joins
- * or leaves moves only its own programs. Used by one thread.
+ * Assignment of programs to the relays that replicate their state. A relay replicates a
+ * turn to these only, so its traffic grows with the turns that it serves and not with the
+ * number of relays. The assignment is rendezvous hashing, weighted by processor share:
+ * relays with equal member lists compute equal assignments, and a member that joins or
+ * leaves moves only the programs assigned to it. Used by one thread.
  */
 final class ProgramReplicas {
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -29,8 +29,7 @@
 final class QuotaRules {
 
 	/**
-	 * The time after which a coordinator that has not replied is passed over for the
-	 * next.
+	 * The time to wait for the reply of a coordinator before the next one is asked.
 	 */
 	private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(60);
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelaySettings.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/RelaySettings.java
@@ -24,8 +24,7 @@
 
 	/**
 	 * The fraction of a route's latency target after which a turn without its chain is
-	 * rejected. Leaves time for another relay to respond on time, and is several times
-	 * the latency of a log read.
+	 * rejected. Leaves time for another relay to respond.
 	 */
 	static final int CHAIN_TIMEOUT_DIVISOR = 5;
 
@@ -50,8 +49,7 @@
 	/**
 	 * The maximum age of the last log record at startup for which no preceding log outage
 	 * is assumed. Longer than a restart of all relays. A shorter outage is not detected,
-	 * but allows a program only one or two turns without the log; a budget may be
-	 * exceeded by one turn.
+	 * but is too short for many turns without the log.
 	 */
 	static final Duration RECENT_WRITE_AGE = Duration.ofSeconds(3);
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TextRules.java
@@ -33,8 +33,8 @@
 	private static final Duration ORIGIN_TIMEOUT = Duration.ofMillis(30);
 
 	/**
-	 * The throughput of the slowest links in bytes per millisecond, by which the timeout
-	 * grows with the size of the texts.
+	 * The throughput of the slowest links in bytes per millisecond. The timeout is
+	 * extended by the size of the texts divided by it.
 	 */
 	private static final int LINK_BYTES_PER_MS = 1024;
 
@@ -44,8 +44,8 @@
 	private static final long SLOW_LOG_WINDOW_MS = 2000;
 
 	/**
-	 * The bytes of texts after which a message is sent, a small part of what a link may
-	 * have queued.
+	 * The size of texts in bytes after which a message is sent. Far below the limit of
+	 * bytes pending on a link.
 	 */
 	private static final int TARGET_MESSAGE_BYTES = 1024 * 1024;
 
@@ -61,8 +61,8 @@
 	private static final int MAX_CHAIN_LOCATIONS = 64;
 
 	/**
-	 * The part of its remaining time that a turn waits for texts that are known to exist,
-	 * as a divisor.
+	 * The remaining time of a turn is divided by this for the wait for texts that are
+	 * known to exist.
 	 */
 	private static final int EXTENDED_WAIT_DIVISOR = 3;
 
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnCache.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/TurnCache.java
@@ -61,8 +61,8 @@
 
 	/**
 	 * Records a location of the text of a turn. A turn has several locations if peers
-	 * wrote it as well. If the location names no origin, the first relay that sent
-	 * a location is the origin.
+	 * wrote it as well. If the location names no origin, the first relay that sent a
+	 * location is the origin.
 	 * @param request the turn
 	 * @param location the location of its text
 	 * @param sender the relay that sent the location; empty if it was read from the log
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UncommittedEntries.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UncommittedEntries.java
@@ -14,17 +14,17 @@
 /**
  * Ledger entries that have not been read from the log yet: replicated by other relays, or
  * being appended by this one. If the relay that created an entry fails before the append,
- * the usage in it would be lost with the last copy, and the program could get the same
- * tokens twice. A relay that holds a copy therefore appends it after a timeout. Several
- * may do so, as readers ignore duplicates. The size is bounded by removing the oldest
- * entries. Used by one thread.
+ * the usage in it would be lost with the last copy, and the tokens could be granted
+ * again. A relay that holds a copy therefore appends it after a timeout. Several may do
+ * so, as readers ignore duplicates. The size is bounded by removing the oldest entries.
+ * Used by one thread.
  */
 final class UncommittedEntries {
 
 	/**
 	 * Number of relays that append an overdue entry while its sender is connected;
-	 * doubled after each further timeout. The limit keeps a late log from being loaded
-	 * with duplicates, and one relay that reaches the log is enough.
+	 * doubled after each further timeout. The limit prevents duplicates from loading a
+	 * slow log; one relay that reaches the log is enough.
 	 */
 	private static final int INITIAL_WRITERS = 2;
 
@@ -72,7 +72,7 @@
 
 	/**
 	 * Returns the usage of a program that is recorded in these entries only, and would be
-	 * lost with all relays.
+	 * lost if all relays fail.
 	 * @param program the program
 	 * @return the tokens, with the maximum of turns that are not settled
 	 */
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
@@ -131,7 +131,7 @@
 	 * @param maxTokens the maximum tokens of the turn itself
 	 * @return the tokens
 	 */
-	long maxUnseen(int maxTokens) {
+	long maxUncounted(int maxTokens) {
 		boolean all = this.responders.size() >= this.replicas.size();
 		return (all || this.uncommitted <= maxTokens) ? 0 : this.uncommitted / 2;
 	}
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/LedgerRulesTests.java
@@ -11,7 +11,7 @@
 
 	private static final int RELAYS = 30;
 
-	// The log is late. If all receivers appended the entry although its sender is
+	// The log is slow. If all receivers appended the entry although its sender is
 	// connected, the duplicates would delay the log further.
 	@Test
 	void entryOfConnectedRelayIsAppendedByFewOthers() {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/OutageProperties.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/OutageProperties.java
@@ -25,7 +25,8 @@
 		assertThat(site.deliveredTokens()).isLessThanOrEqualTo((long) turnsOfBudget * MAX_TOKENS + MAX_TOKENS);
 	}
 
-	// Tokens granted during the outage are forgotten with all relays and must not be
+	// The record of tokens granted during the outage is lost with all relays and must not
+	// be
 	// granted again afterwards.
 	@Property(tries = 400, seed = "776982295391")
 	void budgetHoldsOverLossOfAllRelaysDuringOutage(@ForAll @IntRange(min = 3, max = 7) int relays,
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/ProgramReplicasTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ProgramReplicasTests.java
@@ -63,7 +63,7 @@
 	}
 
 	@Test
-	void joiningRelayMovesOnlyItsOwnShare() {
+	void joiningRelayMovesOnlyItsShare() {
 		List<Member> members = members(40, 1);
 		this.replicas.update(members);
 		Map<String, List<String>> before = new HashMap<>();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaSite.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/QuotaSite.java
@@ -139,7 +139,7 @@
 
 	/**
 	 * Runs a program with sequential requests. A rejected request is retried once after
-	 * its retry delay; a second rejection ends the program.
+	 * its retry delay. After a second rejection the program sends no further requests.
 	 * @param team the team
 	 * @param program the program
 	 * @param requests the number of its requests
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/RelayTests.java
@@ -323,8 +323,8 @@
 		assertThat(RelayFixture.settled(effects).tokens()).isZero();
 	}
 
-	// Guards against withholding half of a budget when no outage of the log came before
-	// the restart.
+	// Guards against withholding half of a budget after a restart without an outage of
+	// the log.
 	@Test
 	void relayThatRestartsWithARecentLogSoonAdmitsTheWholeBudget() {
 		RelayFixture relay = RelayFixture.afterRestart();
@@ -338,8 +338,8 @@
 		assertThat(refusal(relay.sendTurn("t2", "draft", RelayFixture.turn("p", 600, 150, null)))).isEmpty();
 	}
 
-	// Guards against using a budget twice after an outage of the log: its newest entry
-	// is too old.
+	// Guards against using a budget twice: if the newest entry of the log is old, turns
+	// may have been admitted during an outage of the log.
 	@Test
 	void relayThatRestartsWithAnOldLogWithholdsHalfOfABudget() {
 		RelayFixture relay = RelayFixture.afterRestart();
@@ -381,9 +381,9 @@
 		assertThat(RelayFixture.ofType(requested, RelayEffect.RequestReservation.class)).singleElement()
 			.satisfies((request) -> assertThat(request.peers()).containsExactlyInAnyOrder("a", "b", "c"));
 		relay.handle(new RelayEvent.UsageUnavailable(relay.now(), "a", "t1"));
-		List<RelayEffect> contends = relay.handle(new RelayEvent.UsageUnavailable(relay.now(), "b", "t1"));
+		List<RelayEffect> undecided = relay.handle(new RelayEvent.UsageUnavailable(relay.now(), "b", "t1"));
 		assertThat(relay.fireTimer(TimerKind.BUDGET_DECISION)).isEmpty();
-		assertThat(sends(relay.readFromLog(RelayFixture.written(contends).getFirst()))).hasSize(1);
+		assertThat(sends(relay.readFromLog(RelayFixture.written(undecided).getFirst()))).hasSize(1);
 	}
 
 	@Test
@@ -467,7 +467,7 @@
 		assertThat(RelayFixture.settled(received).tokens()).isZero();
 	}
 
-	// A relay that reaches the log obtains the decision for one that does not.
+	// A relay that does not reach the log obtains the decision through one that does.
 	@Test
 	void relayThatReachesTheLogDecidesForOneThatDoesNot() {
 		RelayFixture relay = RelayFixture.ready();
@@ -478,13 +478,13 @@
 		assertThat(received).containsExactly(new RelayEffect.RequestLogReservation("a", "t1", "p", 100, 100));
 		assertThat(sends(relay.handle(new RelayEvent.UsageReceived(relay.now(), "b", "t1", 100, 0, false, 2))))
 			.isEmpty();
-		List<RelayEffect> placed = relay.handle(new RelayEvent.LogDecisionReceived(relay.now(), "t1", true));
-		assertThat(sends(placed)).hasSize(1);
-		assertThat(notices(placed, NoticeCode.TURN_DECIDED).getFirst().fields())
+		List<RelayEffect> decided = relay.handle(new RelayEvent.LogDecisionReceived(relay.now(), "t1", true));
+		assertThat(sends(decided)).hasSize(1);
+		assertThat(notices(decided, NoticeCode.TURN_DECIDED).getFirst().fields())
 			.contains(new NoticeField(FieldName.REASON, "PLACE"), new NoticeField(FieldName.VERDICT, "HELD"));
 	}
 
-	// Operators see how many entries this relay appends for others.
+	// Operators must be able to see how many entries this relay appends for others.
 	@Test
 	void entriesAppendedForAnotherRelayAreReported() {
 		RelayFixture relay = RelayFixture.ready();
@@ -500,7 +500,8 @@
 		assertThat(notices(relay.readFromLog(), NoticeCode.ENTRIES_ADOPTED)).isEmpty();
 	}
 
-	// Counts entries that the log has several times, not those received from peers.
+	// Entries that occur several times in the log are duplicates. Copies received from
+	// peers are not.
 	@Test
 	void duplicateEntriesInTheLogAreCounted() {
 		RelayFixture relay = RelayFixture.ready();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/ResponseRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/ResponseRulesTests.java
@@ -10,7 +10,7 @@
 class ResponseRulesTests {
 
 	// Guards against retrying a request when the relay itself was delayed: the response
-	// may lie unread in its socket.
+	// may be unread in its socket.
 	@Test
 	void delayOfTheRelayIsNotAnIdleUpstream() {
 		RelayFixture relay = RelayFixture.ready();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
@@ -49,7 +49,8 @@
 			.hasSize(1);
 	}
 
-	// Guards against refusing a conversation for good where the log is unreachable and
+	// Guards against refusing every turn of a conversation where the log is unreachable
+	// and
 	// this relay is no replica of the program.
 	@Test
 	void relayWithoutTheLogRequestsLocationsFromReplicas() {
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UncommittedEntriesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UncommittedEntriesTests.java
@@ -67,7 +67,7 @@
 	}
 
 	@Test
-	void ownEntryIsNeverOverdueButCounts() {
+	void localEntryIsNeverOverdueButCounts() {
 		LedgerEntry reserved = new LedgerEntry.Reserved("r", "p", 100, "", List.of(), false);
 		this.entries.add(reserved, "self", 0);
 		assertThat(this.entries.takeOverdue("self", Set.of(), ALL, 9_000)).isEmpty();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UsagePollTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UsagePollTests.java
@@ -20,7 +20,7 @@
 	}
 
 	// A request is answered twice if a connection is replaced. Counted twice, one replica
-	// would be a majority, and two concurrent turns could miss each other.
+	// would be a majority, and two concurrent turns might not be counted for each other.
 	@Test
 	void relayIsCountedOnce() {
 		this.poll.addUsage("a", 300, 0);
@@ -41,21 +41,21 @@
 	// Replicas may receive three concurrent turns in different orders, so that each turn
 	// is counted for only one of the others.
 	@Test
-	void twoReplicasLeaveHalfOfUncommittedUsageUnseen() {
+	void twoReplicasLeaveHalfOfUncommittedUsageUncounted() {
 		this.poll.addUsage("a", 200, 200);
 		this.poll.addUsage("c", 100, 100);
-		assertThat(this.poll.maxUnseen(100)).isEqualTo(100);
+		assertThat(this.poll.maxUncounted(100)).isEqualTo(100);
 		assertThat(this.poll.awaitsReplicas()).isTrue();
 		this.poll.addUsage("b", 300, 300);
-		assertThat(this.poll.maxUnseen(100)).isZero();
+		assertThat(this.poll.maxUncounted(100)).isZero();
 		assertThat(this.poll.awaitsReplicas()).isFalse();
 	}
 
 	@Test
-	void onlyUncommittedTurnLeavesNothingUnseen() {
+	void onlyUncommittedTurnLeavesNothingUncounted() {
 		this.poll.addUsage("a", 100, 100);
 		this.poll.addUsage("b", 100, 100);
-		assertThat(this.poll.maxUnseen(100)).isZero();
+		assertThat(this.poll.maxUncounted(100)).isZero();
 	}
 
 	// A majority without a replica doesn't know the earlier decisions of the replicas.
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/http/StrictRequestDecoder.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/http/StrictRequestDecoder.java
@@ -7,8 +7,8 @@
 
 /**
  * Request decoder that rejects requests with both {@code Content-Length} and {@code
- * Transfer-Encoding}, which allow request smuggling: the upstream could take part of the
- * body for a second request. Used by one connection.
+ * Transfer-Encoding}, which allow request smuggling: the upstream could parse part of the
+ * body as a second request. Used by one connection.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerLink.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerLink.java
@@ -20,8 +20,8 @@
 /**
  * Link to one other relay over a single connection, which either side may have opened. It
  * connects on demand and closes when idle, so a relay has links only to relays that it
- * works with. Messages lost with a connection are not resent: entries arrive through the
- * log, and requests are retried. Used by the event loop's thread.
+ * exchanges messages with. Messages lost with a connection are not resent: entries arrive
+ * through the log, and requests are retried. Used by the event loop's thread.
  */
 final class PeerLink {
 
@@ -58,7 +58,8 @@
 
 	/**
 	 * How long a response may be outstanding before the connection is closed. A
-	 * connection may stop delivering data without a reset, and a new one works.
+	 * connection may stop delivering data without a reset; reconnecting restores the
+	 * link.
 	 */
 	private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(2000);
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerListener.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/PeerListener.java
@@ -25,7 +25,7 @@
 	void entriesReceived(String peer, List<LedgerEntry> entries);
 
 	/**
-	 * Another relay requests to write a turn to the log on its behalf.
+	 * Another relay requests that this one writes a turn to the log on its behalf.
 	 * @param peer the address of the other relay
 	 * @param request the turn that it cannot write
 	 */
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/Peers.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/peer/Peers.java
@@ -29,8 +29,8 @@
 public final class Peers implements CompactedTopicConsumer.Listener {
 
 	/**
-	 * How many relays are asked to write a turn; one of them may fail to reach the store
-	 * too.
+	 * The number of relays that are requested to write a turn, since one of them may not
+	 * reach the store either.
 	 */
 	private static final int TURN_WRITE_PEERS = 2;
 
@@ -116,8 +116,8 @@
 	}
 
 	/**
-	 * Requests two other relays to write a turn to the log, in round-robin order and
-	 * preferably connected ones.
+	 * Requests two other relays to write a turn to the log. Relays are selected in
+	 * round-robin order, connected ones first.
 	 * @param request the request
 	 */
 	public void requestTurnWrite(PeerMessage.TurnWriteRequest request) {
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/Exchanges.java
@@ -21,7 +21,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 
 /**
- * Open exchanges and their connections: turns what callers and upstreams send into
+ * Open exchanges and their connections: converts data from callers and upstreams to
  * events, and runs the effects that apply to an exchange. Used by the event loop's
  * thread.
  */
@@ -155,7 +155,7 @@
 	}
 
 	/**
-	 * Turns the outcome of an attempt into events. Used by the event loop's thread.
+	 * Converts the outcome of an attempt to events. Used by the event loop's thread.
 	 */
 	private final class Attempt implements AttemptListener {
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/PauseDetector.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/PauseDetector.java
@@ -5,15 +5,15 @@
 
 /**
  * Detects pauses of this process: either the monotonic clock advanced by more than the
- * check interval, or the wall clock advanced while the monotonic clock stood still.
- * Checked periodically and before each event. An adjustment of the wall clock also counts
- * as a pause, at the cost of one catch-up read of the log. Used by one thread.
+ * check interval, or the wall clock advanced while the monotonic clock did not. Checked
+ * periodically and before each event. An adjustment of the wall clock also counts as a
+ * pause, at the cost of one catch-up read of the log. Used by one thread.
  */
 final class PauseDetector {
 
 	/**
-	 * How much later than planned a check may run. Garbage collection and CPU throttling
-	 * stay below it; what other relays replicate meanwhile is less than one turn.
+	 * The maximum delay of a check that does not count as a pause. Longer than pauses for
+	 * garbage collection and CPU throttling, shorter than a turn.
 	 */
 	private static final long TOLERANCE_MS = 400;
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/RelayProcess.java
@@ -286,8 +286,8 @@
 		}
 	}
 
-	// An exception must neither stay unnoticed nor affect other exchanges: the event is
-	// reported, and its exchange is aborted without a statement on whether the request
+	// An exception must be reported and must not affect other exchanges: the event is
+	// logged, and its exchange is aborted without a statement on whether the request
 	// ran.
 	private void reduce(RelayEvent event) {
 		try {
@@ -522,7 +522,7 @@
 	}
 
 	/**
-	 * Turns messages of other relays into events. Used by the event loop's thread.
+	 * Converts messages of other relays to events. Used by the event loop's thread.
 	 */
 	private final class PeerEvents implements PeerListener {
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryReader.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryReader.java
@@ -26,7 +26,7 @@
 public final class EntryReader {
 
 	/**
-	 * The polling interval while most links are up; each call to the store has a cost.
+	 * The polling interval while most links are up. Limits the load on the store.
 	 */
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
@@ -25,9 +25,9 @@
 	private static final long MAX_QUEUED_BYTES = 24L * 1024 * 1024;
 
 	/**
-	 * How long entries that no request waits for are batched. If all relays are lost, so
-	 * are the reservations of this period, which amount to much less than the one turn by
-	 * which a budget may be exceeded.
+	 * The batching delay of entries that no request waits for. Reservations of this
+	 * period are lost if all relays are lost, so it must be shorter than a turn: a budget
+	 * may be exceeded by one turn.
 	 */
 	private static final Duration LINGER = Duration.ofMillis(100);
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/RetryBackoff.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/RetryBackoff.java
@@ -6,8 +6,8 @@
 import io.lentilslip.core.retry.Backoff;
 
 /**
- * Delays between retries of calls to the store, increasing since the last success. Used
- * by one thread.
+ * Delays between retries of calls to the store. The delay increases with each failure
+ * until a call succeeds. Used by one thread.
  */
 final class RetryBackoff {
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextReader.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextReader.java
@@ -18,15 +18,14 @@
 public final class TextReader {
 
 	/**
-	 * How many bytes the first call reads in addition to the size of the text, for
-	 * records that precede it; doubled on each further call. Only after an outage do many
-	 * records precede a text.
+	 * The number of bytes that the first call reads in addition to the size of the text,
+	 * for records that precede it. Doubled on each further call.
 	 */
 	private static final int INITIAL_EXTRA_BYTES = 16 * 1024;
 
 	/**
-	 * The maximum number of calls per location. The last call reads several times the
-	 * texts that two relays queue while callers wait for their responses.
+	 * The maximum number of calls per location. Covers the queued texts that two relays
+	 * append after an outage.
 	 */
 	private static final int MAX_CALLS_PER_LOCATION = 8;
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/TextWriter.java
@@ -16,8 +16,8 @@
 public final class TextWriter {
 
 	/**
-	 * The maximum total size of queued texts, several times what a relay receives while
-	 * callers wait for the end of their responses.
+	 * The maximum total size of queued texts. Exceeds the texts that a relay receives
+	 * while callers wait for the end of their responses.
 	 */
 	private static final long MAX_QUEUED_BYTES = 16L * 1024 * 1024;
 
--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamConnection.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/upstream/UpstreamConnection.java
@@ -129,7 +129,7 @@
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-		// Report the reset first: the decoder would take the end of the connection for
+		// Report the reset first: the decoder would treat the end of the connection as
 		// the end of a response without a length.
 		fail((cause instanceof IOException) ? FailureCause.BROKEN : FailureCause.UNREADABLE);
 		ctx.close();
@@ -214,8 +214,8 @@
 	private void returnToPool(HttpResponse response) {
 		boolean framed = HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
 		boolean sent = this.writeFuture.map(ChannelFuture::isSuccess).orElse(false);
-		// If the request is not fully written, the upstream would take the next request
-		// for the rest of its body.
+		// If the request is not fully written, the upstream would read the next request
+		// as the rest of its body.
 		if (!framed || !sent || !HttpUtil.isKeepAlive(response)
 				|| response.headers().contains(HttpHeaderNames.UPGRADE)) {
 			this.context.close();
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/peer/PeersTests.java
@@ -36,7 +36,7 @@
 
 class PeersTests {
 
-	private static final String OWN_ADDRESS = "10.0.0.1:1";
+	private static final String LOCAL_ADDRESS = "10.0.0.1:1";
 
 	private static final byte[] MEMBER_RECORD = { 1 };
 
@@ -46,7 +46,7 @@
 
 	private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
 
-	private String ownAddress = OWN_ADDRESS;
+	private String localAddress = LOCAL_ADDRESS;
 
 	private final TrafficCounter traffic = new TrafficCounter();
 
@@ -84,12 +84,12 @@
 	// it. Unless it is registered again, new relays cannot find this one.
 	@Test
 	void removalOfTheOwnAddressIsReported() throws Exception {
-		onLoop(() -> this.peers.setLocalAddress(OWN_ADDRESS));
-		onLoop(() -> this.peers.recordChanged(OWN_ADDRESS, Optional.empty()));
+		onLoop(() -> this.peers.setLocalAddress(LOCAL_ADDRESS));
+		onLoop(() -> this.peers.recordChanged(LOCAL_ADDRESS, Optional.empty()));
 		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("address removed");
 		onLoop(() -> this.peers.snapshotRead(Map.of()));
 		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("address removed");
-		onLoop(() -> this.peers.snapshotRead(Map.of(OWN_ADDRESS, MEMBER_RECORD)));
+		onLoop(() -> this.peers.snapshotRead(Map.of(LOCAL_ADDRESS, MEMBER_RECORD)));
 		assertThat(onLoop(this.received::isEmpty)).isTrue();
 	}
 
@@ -156,7 +156,7 @@
 		onLoop(() -> this.peers.recordChanged(leaving, Optional.empty()));
 		assertThat(onLoop(this.peers::knownCount)).isZero();
 		onLoop(() -> this.others.getFirst()
-			.send(this.ownAddress, new PeerMessage.ReservationRequest("last", "p", 1, 2, false)));
+			.send(this.localAddress, new PeerMessage.ReservationRequest("last", "p", 1, 2, false)));
 		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("requested last of p");
 		onLoop(() -> this.peers.send(leaving, new PeerMessage.ReservationRequest("back", "p", 1, 2, false)));
 		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("requested back of p");
@@ -182,23 +182,23 @@
 
 	@Test
 	void membershipContainsTheDecodedRecords() throws Exception {
-		onLoop(() -> this.peers.setLocalAddress(OWN_ADDRESS));
+		onLoop(() -> this.peers.setLocalAddress(LOCAL_ADDRESS));
 		Member other = new Member("10.0.0.2:1", "zone-b", 27);
 		onLoop(() -> this.peers
-			.snapshotRead(Map.of(OWN_ADDRESS, MEMBER_RECORD, other.address(), RelayCodec.encode(other))));
-		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN_ADDRESS), other);
+			.snapshotRead(Map.of(LOCAL_ADDRESS, MEMBER_RECORD, other.address(), RelayCodec.encode(other))));
+		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(LOCAL_ADDRESS), other);
 		onLoop(() -> this.peers.recordChanged(other.address(), Optional.empty()));
-		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN_ADDRESS));
+		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(LOCAL_ADDRESS));
 	}
 
 	// A record of another writer may have a key that is not an address. It must not stop
 	// the consumer.
 	@Test
 	void recordWithAnInvalidAddressIsIgnored() throws Exception {
-		onLoop(() -> this.peers.setLocalAddress(OWN_ADDRESS));
-		onLoop(() -> this.peers.snapshotRead(Map.of(OWN_ADDRESS, MEMBER_RECORD, "nowhere", MEMBER_RECORD, "10.0.0.1:",
+		onLoop(() -> this.peers.setLocalAddress(LOCAL_ADDRESS));
+		onLoop(() -> this.peers.snapshotRead(Map.of(LOCAL_ADDRESS, MEMBER_RECORD, "nowhere", MEMBER_RECORD, "10.0.0.1:",
 				MEMBER_RECORD, ":70000", MEMBER_RECORD)));
-		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(OWN_ADDRESS));
+		assertThat(onLoop(() -> this.members)).containsExactly(Member.of(LOCAL_ADDRESS));
 		assertThat(onLoop(this.peers::knownCount)).isZero();
 	}
 
@@ -224,7 +224,7 @@
 			Thread.onSpinWait();
 		}
 		onLoop(() -> this.others.getFirst()
-			.send(this.ownAddress, new PeerMessage.Usage("t", 7, 0, true, List.of(new UpstreamLoad(1, 2, 3)))));
+			.send(this.localAddress, new PeerMessage.Usage("t", 7, 0, true, List.of(new UpstreamLoad(1, 2, 3)))));
 		assertThat(this.received.poll(20, TimeUnit.SECONDS)).isEqualTo("usage t 7");
 	}
 
@@ -250,8 +250,8 @@
 	private void bind() throws Exception {
 		InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
 		InetSocketAddress bound = (InetSocketAddress) this.peers.bind(this.group, any).sync().channel().localAddress();
-		this.ownAddress = "127.0.0.1:" + bound.getPort();
-		onLoop(() -> this.peers.setLocalAddress(this.ownAddress));
+		this.localAddress = "127.0.0.1:" + bound.getPort();
+		onLoop(() -> this.peers.setLocalAddress(this.localAddress));
 	}
 
 	private void onLoop(Runnable task) throws Exception {
@@ -365,7 +365,7 @@
 
 		@Override
 		public void peerConnected(String peer) {
-			if (!peer.equals(PeersTests.this.ownAddress)) {
+			if (!peer.equals(PeersTests.this.localAddress)) {
 				PeersTests.this.received.add("connected " + peer);
 			}
 		}
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/process/PauseDetectorTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/process/PauseDetectorTests.java
@@ -29,8 +29,8 @@
 		assertThat(this.detector.check(5010, 9010)).isEmpty();
 	}
 
-	// The monotonic clock of a suspended VM stands still; only the wall clock shows the
-	// pause.
+	// The monotonic clock does not advance while the VM is suspended, so only the wall
+	// clock shows the pause.
 	@Test
 	void suspensionIsDetectedByTheWallClock() {
 		this.detector.check(1000, 5000);
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/CompactedTopicConsumerTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/CompactedTopicConsumerTests.java
@@ -54,7 +54,7 @@
 	@Test
 	void staleResponseIsIgnored() {
 		answerSnapshot(5, storedRecord(4, "a", "new"));
-		this.store.readCallbacks.poll().accept(new Store.ReadResult.Failed("no answer"));
+		this.store.readCallbacks.poll().accept(new Store.ReadResult.Failed("no response"));
 		this.store.advance(1000);
 		answerSnapshot(3, storedRecord(2, "a", "old"));
 		assertThat(this.values).containsExactly(Map.entry("a", "new"));
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryReaderTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryReaderTests.java
@@ -123,7 +123,7 @@
 	@Test
 	void failedReadIsRetriedAfterADelay() {
 		this.reader.read();
-		this.store.readCallbacks.poll().accept(new Store.ReadResult.Failed("no answer"));
+		this.store.readCallbacks.poll().accept(new Store.ReadResult.Failed("no response"));
 		assertThat(this.store.readOffsets).hasSize(1);
 		this.store.advance(1000);
 		assertThat(this.store.readOffsets).containsExactly(0L, 0L);
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryWriterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/EntryWriterTests.java
@@ -49,8 +49,8 @@
 		assertThat(this.store.appends.getFirst()).hasSize(2);
 	}
 
-	// A reservation still in flight must not acknowledge the settlement of the same turn:
-	// the caller would see the end of a turn that is lost with all relays.
+	// The acknowledgement of a reservation must not acknowledge the settlement of its
+	// turn: the caller would receive the end of a turn that is not in the log yet.
 	@Test
 	void reservationDoesNotAcknowledgeTheSettlement() {
 		this.writer.write(new LedgerEntry.Reserved("a", "p", 9, "u", List.of(), false));
@@ -77,7 +77,7 @@
 		this.writer.write(settled("a", Optional.empty()));
 		this.store.advance(100);
 		this.writer.write(settled("b", Optional.empty()));
-		this.store.appendCallbacks.poll().accept(new Store.AppendResult.Unknown("no answer"));
+		this.store.appendCallbacks.poll().accept(new Store.AppendResult.Unknown("no response"));
 		assertThat(this.storedTurns).isEmpty();
 		this.store.advance(1000);
 		assertThat(this.store.appends).hasSize(2);
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/MeteredStoreTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/MeteredStoreTests.java
@@ -28,7 +28,7 @@
 	@Test
 	void appendIsCountedWhateverItsResult() {
 		List<byte[]> records = List.of(new byte[10], new byte[5]);
-		Store.AppendResult lost = new Store.AppendResult.Unknown("no answer");
+		Store.AppendResult lost = new Store.AppendResult.Unknown("no response");
 		this.metered.append(Topic.ENTRIES, records, this.results::add);
 		this.store.appendCallbacks.poll().accept(lost);
 		this.metered.append(Topic.ENTRIES, records, this.results::add);
@@ -43,7 +43,7 @@
 	@Test
 	void recordsReadAreCountedAndForwarded() {
 		Store.ReadResult read = new Store.ReadResult.Records(List.of(stored(3), stored(4)), 2, 2);
-		Store.ReadResult failed = new Store.ReadResult.Failed("away");
+		Store.ReadResult failed = new Store.ReadResult.Failed("status 503");
 		Store.LatestResult newest = new Store.LatestResult.Records(List.of(stored(5)), 3);
 		this.metered.read(Topic.ENTRIES, 0, Duration.ZERO, this.results::add);
 		this.metered.read(Topic.ENTRIES, 2, Duration.ZERO, this.results::add);
--- a/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextWriterTests.java
+++ b/lentilslip-relay/src/test/java/io/lentilslip/relay/store/TextWriterTests.java
@@ -54,7 +54,7 @@
 	@Test
 	void appendWithUnknownOutcomeIsRetried() {
 		this.writer.write(text("a", 10));
-		this.store.appendCallbacks.poll().accept(new Store.AppendResult.Unknown("no answer"));
+		this.store.appendCallbacks.poll().accept(new Store.AppendResult.Unknown("no response"));
 		assertThat(this.storedTurns).isEmpty();
 		this.store.advance(1000);
 		assertThat(this.store.appends).hasSize(2);
@@ -85,7 +85,7 @@
 	}
 
 	// If the start of the partition was deleted, the first remaining offset is not the
-	// end offset. Used instead of it, it would leave texts too far behind to be found.
+	// end offset. A search that starts there ends before it reaches the text.
 	@Test
 	void startReadsTheEndOffsetOfATruncatedPartition() {
 		this.writer.start();
