--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/TextRulesTests.java
@@ -49,9 +49,8 @@
 			.hasSize(1);
 	}
 
-	// Guards against refusing every turn of a conversation where the log is unreachable
-	// and
-	// this relay is no replica of the program.
+	// Guards against refusing every turn of a conversation if the log is unreachable and
+	// this relay is not a replica of the program.
 	@Test
 	void relayWithoutTheLogRequestsLocationsFromReplicas() {
 		RelayFixture relay = RelayFixture.ready();
--- a/lentilslip-core/src/test/java/io/lentilslip/core/relay/UsagePollTests.java
+++ b/lentilslip-core/src/test/java/io/lentilslip/core/relay/UsagePollTests.java
@@ -20,7 +20,7 @@
 	}
 
 	// A request is answered twice if a connection is replaced. Counted twice, one replica
-	// would be a majority, and two concurrent turns might not be counted for each other.
+	// would be a majority, and two concurrent turns might not count each other.
 	@Test
 	void relayIsCountedOnce() {
 		this.poll.addUsage("a", 300, 0);
