--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/QuotaRules.java
@@ -29,8 +29,7 @@
 final class QuotaRules {
 
 	/**
-	 * The time after which a coordinator that has not replied is passed over for the
-	 * next.
+	 * The time to wait for the reply of a coordinator before the next one is asked.
 	 */
 	private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(60);
 
@@ -52,7 +51,7 @@
 
 	private final RelayState state;
 
-	private final ExchangeCompletion ends;
+	private final ExchangeCompletion completion;
 
 	private final Consumer<Exchange> admitted;
 
@@ -74,12 +73,12 @@
 	/**
 	 * Creates rules without permits.
 	 * @param state the state of the relay
-	 * @param ends ends exchanges
+	 * @param completion ends exchanges
 	 * @param admitted receives each exchange that is admitted after waiting
 	 */
-	QuotaRules(RelayState state, ExchangeCompletion ends, Consumer<Exchange> admitted) {
+	QuotaRules(RelayState state, ExchangeCompletion completion, Consumer<Exchange> admitted) {
 		this.state = state;
-		this.ends = ends;
+		this.completion = completion;
 		this.admitted = admitted;
 		this.buckets = new TeamBuckets(state.quotaTolerance);
 	}
@@ -96,7 +95,7 @@
 			return true;
 		}
 		if (!this.state.membershipKnown()) {
-			this.ends.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.RETRY_AFTER_LOG_READ));
+			this.completion.refuse(exchange, Refusal.NOT_READY, Optional.of(RelaySettings.RETRY_AFTER_LOG_READ));
 			return false;
 		}
 		TeamQueue queue = this.queues.computeIfAbsent(team.get().name(), TeamQueue::new);
@@ -328,7 +327,7 @@
 		queue.waiting.remove(exchange.number());
 		this.state.report(RelayNotices.quotaRefused(exchange, refusal, coordinators(queue.team).getFirst(),
 				queue.waiting.size(), retryAfter, this.state));
-		this.ends.refuse(exchange, refusal, Optional.of(retryAfter));
+		this.completion.refuse(exchange, refusal, Optional.of(retryAfter));
 	}
 
 	/**
--- a/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
+++ b/lentilslip-core/src/main/java/io/lentilslip/core/relay/UsagePoll.java
@@ -78,12 +78,12 @@
 	/**
 	 * Makes a majority of all relays decide from now on, and discards the replies counted
 	 * so far.
-	 * @param own the name of this relay
+	 * @param self the name of this relay
 	 */
-	void waitForAllRelays(String own) {
+	void waitForAllRelays(String self) {
 		this.stage = Stage.RELAYS;
 		this.responders.clear();
-		this.replicaResponded = this.replicas.isEmpty() || this.replicas.contains(own);
+		this.replicaResponded = this.replicas.isEmpty() || this.replicas.contains(self);
 	}
 
 	/**
@@ -131,7 +131,7 @@
 	 * @param maxTokens the maximum tokens of the turn itself
 	 * @return the tokens
 	 */
-	long maxUnseen(int maxTokens) {
+	long maxUncounted(int maxTokens) {
 		boolean all = this.responders.size() >= this.replicas.size();
 		return (all || this.uncommitted <= maxTokens) ? 0 : this.uncommitted / 2;
 	}
