--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/store/EntryWriter.java
@@ -26,8 +26,8 @@
 
 	/**
 	 * The batching delay of entries that no request waits for. Reservations of this
-	 * period are lost if all relays are lost, so it must be shorter than a turn: a budget
-	 * may be exceeded by one turn.
+	 * period are lost if all relays are lost. They must amount to less than the one turn
+	 * by which a budget may be exceeded.
 	 */
 	private static final Duration LINGER = Duration.ofMillis(100);
 
