--- a/lentilslip-relay/src/main/java/io/lentilslip/relay/process/PauseDetector.java
+++ b/lentilslip-relay/src/main/java/io/lentilslip/relay/process/PauseDetector.java
@@ -13,7 +13,8 @@
 
 	/**
 	 * The maximum delay of a check that does not count as a pause. Longer than pauses for
-	 * garbage collection and CPU throttling, shorter than a turn.
+	 * garbage collection and CPU throttling, and short enough that other relays replicate
+	 * less than one turn meanwhile.
 	 */
 	private static final long TOLERANCE_MS = 400;
 
